--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -15,7 +15,7 @@
 use contract::{Head, Reply, Request};
 use fleet::{
     Action, Answer, Conviction, Counters, Digest, Event, Fleet, HostEntry, InForce, Keyring,
-    Member, MemberState, TableAway, TableRead, TableRow, What,
+    Member, MemberState, TableRead, TableRow, TableUnavailable, What,
 };
 use model::{Incarnation, MemberId, Micros, Version};
 use rules::RuleSet;
@@ -317,7 +317,7 @@
         tokio::spawn(async move {
             let read = match platform {
                 Some(p) => read(&p).await,
-                None => Err(TableAway),
+                None => Err(TableUnavailable),
             };
             let _ = feed.send(Event::Table(read));
         });
@@ -382,9 +382,9 @@
         Reply::Row(None) => Ok(None),
         Reply::Row(Some(row)) => match serde_json::from_slice::<Head>(&row.value) {
             Ok(head) => Ok(Some(row_of(head))),
-            Err(_) => Err(TableAway),
+            Err(_) => Err(TableUnavailable),
         },
-        _ => Err(TableAway),
+        _ => Err(TableUnavailable),
     }
 }
 
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -22,10 +22,10 @@
 /// The table gave no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the platform's table gave no answer")]
-pub struct TableAway;
+pub struct TableUnavailable;
 
 /// What a read of the table gave.
-pub type TableRead = Result<Option<TableRow>, TableAway>;
+pub type TableRead = Result<Option<TableRow>, TableUnavailable>;
 
 /// A host as the platform's lagging list has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -388,7 +388,7 @@
                 self.nodes[i].reads += 1;
                 let read = match self.up && self.nodes[i].table {
                     true => Ok(self.row.clone()),
-                    false => Err(TableAway),
+                    false => Err(TableUnavailable),
                 };
                 let at = now + Micros::from_millis(20);
                 self.post(at, i, Post::Hand(life, Event::Table(read)));
