--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -222,7 +222,7 @@
         Status {
             version: self.fleet.version(),
             digest: self.fleet.digest(),
-            members: me.chain(self.fleet.everyone()).cloned().collect(),
+            members: me.chain(self.fleet.known_members()).cloned().collect(),
             force: self.fleet.in_force(),
             counters: self.fleet.counters(),
         }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -99,7 +99,7 @@
 
     /// The live members other than this process.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.everyone().filter(|m| m.state.is_live())
+        self.known_members().filter(|m| m.state.is_live())
     }
 
     /// How many live members there are, this process included.
@@ -108,7 +108,7 @@
     }
 
     /// All members other than this process that are remembered, the dead included.
-    pub fn everyone(&self) -> impl Iterator<Item = &Member> {
+    pub fn known_members(&self) -> impl Iterator<Item = &Member> {
         self.view.iter().map(|(_, e)| &e.member)
     }
 
@@ -158,7 +158,7 @@
     pub fn answer(&self, what: What) -> Answer {
         let all = what == What::All;
         let epoch = self.set.epoch;
-        let members = std::iter::once(&self.me).chain(self.everyone());
+        let members = std::iter::once(&self.me).chain(self.known_members());
         let wall = |c: Conviction| Conviction {
             until: c.until + epoch,
             ..c
