--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -354,7 +354,7 @@
             host: m.host.clone(),
             domain: m.domain.clone(),
             region: m.region.clone(),
-            leaving: self.fleet.is_announced(m.id),
+            leaving: self.fleet.is_host_leaving(m.id),
         })
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -128,7 +128,7 @@
     }
 
     /// Whether the platform has announced that a member's host goes.
-    pub fn is_announced(&self, id: MemberId) -> bool {
+    pub fn is_host_leaving(&self, id: MemberId) -> bool {
         let e = self.view.key(id).and_then(|k| self.view.get(k));
         // One that has joined since the last list came is not marked yet.
         e.is_some_and(|e| e.announced || self.leaving.contains(&e.member.host))
--- a/crates/fleet/tests/hosts.rs
+++ b/crates/fleet/tests/hosts.rs
@@ -71,9 +71,14 @@
         me.step(Micros(1), list(c.before), &mut Vec::new());
         meet(&mut me, &mut other);
         let early = c.before.contains(&"one");
-        assert_eq!(me.is_announced(MemberId(2)), early, "{}, at first", c.what);
+        assert_eq!(
+            me.is_host_leaving(MemberId(2)),
+            early,
+            "{}, at first",
+            c.what
+        );
         let mut out = Vec::new();
         me.step(Micros(4), list(c.after), &mut out);
-        assert_eq!(me.is_announced(MemberId(2)), c.announced, "{}", c.what);
+        assert_eq!(me.is_host_leaving(MemberId(2)), c.announced, "{}", c.what);
     }
 }
