--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -200,7 +200,7 @@
                 let _ = out.send(self.fleet.answer(what).encode());
             }
             Ask::Status(out) => {
-                self.step(Event::Watch);
+                self.step(Event::PollVersions);
                 let _ = out.send(self.status());
             }
             Ask::Text(out) => {
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -80,7 +80,7 @@
     /// A request was found here to crash its targets; the others are told.
     Convicted(Conviction),
     /// Ask every live member which version it has, until all have the current one.
-    Watch,
+    PollVersions,
     /// This process will stop: finish what runs, take nothing new.
     Leave,
     /// This process stops now.
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -268,7 +268,7 @@
             Event::Convicted(c) => {
                 self.convictions.add(self.now, c);
             }
-            Event::Watch => self.watch_now(),
+            Event::PollVersions => self.watch_now(),
             Event::Leave => self.announce(MemberState::Leaving),
             Event::Quit => self.quit(out),
         }
--- a/crates/fleet/tests/spread.rs
+++ b/crates/fleet/tests/spread.rs
@@ -88,7 +88,7 @@
     let mut net = Net::settled(30, 23, 0.01);
     net.accept(0, row(2, "second"));
     net.run(secs(2));
-    net.hand(4, Event::Watch);
+    net.hand(4, Event::PollVersions);
     let known = net.until(secs(3), |net| {
         net.nodes[4].fleet.in_force().lagging.is_empty()
     });
