--- a/crates/fleet/src/force.rs
+++ b/crates/fleet/src/force.rs
@@ -22,7 +22,7 @@
 
 /// A live member without the newest configuration, as far as is known here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lag {
+pub struct LaggingMember {
     /// Which member.
     pub id: MemberId,
     /// Where it runs.
@@ -41,7 +41,7 @@
     /// Those that report it or a later one, this process included.
     pub current: usize,
     /// The others.
-    pub lagging: Vec<Lag>,
+    pub lagging: Vec<LaggingMember>,
 }
 
 /// When to ask members that haven't reported.
@@ -71,8 +71,8 @@
         let version = self.version();
         let live = self.view.iter().filter(|(_, e)| e.member.state.is_live());
         let behind = live.filter(|(_, e)| e.version < version);
-        let lagging: Vec<Lag> = behind
-            .map(|(_, e)| Lag {
+        let lagging: Vec<LaggingMember> = behind
+            .map(|(_, e)| LaggingMember {
                 id: e.member.id,
                 host: e.member.host.clone(),
                 version: Some(e.version).filter(|v| v.0 > 0),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -41,7 +41,7 @@
 pub use digest::Digest;
 pub use event::{Action, Event, HostEntry, TableRead, TableRow, TableUnavailable, What};
 pub use fleet::Fleet;
-pub use force::{InForce, Lag};
+pub use force::{InForce, LaggingMember};
 pub use member::{Member, MemberState, Role};
 pub use packet::{Kind, Mark, Packet, PacketError, Update, DATAGRAM_MAX};
 pub use seal::{Key, Keyring, SealError};
