--- a/crates/daemon/src/meter.rs
+++ b/crates/daemon/src/meter.rs
@@ -93,13 +93,13 @@
     counter!(GOSSIP_FAULTS).absolute(counters.bad_seal + counters.bad_packet);
     let kinds = [
         ("suspected", counters.suspected),
-        ("declared_dead", counters.declared),
+        ("declared_dead", counters.declared_dead),
         ("refuted", counters.refuted),
         ("paused", counters.paused),
         ("pulls", counters.pulls),
         ("pull_failures", counters.pull_failures),
-        ("table_reads", counters.reads),
-        ("table_read_failures", counters.read_failures),
+        ("table_reads", counters.table_reads),
+        ("table_read_failures", counters.table_read_failures),
     ];
     for (kind, n) in kinds {
         counter!(MEMBERSHIP, "kind" => kind).absolute(n);
--- a/crates/fleet/src/counters.rs
+++ b/crates/fleet/src/counters.rs
@@ -18,7 +18,7 @@
     /// Members that this process began to suspect by itself.
     pub suspected: u64,
     /// Members that this process declared dead.
-    pub declared: u64,
+    pub declared_dead: u64,
     /// Accusations of this process that it refuted.
     pub refuted: u64,
     /// Times that this process was found to have been paused.
@@ -28,11 +28,11 @@
     /// Pulls that failed.
     pub pull_failures: u64,
     /// Reads of the table asked for.
-    pub reads: u64,
+    pub table_reads: u64,
     /// Reads of the table that failed.
-    pub read_failures: u64,
+    pub table_read_failures: u64,
     /// Reads that gave an older version than is in force, as after a restored backup.
     pub table_behind: u64,
     /// Times that another text of the same version was seen.
-    pub forks: u64,
+    pub version_conflicts: u64,
 }
--- a/crates/fleet/src/detect.rs
+++ b/crates/fleet/src/detect.rs
@@ -329,7 +329,7 @@
         });
         let over: Vec<Member> = over.map(|(_, e)| e.member.clone()).collect();
         for m in over {
-            self.counters.declared += 1;
+            self.counters.declared_dead += 1;
             self.learn(self.verdict(&m, MemberState::Dead), true, out);
         }
         self.rearm_suspicions();
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/spread.rs
@@ -355,7 +355,7 @@
     /// Two texts of one version: the one that is known to be the table's is taken; if neither
     /// is, the table is asked.
     fn conflict(&mut self, s: Source) {
-        self.counters.forks += 1;
+        self.counters.version_conflicts += 1;
         match (s.proven, self.spread.proven) {
             (true, false) => self.spread.note(s),
             (false, true) => {}
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -58,7 +58,7 @@
 
     /// Puts the first read off while others may be found.
     pub(crate) fn delay_reads(&mut self) {
-        if self.counters.reads == 0 {
+        if self.counters.table_reads == 0 {
             let wait = self.jitter(JOIN_WAIT);
             self.reader.read_at = self.now + wait;
         }
@@ -75,7 +75,7 @@
         if self.reader.wanted || self.is_reader() {
             self.reader.wanted = false;
             self.reader.open = true;
-            self.counters.reads += 1;
+            self.counters.table_reads += 1;
             self.reader.read_at = self.now + ANSWER_MAX;
             out.push(Action::ReadTable);
         } else {
@@ -93,7 +93,7 @@
                 row.into_iter().for_each(|r| self.weigh_row(r, out));
             }
             Err(_) => {
-                self.counters.read_failures += 1;
+                self.counters.table_read_failures += 1;
                 self.reader.fails += 1;
                 self.reader.wanted = self.spread.contested;
                 self.schedule_read();
@@ -133,7 +133,7 @@
         let mine = &self.spread.row;
         let same = row.version == mine.version;
         if crate::Digest::of(&row.text) != row.digest {
-            self.counters.read_failures += 1;
+            self.counters.table_read_failures += 1;
         } else if row.version < mine.version {
             self.counters.table_behind += 1;
         } else if same && row.digest == mine.digest {
--- a/crates/fleet/tests/detect.rs
+++ b/crates/fleet/tests/detect.rs
@@ -179,7 +179,7 @@
     net.run(secs(30));
     assert_eq!(losses(&net), before, "it takes nobody with it");
     assert_eq!(net.nodes[3].fleet.counters().paused, 1);
-    assert_eq!(net.nodes[3].fleet.counters().declared, 0);
+    assert_eq!(net.nodes[3].fleet.counters().declared_dead, 0);
 }
 
 /// Two regions lose each other for an hour, each takes the other for dead, then the links come
@@ -246,7 +246,7 @@
     (0..15).for_each(|i| net.hand(i, stale(false)));
     net.run(secs(120));
     assert_eq!(state(&net, MemberState::Left), 14);
-    assert!(net.up().all(|n| n.fleet.counters().declared == 0));
+    assert!(net.up().all(|n| n.fleet.counters().declared_dead == 0));
 }
 
 /// The platform says that a host goes, and the process on it is suddenly gone. The list may make
