--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -15,7 +15,7 @@
 use contract::{Head, Reply, Request};
 use fleet::{
     Action, Answer, Conviction, Counters, Digest, Event, Fleet, HostEntry, InForce, Keyring,
-    Member, MemberState, TableRead, TableRow, TableUnavailable, What,
+    Member, MemberState, PullScope, TableRead, TableRow, TableUnavailable,
 };
 use model::{Incarnation, MemberId, Micros, Version};
 use rules::RuleSet;
@@ -192,12 +192,12 @@
     fn ask(&mut self, ask: Ask) {
         match ask {
             Ask::Pull(data, out) => {
-                let what = if data.as_ref() == CONFIG {
-                    What::Config
+                let scope = if data.as_ref() == CONFIG {
+                    PullScope::Config
                 } else {
-                    What::All
+                    PullScope::All
                 };
-                let _ = out.send(self.fleet.answer(what).encode());
+                let _ = out.send(self.fleet.answer(scope).encode());
             }
             Ask::Status(out) => {
                 self.step(Event::PollVersions);
@@ -264,7 +264,7 @@
     fn act(&mut self, action: Action) -> bool {
         match action {
             Action::Send { to, bytes } => self.send(to, &bytes),
-            Action::Pull { from, tcp, what } => self.pull(from, tcp, what),
+            Action::Pull { from, tcp, scope } => self.pull(from, tcp, scope),
             Action::ReadTable => self.read_table(),
             Action::WakeAt(at) => self.wake = Some(at),
             Action::Convict(c) => self.convicted.push_back(c),
@@ -294,12 +294,12 @@
         let _ = self.socket.try_send_to(bytes, to);
     }
 
-    fn pull(&self, from: MemberId, tcp: SocketAddr, what: What) {
+    fn pull(&self, from: MemberId, tcp: SocketAddr, scope: PullScope) {
         let (links, feed) = (Arc::clone(&self.links), self.feed.clone());
         tokio::spawn(async move {
-            let data = match what {
-                What::Config => Bytes::from_static(CONFIG),
-                What::All => Bytes::new(),
+            let data = match scope {
+                PullScope::Config => Bytes::from_static(CONFIG),
+                PullScope::All => Bytes::new(),
             };
             let answer = match links.ask(tcp, Pull { data }).await {
                 Ok(Body::Text(t)) => Answer::decode(t.data).ok(),
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -11,7 +11,7 @@
 use common::caller::{Answer, Pending};
 use common::child::FLEET_KEY;
 use common::{quick, wait_for, Child, Fleet, OPERATOR, QUICKSTART};
-use fleet::{Action, Digest, Event, Keyring, Member, MemberState, Role, TableRow, What};
+use fleet::{Action, Digest, Event, Keyring, Member, MemberState, PullScope, Role, TableRow};
 use model::{Incarnation, MemberId, Micros, Version};
 use serde_json::{json, Value};
 use standin::platform::Faults;
@@ -229,7 +229,7 @@
             got = tcp.accept() => if let Ok((stream, _)) = got {
                 asked.fetch_add(1, Ordering::Relaxed);
                 let keys = Keys::new(Key::from_hex(FLEET_KEY).expect("key"), None);
-                let data = ghost.answer(What::All).encode();
+                let data = ghost.answer(PullScope::All).encode();
                 tokio::spawn(async move {
                     let (mut tx, mut rx) = wire::accept(stream, &keys, rand::random()).await.ok()?;
                     rx.next().await.ok()?;
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -38,7 +38,7 @@
 
 /// How much a pull asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum PullScope {
     /// The configuration alone.
     Config,
     /// The configuration, all members and all convictions.
@@ -104,7 +104,7 @@
         /// Where it answers.
         tcp: SocketAddr,
         /// What to ask for.
-        what: What,
+        scope: PullScope,
     },
     /// Read the newest row of the table; answer with [`Event::Table`].
     ReadTable,
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -21,7 +21,7 @@
 use crate::view::{mix, MemberKey, View};
 use crate::{
     Action, Answer, Conviction, Counters, Digest, Event, HostEntry, Keyring, Member, MemberState,
-    Settings, What,
+    PullScope, Settings,
 };
 
 /// Membership and configuration as one process sees them.
@@ -155,8 +155,8 @@
     }
 
     /// What to answer to another member's pull.
-    pub fn answer(&self, what: What) -> Answer {
-        let all = what == What::All;
+    pub fn answer(&self, scope: PullScope) -> Answer {
+        let all = scope == PullScope::All;
         let epoch = self.set.epoch;
         let members = std::iter::once(&self.me).chain(self.known_members());
         let wall = |c: Conviction| Conviction {
--- a/crates/fleet/src/join.rs
+++ b/crates/fleet/src/join.rs
@@ -15,7 +15,7 @@
 
 use crate::packet::{Kind, Packet, Update, BODY_MAX};
 use crate::view::MemberKey;
-use crate::{Action, Fleet, MemberState, What};
+use crate::{Action, Fleet, MemberState, PullScope};
 
 /// Seeds asked in one round.
 const ASKED: usize = 3;
@@ -172,7 +172,7 @@
         if let Some(id) = self.view.member(k).filter(|_| differs).map(|m| m.id) {
             self.join.last = self.now;
             self.join.streak = 0;
-            self.pull(id, What::All, out);
+            self.pull(id, PullScope::All, out);
         }
     }
 
@@ -211,7 +211,7 @@
         let known = known.and_then(|k| self.view.member(k)).map(|m| m.id);
         let ahead = self.ahead().filter(|_| self.spread.has_failed());
         match ahead.map(|s| s.id).or(known) {
-            Some(id) => self.pull(id, What::All, out),
+            Some(id) => self.pull(id, PullScope::All, out),
             None => self.ask_seeds(ASKED, out),
         }
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -39,7 +39,7 @@
 pub use convict::Conviction;
 pub use counters::Counters;
 pub use digest::Digest;
-pub use event::{Action, Event, HostEntry, TableRead, TableRow, TableUnavailable, What};
+pub use event::{Action, Event, HostEntry, PullScope, TableRead, TableRow, TableUnavailable};
 pub use fleet::Fleet;
 pub use force::{InForce, LaggingMember};
 pub use member::{Member, MemberState, Role};
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/spread.rs
@@ -14,7 +14,7 @@
 
 use crate::packet::{Kind, Packet};
 use crate::view::MemberKey;
-use crate::{Action, Answer, Digest, Fleet, TableRow, What};
+use crate::{Action, Answer, Digest, Fleet, PullScope, TableRow};
 
 /// Bound on members known to be ahead; enough that some can be lost.
 const SOURCES_MAX: usize = 4;
@@ -219,7 +219,7 @@
     }
 
     /// Starts a pull if none is under way; at most one at a time bounds what a process fetches.
-    pub(crate) fn pull(&mut self, from: MemberId, what: What, out: &mut Vec<Action>) {
+    pub(crate) fn pull(&mut self, from: MemberId, scope: PullScope, out: &mut Vec<Action>) {
         let Some(m) = self.view.key(from).and_then(|k| self.view.member(k)) else {
             return;
         };
@@ -227,11 +227,11 @@
         let source = self.spread.sources.iter().find(|s| s.id == from).copied();
         self.spread.pull = Some(Pull {
             from,
-            until: self.now + self.pull_wait(what),
+            until: self.now + self.pull_wait(scope),
             source,
         });
         self.counters.pulls += 1;
-        out.push(Action::Pull { from, tcp, what });
+        out.push(Action::Pull { from, tcp, scope });
     }
 
     pub(crate) fn pulled(&mut self, from: MemberId, answer: Answer, out: &mut Vec<Action>) {
@@ -287,12 +287,12 @@
     }
 
     /// A text comes from the next member sooner than a lost connection is noticed.
-    fn pull_wait(&self, what: What) -> Micros {
+    fn pull_wait(&self, scope: PullScope) -> Micros {
         let text = Micros(self.set.text_wait.0 << self.spread.fails.min(8));
-        match what {
-            What::All if self.join.is_open() => self.set.join_wait,
-            What::All => self.set.pull_wait,
-            What::Config => text.min(self.set.pull_wait),
+        match scope {
+            PullScope::All if self.join.is_open() => self.set.join_wait,
+            PullScope::All => self.set.pull_wait,
+            PullScope::Config => text.min(self.set.pull_wait),
         }
     }
 
@@ -348,7 +348,7 @@
         };
         let from = spread.sources.iter().rfind(|s| s.version == top);
         if let Some(from) = from.map(|s| s.id) {
-            self.pull(from, What::Config, out);
+            self.pull(from, PullScope::Config, out);
         }
     }
 
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -326,13 +326,13 @@
 #[test]
 fn broken_answers_are_typed() {
     let net = Net::settled(2, 43, 0.0);
-    let mut a = net.nodes[0].fleet.answer(fleet::What::All);
+    let mut a = net.nodes[0].fleet.answer(fleet::PullScope::All);
     a.text = "another".into();
     assert_eq!(Answer::decode(a.encode()), Err(PacketError::Mismatch));
-    let mut a = net.nodes[0].fleet.answer(fleet::What::All);
+    let mut a = net.nodes[0].fleet.answer(fleet::PullScope::All);
     a.members[0].tags = "x".repeat(300);
     assert_eq!(Answer::decode(a.encode()), Err(PacketError::Text(300)));
-    let cut = net.nodes[0].fleet.answer(fleet::What::All).encode();
+    let cut = net.nodes[0].fleet.answer(fleet::PullScope::All).encode();
     let cut = cut.slice(..cut.len() - 1);
     assert_matches!(Answer::decode(cut), Err(PacketError::Format(_)));
 }
--- a/crates/fleet/tests/join.rs
+++ b/crates/fleet/tests/join.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use fleet::{
-    Action, Digest, Event, Fleet, Keyring, Member, MemberState, Role, Settings, TableRow, What,
+    Action, Digest, Event, Fleet, Keyring, Member, MemberState, PullScope, Role, Settings, TableRow,
 };
 use model::{Incarnation, MemberId, Micros, Version};
 
@@ -84,7 +84,7 @@
             joins.step(now, Event::Seeds(vec![at(OLD)]), &mut Vec::new());
         }
         let first = until_pull(&mut all, ME, &mut now);
-        let empty = member(FRESH, 2).answer(What::All);
+        let empty = member(FRESH, 2).answer(PullScope::All);
         if first == MemberId(FRESH) {
             met += 1;
             let event = Event::Pulled {
@@ -96,7 +96,7 @@
             let second = until_pull(&mut all, ME, &mut now);
             assert_eq!(second, MemberId(OLD), "seed {seed}");
         }
-        let answer = all[0].answer(What::All);
+        let answer = all[0].answer(PullScope::All);
         let from = MemberId(OLD);
         all[2].step(now, Event::Pulled { from, answer }, &mut Vec::new());
         assert!(all[2].has_joined(), "seed {seed}");
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -24,7 +24,7 @@
         asker: usize,
         life: u32,
         from: MemberId,
-        what: What,
+        scope: PullScope,
     },
 }
 
@@ -307,19 +307,19 @@
                 asker,
                 life,
                 from,
-                what,
-            } => self.serve(i, asker, life, from, what),
+                scope,
+            } => self.serve(i, asker, life, from, scope),
         }
         true
     }
 
-    fn serve(&mut self, i: usize, asker: usize, life: u32, from: MemberId, what: What) {
+    fn serve(&mut self, i: usize, asker: usize, life: u32, from: MemberId, scope: PullScope) {
         let n = &self.nodes[i];
         let ok = n.up && !n.paused && self.reach(i, asker);
         let ok = ok && !self.rng.random_bool(self.loss);
         let (wait, event) = match ok {
             true => {
-                let bytes = self.nodes[i].fleet.answer(what).encode();
+                let bytes = self.nodes[i].fleet.answer(scope).encode();
                 self.nodes[asker].pulled += bytes.len() as u64;
                 let answer = Answer::decode(bytes).expect("an answer decodes");
                 (self.delay, Event::Pulled { from, answer })
@@ -370,7 +370,7 @@
         let now = self.now;
         match a {
             Action::Send { to, bytes } => self.carry(i, to, bytes),
-            Action::Pull { tcp, what, from } => {
+            Action::Pull { tcp, scope, from } => {
                 let asker = i;
                 let at = now + Micros(self.delay.0 * 3);
                 self.post(
@@ -380,7 +380,7 @@
                         asker,
                         life,
                         from,
-                        what,
+                        scope,
                     },
                 );
             }
--- a/crates/fleet/tests/spread.rs
+++ b/crates/fleet/tests/spread.rs
@@ -3,7 +3,7 @@
 mod net;
 
 use assert_matches::assert_matches;
-use fleet::{Conviction, Event, Keyring, TableRow, What};
+use fleet::{Conviction, Event, Keyring, PullScope, TableRow};
 use model::{MemberId, Micros, Version};
 use net::{row, Net};
 
@@ -294,7 +294,7 @@
 #[test]
 fn wrong_text_is_refused() {
     let mut net = Net::settled(3, 33, 0.0);
-    let mut answer = net.nodes[1].fleet.answer(What::Config);
+    let mut answer = net.nodes[1].fleet.answer(PullScope::Config);
     answer.version = Version(9);
     answer.text = "something else".into();
     let from = net.nodes[1].fleet.me().id;
@@ -426,7 +426,7 @@
     let old = net.nodes[5].fleet.me().id;
     net.restart(4);
     net.restart(5);
-    let answer = net.nodes[5].fleet.answer(What::All);
+    let answer = net.nodes[5].fleet.answer(PullScope::All);
     assert_eq!(answer.version, Version(0));
     net.hand(4, Event::Pulled { from: old, answer });
     assert_eq!(net.nodes[4].fleet.counters().pull_failures, 1);
