--- a/crates/fleet/src/detect.rs
+++ b/crates/fleet/src/detect.rs
@@ -15,9 +15,9 @@
 use crate::{Action, Fleet, Member, MemberState};
 
 /// Bound on pings that are under way for others; 16 members at once is already a storm.
-const RELAYS_MAX: usize = 128;
+const INDIRECT_PROBES_MAX: usize = 128;
 /// How many more members than needed are drawn, to find some in other failure domains.
-const CHOICE: usize = 4;
+const CANDIDATES_PER_HELPER: usize = 4;
 
 /// A ping of this process that is not answered yet.
 struct Probe {
@@ -25,27 +25,27 @@
     id: MemberId,
     seq: u32,
     /// When to ask others; the far future once they were asked.
-    relay_at: Micros,
-    asked: u32,
+    indirect_at: Micros,
+    requested: u32,
     nacks: u32,
 }
 
 /// A ping on behalf of another member.
-struct Relay {
+struct IndirectProbe {
     id: MemberId,
     seq: u32,
-    origin: SocketAddr,
-    answer: u32,
-    until: Micros,
+    requester: SocketAddr,
+    requester_seq: u32,
+    deadline: Micros,
 }
 
 /// State of failure detection.
 pub(crate) struct Detect {
     probe: Option<Probe>,
     probe_at: Micros,
-    relays: Vec<Relay>,
+    indirect_probes: Vec<IndirectProbe>,
     /// Zero if well; each step stretches period and waits by one.
-    health: u32,
+    health_score: u32,
     /// When the first suspicion runs out.
     suspicion_at: Micros,
 }
@@ -55,8 +55,8 @@
         Self {
             probe: None,
             probe_at: Micros::MAX,
-            relays: Vec::new(),
-            health: 0,
+            indirect_probes: Vec::new(),
+            health_score: 0,
             suspicion_at: Micros::MAX,
         }
     }
@@ -68,53 +68,56 @@
     }
 
     pub(crate) fn due(&self) -> Micros {
-        let relay = self.probe.as_ref().map_or(Micros::MAX, |p| p.relay_at);
-        let relays = self.relays.iter().map(|r| r.until);
+        let indirect = self.probe.as_ref().map_or(Micros::MAX, |p| p.indirect_at);
+        let relays = self.indirect_probes.iter().map(|r| r.deadline);
         let first = relays.min().unwrap_or(Micros::MAX);
-        self.probe_at.min(self.suspicion_at).min(relay).min(first)
+        self.probe_at
+            .min(self.suspicion_at)
+            .min(indirect)
+            .min(first)
     }
 
-    fn stretch(&self, span: Micros) -> Micros {
-        Micros(span.0 * u64::from(self.health + 1))
+    fn scale_by_health(&self, span: Micros) -> Micros {
+        Micros(span.0 * u64::from(self.health_score + 1))
     }
 
     fn degrade(&mut self, max: u32) {
-        self.health = (self.health + 1).min(max);
+        self.health_score = (self.health_score + 1).min(max);
     }
 
     fn recover(&mut self) {
-        self.health = self.health.saturating_sub(1);
+        self.health_score = self.health_score.saturating_sub(1);
     }
 }
 
 impl Fleet {
     pub(crate) fn run_detect(&mut self, out: &mut Vec<Action>) {
-        self.drop_relays(out);
+        self.expire_indirect_probes(out);
         if self
             .detect
             .probe
             .as_ref()
-            .is_some_and(|p| p.relay_at <= self.now)
+            .is_some_and(|p| p.indirect_at <= self.now)
         {
-            self.ask_relays(out);
+            self.request_indirect_probes(out);
         }
         if self.detect.probe_at <= self.now {
-            self.end_probe(out);
-            self.begin_probe(out);
+            self.fail_probe(out);
+            self.start_probe(out);
         }
         if self.detect.suspicion_at <= self.now {
-            self.end_suspicions(out);
+            self.expire_suspicions(out);
         }
     }
 
     /// Forgets open questions and gives all suspected members their time again.
     pub(crate) fn resume_detect(&mut self) {
         self.detect.probe = None;
-        self.detect.relays.clear();
+        self.detect.indirect_probes.clear();
         self.detect.probe_at = self.now;
-        self.detect.degrade(self.set.health_max);
+        self.detect.degrade(self.settings.health_score_max);
         let now = self.now;
-        self.recheck();
+        self.reprobe_suspects();
         let suspicions = self
             .view
             .iter_mut()
@@ -124,22 +127,23 @@
     }
 
     /// Pings the suspected members first; they may have refuted it unheard.
-    fn recheck(&mut self) {
+    fn reprobe_suspects(&mut self) {
         let suspects = self.view.iter().filter(|(_, e)| e.suspicion.is_some());
-        let suspects = suspects.map(|(k, e)| (k, self.verdict(&e.member, MemberState::Suspect)));
+        let suspects =
+            suspects.map(|(k, e)| (k, self.claim_about(&e.member, MemberState::Suspect)));
         for (k, c) in suspects.collect::<Vec<_>>() {
-            self.view.probe_soon(k, c);
+            self.view.queue_probe(k, c);
         }
     }
 
     /// Pings a member without waiting for the answer.
-    pub(crate) fn ping(&mut self, k: MemberKey, accusation: Option<Update>, out: &mut Vec<Action>) {
+    pub(crate) fn ping(&mut self, k: MemberKey, update: Option<Update>, out: &mut Vec<Action>) {
         let Some((id, udp)) = self.view.member(k).map(|m| (m.id, m.udp)) else {
             return;
         };
         let mut p = Packet::new(Kind::Ping, self.next_seq());
         p.to = id.0;
-        p.updates.extend(accusation);
+        p.updates.extend(update);
         self.send(udp, p, out);
     }
 
@@ -147,12 +151,12 @@
     ///
     /// It must come from the member that was asked about: a later life at its address answers
     /// too, and the earlier one mustn't look alive for it.
-    pub(crate) fn acked(&mut self, k: Option<MemberKey>, p: &Packet, out: &mut Vec<Action>) {
+    pub(crate) fn handle_ack(&mut self, k: Option<MemberKey>, p: &Packet, out: &mut Vec<Action>) {
         let probe = self.detect.probe.as_ref();
         let own = |o: &Probe| o.seq == p.seq && (o.id.0 == p.from || o.id.0 == p.to);
         let relay = self
             .detect
-            .relays
+            .indirect_probes
             .iter()
             .position(|r| r.seq == p.seq && r.id.0 == p.from);
         match relay {
@@ -161,41 +165,41 @@
                 self.detect.recover();
             }
             Some(i) => {
-                let r = self.detect.relays.swap_remove(i);
-                let mut ack = Packet::new(Kind::Ack, r.answer);
+                let r = self.detect.indirect_probes.swap_remove(i);
+                let mut ack = Packet::new(Kind::Ack, r.requester_seq);
                 ack.to = r.id.0;
-                self.send(r.origin, ack, out);
+                self.send(r.requester, ack, out);
             }
             None => {}
         }
         if let Some(k) = k {
-            self.compare(k, p.view, out);
+            self.compare_views(k, p.view, out);
         }
     }
 
     /// One who was asked got no answer either, but is itself within reach.
-    pub(crate) fn nacked(&mut self, seq: u32) {
+    pub(crate) fn handle_nack(&mut self, seq: u32) {
         if let Some(p) = self.detect.probe.as_mut().filter(|p| p.seq == seq) {
             p.nacks += 1;
         }
     }
 
     /// Pings a member because another one asked for it.
-    pub(crate) fn relay(&mut self, from: SocketAddr, p: &Packet, out: &mut Vec<Action>) {
+    pub(crate) fn probe_for(&mut self, from: SocketAddr, p: &Packet, out: &mut Vec<Action>) {
         let Ok(to) = addr(&p.addr) else {
             return;
         };
-        if self.detect.relays.len() >= RELAYS_MAX {
+        if self.detect.indirect_probes.len() >= INDIRECT_PROBES_MAX {
             return;
         }
         let seq = self.next_seq();
-        let wait = self.set.ack_wait;
-        self.detect.relays.push(Relay {
+        let wait = self.settings.ack_timeout;
+        self.detect.indirect_probes.push(IndirectProbe {
             id: MemberId(p.to),
             seq,
-            origin: from,
-            answer: p.seq,
-            until: self.now + wait,
+            requester: from,
+            requester_seq: p.seq,
+            deadline: self.now + wait,
         });
         let mut ping = Packet::new(Kind::Ping, seq);
         ping.to = p.to;
@@ -207,14 +211,14 @@
         let size = self.size();
         let s = self.view.get(k).and_then(|e| e.suspicion.as_ref());
         if let Some(s) = s {
-            let at = s.deadline(&self.set, size);
+            let at = s.deadline(&self.settings, size);
             self.detect.suspicion_at = self.detect.suspicion_at.min(at);
         }
     }
 
-    fn begin_probe(&mut self, out: &mut Vec<Action>) {
-        self.detect.probe_at = self.now + self.detect.stretch(self.set.period);
-        let Some((key, claimed)) = self.next_target() else {
+    fn start_probe(&mut self, out: &mut Vec<Action>) {
+        self.detect.probe_at = self.now + self.detect.scale_by_health(self.settings.probe_period);
+        let Some((key, claimed)) = self.next_probe() else {
             return;
         };
         let Some((id, udp)) = self.view.member(key).map(|m| (m.id, m.udp)) else {
@@ -223,20 +227,21 @@
         let seq = self.next_seq();
         let mut p = Packet::new(Kind::Ping, seq);
         p.to = id.0;
-        p.updates.extend(claimed.or_else(|| self.accusation(key)));
+        p.updates
+            .extend(claimed.or_else(|| self.refutable_update(key)));
         self.detect.probe = Some(Probe {
             key,
             id,
             seq,
-            relay_at: self.now + self.detect.stretch(self.set.ack_wait),
-            asked: 0,
+            indirect_at: self.now + self.detect.scale_by_health(self.settings.ack_timeout),
+            requested: 0,
             nacks: 0,
         });
         self.send(udp, p, out);
     }
 
-    fn next_target(&mut self) -> Option<(MemberKey, Option<Update>)> {
-        while let Some((k, c)) = self.view.urgent.pop_front() {
+    fn next_probe(&mut self) -> Option<(MemberKey, Option<Update>)> {
+        while let Some((k, c)) = self.view.priority_probes.pop_front() {
             if self.view.is_live(k) {
                 let m = self.view.member(k)?;
                 let claimed = Member {
@@ -247,12 +252,12 @@
                 return Some((k, Some(Update::brief(&claimed, c.by))));
             }
         }
-        self.view.next(&mut self.rng).map(|k| (k, None))
+        self.view.next_to_probe(&mut self.rng).map(|k| (k, None))
     }
 
     /// Asks members in other failure domains to ping, so that a fault near this process or on
     /// its links isn't taken for the other's death.
-    fn ask_relays(&mut self, out: &mut Vec<Action>) {
+    fn request_indirect_probes(&mut self, out: &mut Vec<Action>) {
         let Some((key, id, seq)) = self.detect.probe.as_ref().map(|p| (p.key, p.id, p.seq)) else {
             return;
         };
@@ -260,8 +265,8 @@
             self.detect.probe = None;
             return;
         };
-        let relays = self.choose_relays(key, &m);
-        for &k in &relays {
+        let helpers = self.choose_helpers(key, &m);
+        for &k in &helpers {
             let Some(to) = self.view.member(k).map(|r| r.udp) else {
                 continue;
             };
@@ -271,47 +276,50 @@
             self.send(to, p, out);
         }
         if let Some(p) = self.detect.probe.as_mut() {
-            p.relay_at = Micros::MAX;
-            p.asked = relays.len() as u32;
+            p.indirect_at = Micros::MAX;
+            p.requested = helpers.len() as u32;
         }
     }
 
-    fn choose_relays(&mut self, key: MemberKey, m: &Member) -> Vec<MemberKey> {
-        let mut some = self.view.sample(CHOICE * self.set.relays, &mut self.rng);
+    fn choose_helpers(&mut self, key: MemberKey, m: &Member) -> Vec<MemberKey> {
+        let mut some = self.view.sample(
+            CANDIDATES_PER_HELPER * self.settings.indirect_probes,
+            &mut self.rng,
+        );
         some.retain(|&k| k != key);
         let near = |k: &MemberKey| {
             let domain = self.view.member(*k).map(|r| &r.domain);
             domain == Some(&m.domain) || domain == Some(&self.me.domain)
         };
         some.sort_by_key(near);
-        some.truncate(self.set.relays);
+        some.truncate(self.settings.indirect_probes);
         some
     }
 
-    fn end_probe(&mut self, out: &mut Vec<Action>) {
+    fn fail_probe(&mut self, out: &mut Vec<Action>) {
         let Some(p) = self.detect.probe.take() else {
             return;
         };
-        if p.asked == 0 || p.nacks < p.asked {
-            self.detect.degrade(self.set.health_max);
+        if p.requested == 0 || p.nacks < p.requested {
+            self.detect.degrade(self.settings.health_score_max);
         }
-        self.accuse(p.key, out);
+        self.suspect(p.key, out);
     }
 
     /// Suspects a member, or confirms that others do, and tells it at once.
-    fn accuse(&mut self, k: MemberKey, out: &mut Vec<Action>) {
+    fn suspect(&mut self, k: MemberKey, out: &mut Vec<Action>) {
         let Some(m) = self.view.member(k).filter(|m| m.state.is_live()).cloned() else {
             return;
         };
         if m.state != MemberState::Suspect {
             self.counters.suspected += 1;
         }
-        self.learn(self.verdict(&m, MemberState::Suspect), true, out);
-        let accusation = self.accusation(k);
-        self.tell(k, accusation.into_iter().collect(), out);
+        self.apply_claim(self.claim_about(&m, MemberState::Suspect), true, out);
+        let refutable_update = self.refutable_update(k);
+        self.send_gossip(k, refutable_update.into_iter().collect(), out);
     }
 
-    fn verdict(&self, m: &Member, state: MemberState) -> Claim {
+    fn claim_about(&self, m: &Member, state: MemberState) -> Claim {
         Claim {
             id: m.id,
             incarnation: m.incarnation,
@@ -321,38 +329,38 @@
         }
     }
 
-    fn end_suspicions(&mut self, out: &mut Vec<Action>) {
-        let (now, size, set) = (self.now, self.size(), &self.set);
-        let over = self.view.iter().filter(|(_, e)| {
+    fn expire_suspicions(&mut self, out: &mut Vec<Action>) {
+        let (now, size, settings) = (self.now, self.size(), &self.settings);
+        let expired = self.view.iter().filter(|(_, e)| {
             let s = e.suspicion.as_ref();
-            s.is_some_and(|s| s.deadline(set, size) <= now)
+            s.is_some_and(|s| s.deadline(settings, size) <= now)
         });
-        let over: Vec<Member> = over.map(|(_, e)| e.member.clone()).collect();
-        for m in over {
+        let expired: Vec<Member> = expired.map(|(_, e)| e.member.clone()).collect();
+        for m in expired {
             self.counters.declared_dead += 1;
-            self.learn(self.verdict(&m, MemberState::Dead), true, out);
+            self.apply_claim(self.claim_about(&m, MemberState::Dead), true, out);
         }
         self.rearm_suspicions();
     }
 
     fn rearm_suspicions(&mut self) {
-        let (size, set) = (self.size(), &self.set);
+        let (size, settings) = (self.size(), &self.settings);
         let suspicions = self.view.iter().filter_map(|(_, e)| e.suspicion.as_ref());
-        let first = suspicions.map(|s| s.deadline(set, size)).min();
+        let first = suspicions.map(|s| s.deadline(settings, size)).min();
         self.detect.suspicion_at = first.unwrap_or(Micros::MAX);
     }
 
     /// Reports pings for others that went unanswered.
-    fn drop_relays(&mut self, out: &mut Vec<Action>) {
+    fn expire_indirect_probes(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        let (over, open) = std::mem::take(&mut self.detect.relays)
+        let (expired, open) = std::mem::take(&mut self.detect.indirect_probes)
             .into_iter()
-            .partition(|r: &Relay| r.until <= now);
-        self.detect.relays = open;
-        for r in over {
-            let mut p = Packet::new(Kind::Nack, r.answer);
+            .partition(|r: &IndirectProbe| r.deadline <= now);
+        self.detect.indirect_probes = open;
+        for r in expired {
+            let mut p = Packet::new(Kind::Nack, r.requester_seq);
             p.to = r.id.0;
-            self.send(r.origin, p, out);
+            self.send(r.requester, p, out);
         }
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -11,13 +11,13 @@
 
 use crate::convict::Convictions;
 use crate::detect::Detect;
-use crate::force::Watch;
+use crate::in_force::VersionPoll;
 use crate::join::Join;
 use crate::packet::{wire_state, Kind, Packet, PacketError, Update, BODY_MAX};
 use crate::rumor::Rumors;
 use crate::spread::Spread;
 use crate::suspicion::log_size;
-use crate::table::Reader;
+use crate::table::TableReader;
 use crate::view::{mix, MemberKey, View};
 use crate::{
     Action, Answer, Conviction, Counters, Digest, Event, HostEntry, Keyring, Member, MemberState,
@@ -26,7 +26,7 @@
 
 /// Membership and configuration as one process sees them.
 pub struct Fleet {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     pub(crate) me: Member,
     pub(crate) view: View,
     pub(crate) rng: SmallRng,
@@ -35,16 +35,16 @@
     pub(crate) rumors: Rumors,
     pub(crate) convictions: Convictions,
     pub(crate) spread: Spread,
-    pub(crate) watch: Watch,
-    pub(crate) reader: Reader,
+    pub(crate) version_poll: VersionPoll,
+    pub(crate) reader: TableReader,
     pub(crate) join: Join,
     pub(crate) counters: Counters,
     /// Hosts that go, as the platform listed them last.
-    leaving: BTreeSet<String>,
+    leaving_hosts: BTreeSet<String>,
     seq: u32,
     gossip_at: Micros,
-    wake: Micros,
-    quit: bool,
+    wake_at: Micros,
+    has_quit: bool,
 }
 
 impl Fleet {
@@ -52,11 +52,11 @@
     ///
     /// `me.incarnation` must be higher than in earlier lives at the same address: the wall
     /// clock's microseconds will do.
-    pub fn new(set: Settings, me: Member, seed: u64) -> Self {
+    pub fn new(settings: Settings, me: Member, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let seq = rng.random();
         Self {
-            set,
+            settings,
             me,
             view: View::default(),
             rng,
@@ -65,35 +65,35 @@
             rumors: Rumors::default(),
             convictions: Convictions::default(),
             spread: Spread::default(),
-            watch: Watch::default(),
-            reader: Reader::default(),
+            version_poll: VersionPoll::default(),
+            reader: TableReader::default(),
             join: Join::default(),
             counters: Counters::default(),
-            leaving: BTreeSet::new(),
+            leaving_hosts: BTreeSet::new(),
             seq,
             gossip_at: Micros::MAX,
-            wake: Micros::MAX,
-            quit: false,
+            wake_at: Micros::MAX,
+            has_quit: false,
         }
     }
 
     /// Takes in what happened by `now` and adds what is to be done to `out`.
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        let start = self.wake == Micros::MAX;
-        let late = now.since(self.wake) > self.set.period;
+        let start = self.wake_at == Micros::MAX;
+        let late = now.since(self.wake_at) > self.settings.probe_period;
         self.now = self.now.max(now);
         match start {
             true => self.start(),
             false if late => self.resume(),
             false => {}
         }
-        if self.quit {
+        if self.has_quit {
             return;
         }
-        self.take(event, out);
-        if !self.quit {
+        self.handle(event, out);
+        if !self.has_quit {
             self.run_due(out);
-            self.sleep(out);
+            self.schedule_wake(out);
         }
     }
 
@@ -114,7 +114,7 @@
 
     /// Whether some member's whole list came in, or there was nobody to ask for one.
     pub fn has_joined(&self) -> bool {
-        !self.join.is_awaited()
+        !self.join.is_waiting_for_list()
     }
 
     /// A member by its id.
@@ -131,7 +131,7 @@
     pub fn is_host_leaving(&self, id: MemberId) -> bool {
         let e = self.view.key(id).and_then(|k| self.view.get(k));
         // One that has joined since the last list came is not marked yet.
-        e.is_some_and(|e| e.announced || self.leaving.contains(&e.member.host))
+        e.is_some_and(|e| e.host_leaving || self.leaving_hosts.contains(&e.member.host))
     }
 
     /// The configuration's version here; zero if there is none yet.
@@ -157,7 +157,7 @@
     /// What to answer to another member's pull.
     pub fn answer(&self, scope: PullScope) -> Answer {
         let all = scope == PullScope::All;
-        let epoch = self.set.epoch;
+        let epoch = self.settings.epoch;
         let members = std::iter::once(&self.me).chain(self.known_members());
         let wall = |c: Conviction| Conviction {
             until: c.until + epoch,
@@ -179,7 +179,7 @@
 
     /// Changes the keys, as when they are rotated.
     pub fn set_keys(&mut self, keys: Keyring) {
-        self.set.keys = keys;
+        self.settings.keys = keys;
     }
 
     /// Changes this process's words for its peers.
@@ -196,7 +196,7 @@
 
     /// How often an update is passed on.
     pub(crate) fn limit(&self) -> u32 {
-        (self.set.retransmit * log_size(self.size())).ceil() as u32
+        (self.settings.retransmit_mult * log_size(self.size())).ceil() as u32
     }
 
     /// Digest of the live members, this process included.
@@ -228,25 +228,31 @@
         p.version = row.version.0;
         p.digest = row.digest.to_wire();
         p.proven = self.spread.proven;
-        p.origin = self.spread.reports_to();
+        p.origin = self.spread.report_origin();
         p.view = self.view_hash();
-        let limit = match self.rumors.is_flood() {
+        let limit = match self.rumors.is_backlogged() {
             true => self.limit() / 2,
             false => self.limit(),
         };
         let room = BODY_MAX.saturating_sub(p.encoded_len());
-        self.convictions.fill(&mut p, room, limit, self.set.epoch);
+        self.convictions
+            .fill(&mut p, room, limit, self.settings.epoch);
         let mut body = p.encode_to_vec();
         self.rumors.fill(&mut body, limit);
-        self.spread.hot = self.spread.hot.saturating_sub(1);
-        let bytes = self.set.keys.seal(&body);
+        self.spread.announcements_left = self.spread.announcements_left.saturating_sub(1);
+        let bytes = self.settings.keys.seal(&body);
         self.counters.sent += 1;
         self.counters.sent_bytes += bytes.len() as u64;
         out.push(Action::Send { to, bytes });
     }
 
     /// Sends a datagram that asks for nothing.
-    pub(crate) fn tell(&mut self, k: MemberKey, updates: Vec<Update>, out: &mut Vec<Action>) {
+    pub(crate) fn send_gossip(
+        &mut self,
+        k: MemberKey,
+        updates: Vec<Update>,
+        out: &mut Vec<Action>,
+    ) {
         let Some(to) = self.view.member(k).map(|m| m.udp) else {
             return;
         };
@@ -255,12 +261,12 @@
         self.send(to, p, out);
     }
 
-    fn take(&mut self, event: Event, out: &mut Vec<Action>) {
+    fn handle(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
             Event::Datagram { from, bytes } => self.receive(from, bytes, out),
             Event::Seeds(seeds) => self.set_seeds(seeds),
-            Event::Hosts(hosts) => self.hint(hosts, out),
+            Event::Hosts(hosts) => self.apply_hosts(hosts, out),
             Event::Table(read) => self.table_read(read, out),
             Event::Pulled { from, answer } => self.pulled(from, answer, out),
             Event::PullFailed { from } => self.pull_failed(from),
@@ -268,8 +274,8 @@
             Event::Convicted(c) => {
                 self.convictions.add(self.now, c);
             }
-            Event::PollVersions => self.watch_now(),
-            Event::Leave => self.announce(MemberState::Leaving),
+            Event::PollVersions => self.poll_versions_now(),
+            Event::Leave => self.set_own_state(MemberState::Leaving),
             Event::Quit => self.quit(out),
         }
     }
@@ -283,7 +289,7 @@
 
     fn receive(&mut self, from: SocketAddr, bytes: Bytes, out: &mut Vec<Action>) {
         self.counters.received += 1;
-        match Packet::open(&self.set.keys, bytes) {
+        match Packet::open(&self.settings.keys, bytes) {
             Ok(p) if p.from == self.me.id.0 => {}
             Ok(p) => self.merge_packet(from, p, out),
             Err(PacketError::Seal(_)) => self.counters.bad_seal += 1,
@@ -296,7 +302,7 @@
         self.run_detect(out);
         self.run_join(out);
         self.run_spread(out);
-        self.run_watch(out);
+        self.run_version_poll(out);
         self.run_reads(out);
         if self.gossip_at <= self.now {
             self.gossip(out);
@@ -309,35 +315,37 @@
     /// Pings alone would spread a change in as many periods as the fleet's logarithm.
     fn gossip(&mut self, out: &mut Vec<Action>) {
         self.gossip_at = Micros::MAX;
-        for k in self.view.sample(self.set.fanout, &mut self.rng) {
-            self.tell(k, Vec::new(), out);
+        for k in self.view.sample(self.settings.fanout, &mut self.rng) {
+            self.send_gossip(k, Vec::new(), out);
         }
     }
 
     fn arm_gossip(&mut self) {
-        let news = !self.rumors.is_empty() || self.convictions.is_hot() || self.spread.hot > 0;
-        if news && self.view.live() > 0 && self.gossip_at == Micros::MAX {
-            let span = self.set.gossip_every;
+        let pending = !self.rumors.is_empty()
+            || self.convictions.has_pending()
+            || self.spread.announcements_left > 0;
+        if pending && self.view.live() > 0 && self.gossip_at == Micros::MAX {
+            let span = self.settings.gossip_interval;
             self.gossip_at = self.now + self.jitter(span);
         }
     }
 
     /// Asks for the next tick, if it isn't the one asked for last.
-    fn sleep(&mut self, out: &mut Vec<Action>) {
+    fn schedule_wake(&mut self, out: &mut Vec<Action>) {
         let due = [
             self.detect.due(),
             self.join.due(),
             self.spread.due(),
-            self.watch.due(),
+            self.version_poll.due(),
             self.reader.due(),
             self.gossip_at,
         ];
         let at = due.into_iter().min().unwrap_or(Micros::MAX);
         let at = at.max(self.now + Micros(1));
-        if at != self.wake {
+        if at != self.wake_at {
             out.push(Action::WakeAt(at));
         }
-        self.wake = at;
+        self.wake_at = at;
     }
 
     /// Takes up work after this process was paused.
@@ -350,21 +358,21 @@
         self.resume_detect();
     }
 
-    fn hint(&mut self, hosts: Vec<HostEntry>, out: &mut Vec<Action>) {
+    fn apply_hosts(&mut self, hosts: Vec<HostEntry>, out: &mut Vec<Action>) {
         let gone = hosts.into_iter().filter(|h| h.leaving);
-        self.leaving = gone.map(|h| h.name).collect();
-        let leaving = |m: &Member| self.leaving.contains(&m.host);
+        self.leaving_hosts = gone.map(|h| h.name).collect();
+        let leaving = |m: &Member| self.leaving_hosts.contains(&m.host);
         for (_, e) in self.view.iter_mut() {
-            let announced = e.member.state.is_live() && leaving(&e.member);
-            if announced != e.announced {
-                e.announced = announced;
+            let host_leaving = e.member.state.is_live() && leaving(&e.member);
+            if host_leaving != e.host_leaving {
+                e.host_leaving = host_leaving;
                 out.push(Action::Changed(e.member.clone()));
             }
         }
     }
 
     /// Says of itself that it stops.
-    fn announce(&mut self, state: MemberState) {
+    fn set_own_state(&mut self, state: MemberState) {
         if self.me.state >= state {
             return;
         }
@@ -376,10 +384,13 @@
     /// Tells some members of the departure, twice as many as a change, since it can't be asked
     /// again.
     fn quit(&mut self, out: &mut Vec<Action>) {
-        self.announce(MemberState::Left);
-        for k in self.view.sample(2 * self.set.burst, &mut self.rng) {
-            self.tell(k, Vec::new(), out);
+        self.set_own_state(MemberState::Left);
+        for k in self
+            .view
+            .sample(2 * self.settings.config_fanout, &mut self.rng)
+        {
+            self.send_gossip(k, Vec::new(), out);
         }
-        self.quit = true;
+        self.has_quit = true;
     }
 }
--- a/crates/fleet/src/force.rs
+++ b/crates/fleet/src/in_force.rs
@@ -11,14 +11,14 @@
 use crate::{Action, Fleet};
 
 /// Members asked in one round for the version they have.
-const ASK_MAX: usize = 64;
+const POLL_BATCH: usize = 64;
 /// Time that members have to report a change by themselves; 99 of 100 have it in that time at
 /// 1,180 members and 1% loss (examples/slopes).
 const REPORT_WAIT: Micros = Micros::from_millis(500);
 /// Time between two rounds of asking.
-const ASK_EVERY: Micros = Micros::from_millis(250);
+const POLL_INTERVAL: Micros = Micros::from_millis(250);
 /// How long to go on asking.
-const WATCH_MAX: Micros = Micros::from_secs(60);
+const POLL_DURATION: Micros = Micros::from_secs(60);
 
 /// A live member without the newest configuration, as far as is known here.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,12 +45,12 @@
 }
 
 /// When to ask members that haven't reported.
-pub(crate) struct Watch {
+pub(crate) struct VersionPoll {
     at: Micros,
     until: Micros,
 }
 
-impl Default for Watch {
+impl Default for VersionPoll {
     fn default() -> Self {
         Self {
             at: Micros::MAX,
@@ -59,7 +59,7 @@
     }
 }
 
-impl Watch {
+impl VersionPoll {
     pub(crate) fn due(&self) -> Micros {
         self.at
     }
@@ -88,36 +88,36 @@
 
     /// Gives members some time to report a change before they are asked.
     pub(crate) fn expect_reports(&mut self) {
-        self.watch.at = self.now + REPORT_WAIT;
-        self.watch.until = self.now + WATCH_MAX;
+        self.version_poll.at = self.now + REPORT_WAIT;
+        self.version_poll.until = self.now + POLL_DURATION;
     }
 
     /// Begins to ask members that haven't reported the configuration.
-    pub(crate) fn watch_now(&mut self) {
-        self.watch.at = self.now;
-        self.watch.until = self.now + WATCH_MAX;
+    pub(crate) fn poll_versions_now(&mut self) {
+        self.version_poll.at = self.now;
+        self.version_poll.until = self.now + POLL_DURATION;
     }
 
-    pub(crate) fn run_watch(&mut self, out: &mut Vec<Action>) {
-        if self.watch.at <= self.now {
-            self.ask_versions(out);
+    pub(crate) fn run_version_poll(&mut self, out: &mut Vec<Action>) {
+        if self.version_poll.at <= self.now {
+            self.poll_versions(out);
         }
     }
 
-    fn ask_versions(&mut self, out: &mut Vec<Action>) {
+    fn poll_versions(&mut self, out: &mut Vec<Action>) {
         let version = self.version();
         let live = self.view.iter().filter(|(_, e)| e.member.state.is_live());
         let behind: Vec<_> = live
             .filter(|(_, e)| e.version < version)
             .map(|(k, _)| k)
             .collect();
-        let over = behind.is_empty() || self.now > self.watch.until;
-        self.watch.at = match over {
+        let over = behind.is_empty() || self.now > self.version_poll.until;
+        self.version_poll.at = match over {
             true => Micros::MAX,
-            false => self.now + ASK_EVERY,
+            false => self.now + POLL_INTERVAL,
         };
         let some: Vec<_> = behind
-            .choose_multiple(&mut self.rng, ASK_MAX)
+            .choose_multiple(&mut self.rng, POLL_BATCH)
             .copied()
             .collect();
         for k in some {
--- a/crates/fleet/src/join.rs
+++ b/crates/fleet/src/join.rs
@@ -18,38 +18,38 @@
 use crate::{Action, Fleet, MemberState, PullScope};
 
 /// Seeds asked in one round.
-const ASKED: usize = 3;
+const SEEDS_PER_ROUND: usize = 3;
 /// Others that a seed describes in its answer; what doesn't fit is left out.
-const SHOWN: usize = 12;
+const MEMBERS_IN_ANSWER: usize = 12;
 /// Wait for more answers before one member is chosen for the pull.
 const PICK_WAIT: Micros = Micros::from_millis(100);
 /// Size up to which views are compared at the plain interval.
-const SMALL: f64 = 32.0;
+const SMALL_FLEET: f64 = 32.0;
 /// Wait before views are compared when something hints that they differ.
-const SOON: Micros = Micros::from_secs(6);
+const HINTED_SYNC_WAIT: Micros = Micros::from_secs(6);
 /// Wait before views are compared after a start.
-const FRESH: Micros = Micros::from_secs(2);
+const FIRST_SYNC_WAIT: Micros = Micros::from_secs(2);
 /// Answers in a row that differ, with no news on its way here, before views are compared at
 /// once. One that misses an update differs from all; all others differ from it alone.
-const STREAK: u32 = 3;
+const MISMATCHES_MAX: u32 = 3;
 /// Wait before that, so that many who missed it don't pull in step.
-const STREAK_WAIT: Micros = Micros::from_secs(1);
+const MISMATCH_SYNC_WAIT: Micros = Micros::from_secs(1);
 /// Shortest time between two pulls of a whole list, for each member in it; at some 100 bytes a
 /// member that bounds them to 20 KB/s.
-const SYNC_STEP: Micros = Micros::from_millis(5);
+const SYNC_INTERVAL_PER_MEMBER: Micros = Micros::from_millis(5);
 /// Tag and length in front of an update in a datagram.
-const FRAME: usize = 3;
+const UPDATE_OVERHEAD: usize = 3;
 
 /// State of joining and comparing.
 pub(crate) struct Join {
     seeds: Vec<SocketAddr>,
     join_at: Micros,
-    tries: u32,
+    attempts: u32,
     sync_at: Micros,
-    heal_at: Micros,
-    open: bool,
-    streak: u32,
-    last: Micros,
+    reconnect_at: Micros,
+    list_pending: bool,
+    mismatches: u32,
+    last_sync: Micros,
 }
 
 impl Default for Join {
@@ -57,47 +57,47 @@
         Self {
             seeds: Vec::new(),
             join_at: Micros::MAX,
-            tries: 0,
+            attempts: 0,
             sync_at: Micros::MAX,
-            heal_at: Micros::MAX,
-            open: true,
-            streak: 0,
-            last: Micros::ZERO,
+            reconnect_at: Micros::MAX,
+            list_pending: true,
+            mismatches: 0,
+            last_sync: Micros::ZERO,
         }
     }
 }
 
 impl Join {
     pub(crate) fn due(&self) -> Micros {
-        self.join_at.min(self.heal_at)
+        self.join_at.min(self.reconnect_at)
     }
 
     /// Whether a whole list will be asked for soon.
     pub(crate) fn is_trying(&self) -> bool {
-        self.open && self.join_at < Micros::MAX
+        self.list_pending && self.join_at < Micros::MAX
     }
 
     /// Whether the first whole list is still to come from seeds that were given.
-    pub(crate) fn is_awaited(&self) -> bool {
-        self.open && !self.seeds.is_empty()
+    pub(crate) fn is_waiting_for_list(&self) -> bool {
+        self.list_pending && !self.seeds.is_empty()
     }
 
     /// Whether the first whole list is still to come.
-    pub(crate) fn is_open(&self) -> bool {
-        self.open
+    pub(crate) fn is_list_pending(&self) -> bool {
+        self.list_pending
     }
 }
 
 impl Fleet {
     pub(crate) fn start_join(&mut self) {
-        self.join.heal_at = self.now + self.set.heal_every;
-        self.join.sync_at = self.now + FRESH;
+        self.join.reconnect_at = self.now + self.settings.reconnect_interval;
+        self.join.sync_at = self.now + FIRST_SYNC_WAIT;
     }
 
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         let me = self.me.udp;
         self.join.seeds = seeds.into_iter().filter(|&s| s != me).collect();
-        if self.join.open && !self.join.seeds.is_empty() {
+        if self.join.list_pending && !self.join.seeds.is_empty() {
             self.join.join_at = self.now;
             self.delay_reads();
         }
@@ -107,10 +107,10 @@
         if self.join.join_at <= self.now {
             self.try_join(out);
         }
-        if self.join.heal_at <= self.now {
-            let span = self.set.heal_every;
-            self.join.heal_at = self.now + self.jitter(span);
-            self.try_heal(out);
+        if self.join.reconnect_at <= self.now {
+            let span = self.settings.reconnect_interval;
+            self.join.reconnect_at = self.now + self.jitter(span);
+            self.reconnect(out);
             self.forget_gone();
         }
     }
@@ -124,10 +124,10 @@
 
     /// The first whole list came in.
     pub(crate) fn joined(&mut self) {
-        if self.join.open {
-            self.join.open = false;
+        if self.join.list_pending {
+            self.join.list_pending = false;
             self.join.join_at = Micros::MAX;
-            self.join.sync_at = self.now + self.jitter(FRESH);
+            self.join.sync_at = self.now + self.jitter(FIRST_SYNC_WAIT);
         }
     }
 
@@ -136,7 +136,7 @@
         let mut p = Packet::new(Kind::Ack, seq);
         p.updates.push(Update::full(&self.me));
         let mut room = BODY_MAX / 2;
-        for k in self.view.sample(SHOWN, &mut self.rng) {
+        for k in self.view.sample(MEMBERS_IN_ANSWER, &mut self.rng) {
             let Some(m) = self
                 .view
                 .member(k)
@@ -145,7 +145,7 @@
                 continue;
             };
             let u = Update::full(m);
-            let len = u.encoded_len() + FRAME;
+            let len = u.encoded_len() + UPDATE_OVERHEAD;
             if m.udp != to && len <= room {
                 room -= len;
                 p.updates.push(u);
@@ -155,78 +155,78 @@
     }
 
     /// Compares views on an answer, if it is time to.
-    pub(crate) fn compare(&mut self, k: MemberKey, theirs: u64, out: &mut Vec<Action>) {
-        if self.join.open {
+    pub(crate) fn compare_views(&mut self, k: MemberKey, theirs: u64, out: &mut Vec<Action>) {
+        if self.join.list_pending {
             let soon = self.now + self.within(PICK_WAIT);
             self.join.join_at = self.join.join_at.min(soon);
             return;
         }
         let differs = theirs != self.view_hash();
-        self.count_streak(differs);
+        self.count_mismatches(differs);
         if self.join.sync_at > self.now || !self.spread.is_idle(self.now) {
             return;
         }
-        let large = (self.size() as f64 / SMALL).log2().max(1.0);
-        let every = Micros((self.set.sync_every.0 as f64 * large) as u64);
+        let large = (self.size() as f64 / SMALL_FLEET).log2().max(1.0);
+        let every = Micros((self.settings.sync_interval.0 as f64 * large) as u64);
         self.join.sync_at = self.now + self.jitter(every);
         if let Some(id) = self.view.member(k).filter(|_| differs).map(|m| m.id) {
-            self.join.last = self.now;
-            self.join.streak = 0;
+            self.join.last_sync = self.now;
+            self.join.mismatches = 0;
             self.pull(id, PullScope::All, out);
         }
     }
 
     /// Compares views soon, as when a member came back from the dead.
     pub(crate) fn sync_soon(&mut self) {
-        let soon = self.now + self.jitter(SOON);
+        let soon = self.now + self.jitter(HINTED_SYNC_WAIT);
         self.join.sync_at = self.join.sync_at.min(soon);
     }
 
-    fn count_streak(&mut self, differs: bool) {
-        let quiet = self.rumors.is_empty() || self.rumors.is_flood();
-        self.join.streak = match differs && quiet {
-            true => self.join.streak + 1,
+    fn count_mismatches(&mut self, differs: bool) {
+        let quiet = self.rumors.is_empty() || self.rumors.is_backlogged();
+        self.join.mismatches = match differs && quiet {
+            true => self.join.mismatches + 1,
             false => 0,
         };
-        if self.join.streak >= STREAK {
-            self.join.streak = 0;
-            let soon = self.now + self.within(STREAK_WAIT);
-            let least = Micros(SYNC_STEP.0 * self.size() as u64);
-            let soon = soon.max(self.join.last + least);
+        if self.join.mismatches >= MISMATCHES_MAX {
+            self.join.mismatches = 0;
+            let soon = self.now + self.within(MISMATCH_SYNC_WAIT);
+            let least = Micros(SYNC_INTERVAL_PER_MEMBER.0 * self.size() as u64);
+            let soon = soon.max(self.join.last_sync + least);
             self.join.sync_at = self.join.sync_at.min(soon);
         }
     }
 
     fn try_join(&mut self, out: &mut Vec<Action>) {
         if !self.spread.is_idle(self.now) {
-            self.join.join_at = self.spread.free_at();
+            self.join.join_at = self.spread.next_pull_at();
             return;
         }
-        let wait = Micros(self.set.join_retry.0 << self.join.tries.min(8));
-        let wait = self.jitter(wait.min(self.set.heal_every));
+        let wait = Micros(self.settings.join_backoff.0 << self.join.attempts.min(8));
+        let wait = self.jitter(wait.min(self.settings.reconnect_interval));
         self.join.join_at = self.now + wait;
-        self.join.tries += 1;
+        self.join.attempts += 1;
         // The first choice is any, so that the pulls of many spread over the fleet.
         let known = self.view.sample(1, &mut self.rng).first().copied();
         let known = known.and_then(|k| self.view.member(k)).map(|m| m.id);
-        let ahead = self.ahead().filter(|_| self.spread.has_failed());
+        let ahead = self.newest_source().filter(|_| self.spread.has_failed());
         match ahead.map(|s| s.id).or(known) {
             Some(id) => self.pull(id, PullScope::All, out),
-            None => self.ask_seeds(ASKED, out),
+            None => self.contact_seeds(SEEDS_PER_ROUND, out),
         }
     }
 
-    fn ask_seeds(&mut self, n: usize, out: &mut Vec<Action>) {
+    fn contact_seeds(&mut self, n: usize, out: &mut Vec<Action>) {
         let view = &self.view;
-        let live = |s: &SocketAddr| view.at(*s).is_some_and(|k| view.is_live(k));
-        let strange: Vec<_> = self
+        let live = |s: &SocketAddr| view.key_at(*s).is_some_and(|k| view.is_live(k));
+        let unknown: Vec<_> = self
             .join
             .seeds
             .iter()
             .filter(|s| !live(s))
             .copied()
             .collect();
-        let some: Vec<_> = strange.choose_multiple(&mut self.rng, n).copied().collect();
+        let some: Vec<_> = unknown.choose_multiple(&mut self.rng, n).copied().collect();
         for to in some {
             let mut p = Packet::new(Kind::Join, self.next_seq());
             p.updates.push(Update::full(&self.me));
@@ -234,14 +234,14 @@
         }
     }
 
-    fn try_heal(&mut self, out: &mut Vec<Action>) {
-        self.ask_seeds(1, out);
+    fn reconnect(&mut self, out: &mut Vec<Action>) {
+        self.contact_seeds(1, out);
         let dead = self.view.iter();
         let dead = dead.filter(|(_, e)| e.member.state == MemberState::Dead);
         let dead: Vec<_> = dead.map(|(k, _)| k).collect();
         if let Some(&k) = dead.choose(&mut self.rng) {
-            let accusation = self.accusation(k);
-            self.ping(k, accusation, out);
+            let refutable_update = self.refutable_update(k);
+            self.ping(k, refutable_update, out);
         }
     }
 }
--- a/crates/fleet/src/merge.rs
+++ b/crates/fleet/src/merge.rs
@@ -16,30 +16,30 @@
 use crate::{Action, Conviction, Fleet, Member, MemberState};
 
 /// Most reports of one pulled list that are passed on; the rest is left to others' pulls.
-const PASS_MAX: usize = 64;
+const LIST_GOSSIP_MAX: usize = 64;
 /// Most members of one pulled list that are told they are taken for dead.
-const WARN_MAX: usize = 16;
+const LIST_PINGS_MAX: usize = 16;
 
 impl Fleet {
     /// Takes a good datagram in: what it reports, then what it asks for.
     pub(crate) fn merge_packet(&mut self, from: SocketAddr, p: Packet, out: &mut Vec<Action>) {
         let limit = self.limit();
         for u in &p.updates {
-            self.rumors.heard(u, limit);
+            self.rumors.count_received(u, limit);
             match self.claim(u) {
-                Ok(c) => self.learn(c, true, out),
+                Ok(c) => self.apply_claim(c, true, out),
                 Err(_) => self.counters.bad_packet += 1,
             }
         }
         if let Ok(own) = self.claim(&p.header()) {
-            self.learn(own, true, out);
+            self.apply_claim(own, true, out);
         }
         for m in &p.marks {
             self.convict(m.read(), out);
         }
         let sender = self.view.key(MemberId(p.from));
         if let Some(k) = sender {
-            self.hear_config(k, &p, out);
+            self.compare_config(k, &p, out);
         }
         if p.ask {
             self.describe_self(from, out);
@@ -65,19 +65,19 @@
     }
 
     /// Weighs one report; `pass` hands it on if it is news.
-    pub(crate) fn learn(&mut self, c: Claim, pass: bool, out: &mut Vec<Action>) {
+    pub(crate) fn apply_claim(&mut self, c: Claim, gossip: bool, out: &mut Vec<Action>) {
         let udp = c.detail.as_ref().map(|m| m.udp);
         match self.view.key(c.id) {
             _ if c.id == self.me.id => self.refute(&c),
             _ if udp == Some(self.me.udp) => self.supersede_older(&c),
-            Some(k) => self.amend(k, c, pass, out),
-            None => self.admit(c, pass, out),
+            Some(k) => self.merge_claim(k, c, gossip, out),
+            None => self.add_member(c, gossip, out),
         }
     }
 
     /// Passes on and reports a conviction if it is news here; its expiry is on the wall clock.
     pub(crate) fn convict(&mut self, c: Conviction, out: &mut Vec<Action>) {
-        let until = c.until - self.set.epoch;
+        let until = c.until - self.settings.epoch;
         let c = Conviction { until, ..c };
         if self.convictions.add(self.now, c) {
             out.push(Action::Convict(c));
@@ -85,7 +85,7 @@
     }
 
     /// What is held against a member that may not know it.
-    pub(crate) fn accusation(&self, k: MemberKey) -> Option<Update> {
+    pub(crate) fn refutable_update(&self, k: MemberKey) -> Option<Update> {
         let m = self.view.member(k)?;
         match m.state {
             MemberState::Alive | MemberState::Leaving => None,
@@ -120,7 +120,7 @@
     }
 
     /// Takes in a member that wasn't known.
-    fn admit(&mut self, c: Claim, pass: bool, out: &mut Vec<Action>) {
+    fn add_member(&mut self, c: Claim, gossip: bool, out: &mut Vec<Action>) {
         let Some(detail) = c.detail else {
             return;
         };
@@ -137,7 +137,7 @@
         if suspect {
             self.start_suspicion(k, c.by);
         }
-        if live && pass {
+        if live && gossip {
             self.rumors.push(Update::full(&m));
         }
         if live {
@@ -147,7 +147,7 @@
 
     /// Makes room for a member at its address; false if a later life has it.
     fn free_address(&mut self, m: &Member, out: &mut Vec<Action>) -> bool {
-        let Some(k) = self.view.at(m.udp) else {
+        let Some(k) = self.view.key_at(m.udp) else {
             return true;
         };
         let old = self.view.member(k);
@@ -170,36 +170,36 @@
             by: self.me.id,
             detail: None,
         };
-        self.view.amend(k, &c, self.now, &mut self.rng);
+        self.view.update(k, &c, self.now, &mut self.rng);
         if m.state.is_live() {
             out.push(Action::Gone(m.id));
         }
     }
 
     /// Weighs a report about a known member.
-    fn amend(&mut self, k: MemberKey, c: Claim, pass: bool, out: &mut Vec<Action>) {
+    fn merge_claim(&mut self, k: MemberKey, c: Claim, gossip: bool, out: &mut Vec<Action>) {
         let Some(known) = self.view.member(k).map(Member::rank) else {
             return;
         };
         match c.rank().cmp(&known) {
             Ordering::Less => self.counters.stale += 1,
             Ordering::Equal => self.confirm(k, &c),
-            Ordering::Greater => self.replace(k, c, pass, out),
+            Ordering::Greater => self.overwrite(k, c, gossip, out),
         }
     }
 
-    fn replace(&mut self, k: MemberKey, c: Claim, pass: bool, out: &mut Vec<Action>) {
+    fn overwrite(&mut self, k: MemberKey, c: Claim, gossip: bool, out: &mut Vec<Action>) {
         let Some(old) = self.view.member(k).cloned() else {
             return;
         };
-        self.view.amend(k, &c, self.now, &mut self.rng);
+        self.view.update(k, &c, self.now, &mut self.rng);
         if c.state == MemberState::Suspect {
             self.start_suspicion(k, c.by);
         }
         let Some(m) = self.view.member(k).cloned() else {
             return;
         };
-        if pass {
+        if gossip {
             self.rumors.push(match c.detail {
                 Some(_) => Update::full(&m),
                 None => Update::brief(&m, c.by),
@@ -211,18 +211,21 @@
                 self.sync_soon();
                 out.push(Action::Joined(m));
             }
-            (true, true) if differs(&old, &m) => out.push(Action::Changed(m)),
+            (true, true) if is_visible_change(&old, &m) => out.push(Action::Changed(m)),
             _ => {}
         }
     }
 
     /// Counts one more accuser of a suspected member.
     fn confirm(&mut self, k: MemberKey, c: &Claim) {
-        let set = &self.set;
+        let settings = &self.settings;
         let Some(e) = self.view.get_mut(k) else {
             return;
         };
-        let news = e.suspicion.as_mut().is_some_and(|s| s.confirm(c.by, set));
+        let news = e
+            .suspicion
+            .as_mut()
+            .is_some_and(|s| s.confirm(c.by, settings));
         if news {
             let update = Update::brief(&e.member, c.by);
             self.rumors.push(update);
@@ -233,7 +236,7 @@
     /// Starts the time in which a suspicion can be refuted.
     fn start_suspicion(&mut self, k: MemberKey, by: MemberId) {
         if let Some(e) = self.view.get_mut(k) {
-            e.suspicion = Some(Suspicion::new(self.now, by, e.announced));
+            e.suspicion = Some(Suspicion::new(self.now, by, e.host_leaving));
             self.arm_suspicion(k);
         }
     }
@@ -251,37 +254,37 @@
         joining: bool,
         out: &mut Vec<Action>,
     ) {
-        let mut presumed = Vec::new();
-        let mut passed = 0;
+        let mut dead_here = Vec::new();
+        let mut gossiped = 0;
         for m in list {
             let known = self.view.key(m.id);
             let here = known.and_then(|k| self.view.member(k)).cloned();
-            let c = listed(m, from);
+            let c = claim_from_list(m, from);
             match (known, here) {
                 (Some(k), Some(h)) if c.state == MemberState::Dead && h.state.is_live() => {
                     if c.rank() > h.rank() {
-                        self.view.probe_soon(k, c);
+                        self.view.queue_probe(k, c);
                     }
                 }
                 (Some(k), Some(h)) if c.state.is_live() && c.rank() < h.rank() => {
                     if h.state == MemberState::Dead {
-                        presumed.push(k);
+                        dead_here.push(k);
                     }
                 }
                 (_, here) => {
                     let news = here.is_none_or(|h| c.rank() > h.rank());
-                    passed += usize::from(news);
-                    self.learn(c, !joining && passed <= PASS_MAX, out);
+                    gossiped += usize::from(news);
+                    self.apply_claim(c, !joining && gossiped <= LIST_GOSSIP_MAX, out);
                 }
             }
         }
-        let some: Vec<_> = presumed
-            .choose_multiple(&mut self.rng, WARN_MAX)
+        let some: Vec<_> = dead_here
+            .choose_multiple(&mut self.rng, LIST_PINGS_MAX)
             .copied()
             .collect();
         for k in some {
-            let accusation = self.accusation(k);
-            self.ping(k, accusation, out);
+            let refutable_update = self.refutable_update(k);
+            self.ping(k, refutable_update, out);
         }
     }
 
@@ -294,19 +297,28 @@
         out: &mut Vec<Action>,
     ) {
         match Kind::try_from(p.kind) {
-            Ok(Kind::Ping) => self.ack(from, sender, p.seq, out),
+            Ok(Kind::Ping) => self.send_ack(from, sender, p.seq, out),
             Ok(Kind::Join) => self.answer_join(from, p.seq, out),
-            Ok(Kind::PingReq) => self.relay(from, p, out),
-            Ok(Kind::Ack) => self.acked(sender, p, out),
-            Ok(Kind::Nack) => self.nacked(p.seq),
+            Ok(Kind::PingReq) => self.probe_for(from, p, out),
+            Ok(Kind::Ack) => self.handle_ack(sender, p, out),
+            Ok(Kind::Nack) => self.handle_nack(p.seq),
             _ => {}
         }
     }
 
-    fn ack(&mut self, from: SocketAddr, k: Option<MemberKey>, seq: u32, out: &mut Vec<Action>) {
+    fn send_ack(
+        &mut self,
+        from: SocketAddr,
+        k: Option<MemberKey>,
+        seq: u32,
+        out: &mut Vec<Action>,
+    ) {
         let mut p = Packet::new(Kind::Ack, seq);
         p.ask = k.is_none();
-        p.updates = k.and_then(|k| self.accusation(k)).into_iter().collect();
+        p.updates = k
+            .and_then(|k| self.refutable_update(k))
+            .into_iter()
+            .collect();
         self.send(from, p, out);
     }
 
@@ -319,7 +331,7 @@
 
     /// Forgets members that went long ago.
     pub(crate) fn forget_gone(&mut self) {
-        let before = self.now - self.set.forget_after;
+        let before = self.now - self.settings.tombstone_ttl;
         if before > Micros::ZERO {
             self.view.forget(before);
         }
@@ -327,14 +339,14 @@
 }
 
 /// Whether a driver would act on the difference; a refutation alone isn't worth a word.
-fn differs(old: &Member, new: &Member) -> bool {
+fn is_visible_change(old: &Member, new: &Member) -> bool {
     let mut same = new.clone();
     same.incarnation = old.incarnation;
     same != *old
 }
 
 /// A report from a pulled list.
-pub(crate) fn listed(m: Member, by: MemberId) -> Claim {
+pub(crate) fn claim_from_list(m: Member, by: MemberId) -> Claim {
     Claim {
         id: m.id,
         incarnation: m.incarnation,
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -220,11 +220,11 @@
         }
         let p = Self::decode(keys.open(bytes)?)?;
         Kind::try_from(p.kind).map_err(|_| PacketError::Number(p.kind))?;
-        state(p.state)?;
+        member_state_from_wire(p.state)?;
         Digest::from_wire(&p.digest)?;
         p.updates
             .iter()
-            .try_for_each(|u| state(u.state).map(drop))?;
+            .try_for_each(|u| member_state_from_wire(u.state).map(drop))?;
         Ok(p)
     }
 
@@ -272,13 +272,13 @@
     }
 
     /// Whether both say the same of the same life.
-    pub(crate) fn same(&self, o: &Self) -> bool {
+    pub(crate) fn same_claim(&self, o: &Self) -> bool {
         (self.id, self.incarnation, self.state) == (o.id, o.incarnation, o.state)
     }
 
     /// What is reported.
     pub(crate) fn member_state(&self) -> MemberState {
-        state(self.state).unwrap_or(MemberState::Suspect)
+        member_state_from_wire(self.state).unwrap_or(MemberState::Suspect)
     }
 
     /// The member it describes, if it does.
@@ -302,7 +302,7 @@
             pool: d.pool,
             tags: d.tags,
             incarnation: Incarnation(self.incarnation),
-            state: state(self.state)?,
+            state: member_state_from_wire(self.state)?,
         })
     }
 }
@@ -358,7 +358,7 @@
     Ok(SocketAddr::new(ip, r.get_u16()))
 }
 
-fn state(n: i32) -> Result<MemberState, PacketError> {
+fn member_state_from_wire(n: i32) -> Result<MemberState, PacketError> {
     match State::try_from(n) {
         Ok(State::Alive) => Ok(MemberState::Alive),
         Ok(State::Leaving) => Ok(MemberState::Leaving),
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/spread.rs
@@ -20,9 +20,9 @@
 const SOURCES_MAX: usize = 4;
 /// A process that joins doubles its wait only at each so many failures. It has the whole fleet to
 /// ask, and in a herd of restarts two in five of the members that it heard of are gone.
-const JOIN_PATIENCE: u32 = 4;
+const JOIN_FAILURES_PER_DOUBLING: u32 = 4;
 /// Failed pulls in a row after which the table is asked instead.
-const TABLE_AFTER: u32 = 4;
+const FAILURES_BEFORE_TABLE: u32 = 4;
 
 /// A member that is ahead.
 #[derive(Clone, Copy)]
@@ -36,7 +36,7 @@
 
 struct Pull {
     from: MemberId,
-    until: Micros,
+    deadline: Micros,
     source: Option<Source>,
 }
 
@@ -46,13 +46,13 @@
     /// The table is known to hold this digest for this version.
     pub(crate) proven: bool,
     /// Datagrams in which the change is still told.
-    pub(crate) hot: u32,
+    pub(crate) announcements_left: u32,
     /// Another text of the same version is about.
     pub(crate) contested: bool,
     origin: MemberId,
     sources: Vec<Source>,
     pull: Option<Pull>,
-    fails: u32,
+    failures: u32,
     retry_at: Micros,
 }
 
@@ -65,12 +65,12 @@
                 text: Bytes::new(),
             },
             proven: false,
-            hot: 0,
+            announcements_left: 0,
             contested: false,
             origin: MemberId(0),
             sources: Vec::new(),
             pull: None,
-            fails: 0,
+            failures: 0,
             retry_at: Micros::ZERO,
         }
     }
@@ -79,20 +79,20 @@
 impl Spread {
     pub(crate) fn due(&self) -> Micros {
         match &self.pull {
-            Some(p) => p.until,
+            Some(p) => p.deadline,
             None if self.sources.is_empty() => Micros::MAX,
             None => self.retry_at,
         }
     }
 
     /// When the next pull may start at the latest.
-    pub(crate) fn free_at(&self) -> Micros {
-        self.pull.as_ref().map_or(self.retry_at, |p| p.until)
+    pub(crate) fn next_pull_at(&self) -> Micros {
+        self.pull.as_ref().map_or(self.retry_at, |p| p.deadline)
     }
 
     /// Whom to tell that the change is in force; nobody once it is old.
-    pub(crate) fn reports_to(&self) -> u64 {
-        match self.hot {
+    pub(crate) fn report_origin(&self) -> u64 {
+        match self.announcements_left {
             0 => 0,
             _ => self.origin.0,
         }
@@ -100,7 +100,7 @@
 
     /// Whether the last pull failed.
     pub(crate) fn has_failed(&self) -> bool {
-        self.fails > 0
+        self.failures > 0
     }
 
     pub(crate) fn is_idle(&self, now: Micros) -> bool {
@@ -108,11 +108,11 @@
     }
 
     /// Asks a member again only if nobody else is ahead.
-    fn put_last(&mut self, from: MemberId) {
+    fn deprioritize(&mut self, from: MemberId) {
         self.sources.sort_by_key(|s| s.id != from);
     }
 
-    fn note(&mut self, s: Source) {
+    fn add_source(&mut self, s: Source) {
         self.sources.retain(|o| o.id != s.id);
         if self.sources.len() >= SOURCES_MAX {
             self.sources.remove(0);
@@ -123,7 +123,7 @@
 
 impl Fleet {
     pub(crate) fn run_spread(&mut self, out: &mut Vec<Action>) {
-        if let Some(p) = self.spread.pull.as_ref().filter(|p| p.until <= self.now) {
+        if let Some(p) = self.spread.pull.as_ref().filter(|p| p.deadline <= self.now) {
             let from = p.from;
             self.pull_failed(from);
         }
@@ -134,13 +134,13 @@
     }
 
     /// Compares a sender's configuration with the one here.
-    pub(crate) fn hear_config(&mut self, k: MemberKey, p: &Packet, out: &mut Vec<Action>) {
+    pub(crate) fn compare_config(&mut self, k: MemberKey, p: &Packet, out: &mut Vec<Action>) {
         let digest = Digest::from_wire(&p.digest).unwrap_or_default();
         let version = Version(p.version);
         let Some(e) = self.view.get_mut(k) else {
             return;
         };
-        e.report(Incarnation(p.incarnation), version);
+        e.record_version(Incarnation(p.incarnation), version);
         let s = Source {
             id: MemberId(p.from),
             version,
@@ -150,10 +150,10 @@
         };
         let (mine, own) = (self.spread.row.version, self.spread.row.digest);
         match version.cmp(&mine) {
-            Ordering::Greater => self.spread.note(s),
+            Ordering::Greater => self.spread.add_source(s),
             Ordering::Less => {}
-            _ if digest == own => self.agree(p, out),
-            _ => self.conflict(s),
+            _ if digest == own => self.on_same_text(p, out),
+            _ => self.on_conflicting_text(s),
         }
     }
 
@@ -164,7 +164,7 @@
         self.spread.proven = proven;
         self.spread.contested = false;
         self.spread.origin = MemberId(0);
-        self.spread.fails = 0;
+        self.spread.failures = 0;
         self.spread.sources.retain(|s| s.version > version);
         out.push(Action::Adopt(row));
     }
@@ -172,11 +172,11 @@
     /// Tells a few members at once, and whoever waits for the change that it is here.
     pub(crate) fn announce_config(&mut self, origin: MemberId, out: &mut Vec<Action>) {
         self.spread.origin = origin;
-        self.spread.hot = self.limit();
-        for k in self.view.sample(self.set.burst, &mut self.rng) {
-            self.tell(k, Vec::new(), out);
+        self.spread.announcements_left = self.limit();
+        for k in self.view.sample(self.settings.config_fanout, &mut self.rng) {
+            self.send_gossip(k, Vec::new(), out);
         }
-        self.report(out);
+        self.send_report(out);
     }
 
     /// Takes what a sender knows more about the configuration that both have.
@@ -184,19 +184,19 @@
     /// A reader of the table may find a change as soon as its writer, and what it spreads names
     /// no writer. Unless such members report when they hear of the writer, hundreds have to be
     /// asked, and one would notice an `apply` that takes seconds longer now and then.
-    fn agree(&mut self, p: &Packet, out: &mut Vec<Action>) {
+    fn on_same_text(&mut self, p: &Packet, out: &mut Vec<Action>) {
         if p.proven {
-            self.settle();
+            self.mark_proven();
         }
         let known = self.spread.origin != MemberId(0);
         if p.origin != 0 && p.origin != self.me.id.0 && !known {
             self.spread.origin = MemberId(p.origin);
-            self.report(out);
+            self.send_report(out);
         }
     }
 
     /// Tells whoever waits for the change that it is in force here.
-    fn report(&mut self, out: &mut Vec<Action>) {
+    fn send_report(&mut self, out: &mut Vec<Action>) {
         let origin = self.view.key(self.spread.origin);
         let to = origin.and_then(|k| self.view.member(k)).map(|m| m.udp);
         if let Some(to) = to {
@@ -211,7 +211,7 @@
         match row.version.cmp(&mine.version) {
             Ordering::Less => return,
             // A reader of the table was faster than the table's answer.
-            Ordering::Equal if row.digest == mine.digest => self.settle(),
+            Ordering::Equal if row.digest == mine.digest => self.mark_proven(),
             _ => self.adopt(row, true, out),
         }
         self.announce_config(self.me.id, out);
@@ -227,7 +227,7 @@
         let source = self.spread.sources.iter().find(|s| s.id == from).copied();
         self.spread.pull = Some(Pull {
             from,
-            until: self.now + self.pull_wait(scope),
+            deadline: self.now + self.pull_timeout(scope),
             source,
         });
         self.counters.pulls += 1;
@@ -242,14 +242,17 @@
             self.spread.pull = None;
             return self.back_off();
         }
-        let joining = self.join.is_open();
+        let joining = self.join.is_list_pending();
         let whole = !answer.members.is_empty();
         // A later life at the same address knows nothing yet and would look like an empty fleet.
         let other = whole && answer.members.iter().all(|m| m.id != from);
         let behind = source.is_some_and(|s| answer.version < s.version);
         // So does one that joins itself, as when all entries restart together. Were its list taken
         // for whole, this process would serve only once it is found or reads the table.
-        let fresh = joining && self.ahead().is_some_and(|s| answer.version < s.version);
+        let fresh = joining
+            && self
+                .newest_source()
+                .is_some_and(|s| answer.version < s.version);
         if other || behind || fresh {
             self.counters.pull_failures += 1;
             return self.back_off();
@@ -263,56 +266,56 @@
             digest: answer.digest,
             text: answer.text,
         };
-        self.take_row(row, source, joining, out);
+        self.adopt_if_newer(row, source, joining, out);
         if whole {
             self.joined();
         }
     }
 
     /// The live member that is known to be the furthest ahead, while pulls from others may fail.
-    pub(crate) fn ahead(&self) -> Option<Source> {
+    pub(crate) fn newest_source(&self) -> Option<Source> {
         let live = |s: &&Source| self.view.key(s.id).is_some_and(|k| self.view.is_live(k));
         let sources = self.spread.sources.iter().filter(live);
         let top = sources.max_by_key(|s| s.version).copied();
-        top.filter(|_| self.spread.fails < TABLE_AFTER)
+        top.filter(|_| self.spread.failures < FAILURES_BEFORE_TABLE)
     }
 
     /// A pull came to nothing: another member is asked, later and later.
     pub(crate) fn pull_failed(&mut self, from: MemberId) {
         if self.spread.pull.take_if(|p| p.from == from).is_some() {
             self.counters.pull_failures += 1;
-            self.spread.put_last(from);
+            self.spread.deprioritize(from);
             self.back_off();
         }
     }
 
     /// A text comes from the next member sooner than a lost connection is noticed.
-    fn pull_wait(&self, scope: PullScope) -> Micros {
-        let text = Micros(self.set.text_wait.0 << self.spread.fails.min(8));
+    fn pull_timeout(&self, scope: PullScope) -> Micros {
+        let text = Micros(self.settings.config_pull_timeout.0 << self.spread.failures.min(8));
         match scope {
-            PullScope::All if self.join.is_open() => self.set.join_wait,
-            PullScope::All => self.set.pull_wait,
-            PullScope::Config => text.min(self.set.pull_wait),
+            PullScope::All if self.join.is_list_pending() => self.settings.join_pull_timeout,
+            PullScope::All => self.settings.pull_timeout,
+            PullScope::Config => text.min(self.settings.pull_timeout),
         }
     }
 
     fn back_off(&mut self) {
-        self.spread.fails += 1;
+        self.spread.failures += 1;
         let doubled = match self.join.is_trying() {
-            true => self.spread.fails / JOIN_PATIENCE,
-            false => self.spread.fails,
+            true => self.spread.failures / JOIN_FAILURES_PER_DOUBLING,
+            false => self.spread.failures,
         };
-        let wait = self.set.pull_retry.0 << doubled.min(16);
-        let wait = self.jitter(Micros(wait).min(self.set.pull_max));
+        let wait = self.settings.pull_backoff.0 << doubled.min(16);
+        let wait = self.jitter(Micros(wait).min(self.settings.pull_backoff_max));
         self.spread.retry_at = self.now + wait;
         self.retry_join(wait);
-        if self.spread.fails >= TABLE_AFTER {
+        if self.spread.failures >= FAILURES_BEFORE_TABLE {
             self.read_soon(wait);
         }
     }
 
     /// Adopts a pulled text if it is newer, or if it is the table's choice of two.
-    fn take_row(
+    fn adopt_if_newer(
         &mut self,
         row: TableRow,
         source: Option<Source>,
@@ -354,12 +357,12 @@
 
     /// Two texts of one version: the one that is known to be the table's is taken; if neither
     /// is, the table is asked.
-    fn conflict(&mut self, s: Source) {
+    fn on_conflicting_text(&mut self, s: Source) {
         self.counters.version_conflicts += 1;
         match (s.proven, self.spread.proven) {
-            (true, false) => self.spread.note(s),
+            (true, false) => self.spread.add_source(s),
             (false, true) => {}
-            _ => self.contest(),
+            _ => self.resolve_by_table(),
         }
     }
 }
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -13,27 +13,27 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
     since: Micros,
-    accusers: Vec<MemberId>,
+    reporters: Vec<MemberId>,
     /// The platform says as well that the host goes; no confirmation is awaited.
-    sure: bool,
+    host_leaving: bool,
 }
 
 impl Suspicion {
-    pub(crate) fn new(since: Micros, by: MemberId, sure: bool) -> Self {
+    pub(crate) fn new(since: Micros, by: MemberId, host_leaving: bool) -> Self {
         Self {
             since,
-            sure,
-            accusers: vec![by],
+            host_leaving,
+            reporters: vec![by],
         }
     }
 
     /// Notes an accuser; true if it is a new one that still shortens the wait.
-    pub(crate) fn confirm(&mut self, by: MemberId, set: &Settings) -> bool {
-        let full = self.accusers.len() > set.confirmations as usize;
-        match full || self.accusers.contains(&by) {
+    pub(crate) fn confirm(&mut self, by: MemberId, settings: &Settings) -> bool {
+        let full = self.reporters.len() > settings.confirmations as usize;
+        match full || self.reporters.contains(&by) {
             true => false,
             false => {
-                self.accusers.push(by);
+                self.reporters.push(by);
                 true
             }
         }
@@ -45,21 +45,21 @@
     }
 
     /// When the member counts as dead.
-    pub(crate) fn deadline(&self, set: &Settings, live: usize) -> Micros {
-        let min = shortest(set, live);
-        let max = min * set.suspicion_max;
-        let confirmed = (self.accusers.len() - 1) as f64;
-        let wanted = f64::from(set.confirmations);
-        let share = match wanted > 0.0 && !self.sure {
-            true => (confirmed + 1.0).ln() / (wanted + 1.0).ln(),
+    pub(crate) fn deadline(&self, settings: &Settings, live: usize) -> Micros {
+        let min = min_timeout(settings, live);
+        let max = min * settings.suspicion_max_mult;
+        let confirmed = (self.reporters.len() - 1) as f64;
+        let needed = f64::from(settings.confirmations);
+        let share = match needed > 0.0 && !self.host_leaving {
+            true => (confirmed + 1.0).ln() / (needed + 1.0).ln(),
             false => 1.0,
         };
         self.since + Micros((max - (max - min) * share).max(min) as u64)
     }
 }
 
-fn shortest(set: &Settings, live: usize) -> f64 {
-    set.suspicion * log_size(live) * set.period.0 as f64
+fn min_timeout(settings: &Settings, live: usize) -> f64 {
+    settings.suspicion_mult * log_size(live) * settings.probe_period.0 as f64
 }
 
 /// The decimal logarithm of the fleet's size, at least one.
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -17,7 +17,7 @@
 }
 
 /// Bound on members that wait for a ping out of turn.
-const URGENT_MAX: usize = 64;
+const PRIORITY_PROBES_MAX: usize = 64;
 /// Bound on dead and departed members, beyond four for each live one.
 const GONE_MAX: usize = 1_024;
 
@@ -39,26 +39,26 @@
 
 /// A member with what only this process notes about it.
 #[derive(Debug)]
-pub(crate) struct Entry {
+pub(crate) struct MemberRecord {
     pub(crate) member: Member,
     /// The configuration it last reported; zero if none.
     pub(crate) version: Version,
     /// The incarnation that reported it.
-    life: Incarnation,
+    version_incarnation: Incarnation,
     pub(crate) suspicion: Option<Suspicion>,
     /// Since when it is gone.
-    pub(crate) gone: Micros,
+    pub(crate) gone_since: Micros,
     /// The platform has announced that its host goes.
-    pub(crate) announced: bool,
+    pub(crate) host_leaving: bool,
 }
 
-impl Entry {
+impl MemberRecord {
     /// Notes the version that a life of the member reports; a later life starts anew.
-    pub(crate) fn report(&mut self, life: Incarnation, version: Version) {
-        match life.cmp(&self.life) {
+    pub(crate) fn record_version(&mut self, incarnation: Incarnation, version: Version) {
+        match incarnation.cmp(&self.version_incarnation) {
             Ordering::Less => {}
             Ordering::Equal => self.version = self.version.max(version),
-            Ordering::Greater => (self.life, self.version) = (life, version),
+            Ordering::Greater => (self.version_incarnation, self.version) = (incarnation, version),
         }
     }
 }
@@ -66,15 +66,15 @@
 /// The members in an arena, with indices and the order of pings.
 #[derive(Debug, Default)]
 pub(crate) struct View {
-    arena: SlotMap<MemberKey, Entry>,
+    arena: SlotMap<MemberKey, MemberRecord>,
     ids: HashMap<MemberId, MemberKey>,
     addrs: HashMap<SocketAddr, MemberKey>,
-    order: Vec<MemberKey>,
+    probe_order: Vec<MemberKey>,
     cursor: usize,
     live: usize,
     hash: u64,
     /// Members to ping before their turn, each with what is claimed of it.
-    pub(crate) urgent: VecDeque<(MemberKey, Claim)>,
+    pub(crate) priority_probes: VecDeque<(MemberKey, Claim)>,
 }
 
 impl View {
@@ -82,15 +82,15 @@
         self.ids.get(&id).copied()
     }
 
-    pub(crate) fn at(&self, addr: SocketAddr) -> Option<MemberKey> {
+    pub(crate) fn key_at(&self, addr: SocketAddr) -> Option<MemberKey> {
         self.addrs.get(&addr).copied()
     }
 
-    pub(crate) fn get(&self, k: MemberKey) -> Option<&Entry> {
+    pub(crate) fn get(&self, k: MemberKey) -> Option<&MemberRecord> {
         self.arena.get(k)
     }
 
-    pub(crate) fn get_mut(&mut self, k: MemberKey) -> Option<&mut Entry> {
+    pub(crate) fn get_mut(&mut self, k: MemberKey) -> Option<&mut MemberRecord> {
         self.arena.get_mut(k)
     }
 
@@ -102,11 +102,11 @@
         self.member(k).is_some_and(|m| m.state.is_live())
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (MemberKey, &Entry)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (MemberKey, &MemberRecord)> {
         self.arena.iter()
     }
 
-    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (MemberKey, &mut Entry)> {
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (MemberKey, &mut MemberRecord)> {
         self.arena.iter_mut()
     }
 
@@ -132,25 +132,25 @@
             return None;
         }
         let (id, udp) = (m.id, m.udp);
-        self.count(m.id, m.rank(), true);
-        let k = self.arena.insert(Entry {
+        self.update_totals(m.id, m.rank(), true);
+        let k = self.arena.insert(MemberRecord {
             member: m,
             version: Version(0),
-            life: Incarnation(0),
+            version_incarnation: Incarnation(0),
             suspicion: None,
-            gone: now,
-            announced: false,
+            gone_since: now,
+            host_leaving: false,
         });
         self.ids.insert(id, k);
         self.addrs.insert(udp, k);
         if live {
-            self.enlist(k, rng);
+            self.add_to_probe_order(k, rng);
         }
         Some(k)
     }
 
     /// Overwrites incarnation, state and, if given, description.
-    pub(crate) fn amend(&mut self, k: MemberKey, c: &Claim, now: Micros, rng: &mut impl Rng) {
+    pub(crate) fn update(&mut self, k: MemberKey, c: &Claim, now: Micros, rng: &mut impl Rng) {
         let Some(e) = self.arena.get_mut(k) else {
             return;
         };
@@ -161,39 +161,39 @@
         e.member.incarnation = c.incarnation;
         e.member.state = c.state;
         e.suspicion = None;
-        e.gone = now;
+        e.gone_since = now;
         let to = e.member.udp;
         if from != to {
             self.addrs.remove(&from);
             self.addrs.insert(to, k);
         }
-        self.count(id, old, false);
-        self.count(id, c.rank(), true);
+        self.update_totals(id, old, false);
+        self.update_totals(id, c.rank(), true);
         if !old.1.is_live() && c.state.is_live() {
-            self.enlist(k, rng);
+            self.add_to_probe_order(k, rng);
         }
     }
 
     /// Forgets members that went before a time.
     pub(crate) fn forget(&mut self, before: Micros) {
         let old = self.arena.iter();
-        let old = old.filter(|(_, e)| !e.member.state.is_live() && e.gone < before);
+        let old = old.filter(|(_, e)| !e.member.state.is_live() && e.gone_since < before);
         let old: Vec<_> = old.map(|(k, _)| k).collect();
         for k in old {
             if let Some(e) = self.arena.remove(k) {
                 self.ids.remove(&e.member.id);
-                self.release(&e.member);
+                self.release_addr(&e.member);
             }
         }
     }
 
     /// The next member to ping, each live one once a round.
-    pub(crate) fn next(&mut self, rng: &mut impl Rng) -> Option<MemberKey> {
-        for _ in 0..=self.order.len() {
-            if self.cursor >= self.order.len() {
+    pub(crate) fn next_to_probe(&mut self, rng: &mut impl Rng) -> Option<MemberKey> {
+        for _ in 0..=self.probe_order.len() {
+            if self.cursor >= self.probe_order.len() {
                 self.reshuffle(rng);
             }
-            let k = *self.order.get(self.cursor)?;
+            let k = *self.probe_order.get(self.cursor)?;
             self.cursor += 1;
             if self.is_live(k) {
                 return Some(k);
@@ -204,8 +204,8 @@
 
     /// Up to `n` different live members at random.
     pub(crate) fn sample(&self, n: usize, rng: &mut impl Rng) -> Vec<MemberKey> {
-        if self.order.len() <= 4 * n {
-            let mut all = self.order.clone();
+        if self.probe_order.len() <= 4 * n {
+            let mut all = self.probe_order.clone();
             all.retain(|&k| self.is_live(k));
             all.shuffle(rng);
             all.truncate(n);
@@ -213,7 +213,7 @@
         }
         let mut some = Vec::with_capacity(n);
         for _ in 0..4 * n {
-            let k = self.order[rng.random_range(0..self.order.len())];
+            let k = self.probe_order[rng.random_range(0..self.probe_order.len())];
             if some.len() < n && self.is_live(k) && !some.contains(&k) {
                 some.push(k);
             }
@@ -222,33 +222,33 @@
     }
 
     /// Pings a member before its turn, with a claim it may want to refute.
-    pub(crate) fn probe_soon(&mut self, k: MemberKey, c: Claim) {
-        let known = self.urgent.iter().any(|(u, _)| *u == k);
-        if !known && self.urgent.len() < URGENT_MAX {
-            self.urgent.push_back((k, c));
+    pub(crate) fn queue_probe(&mut self, k: MemberKey, c: Claim) {
+        let known = self.priority_probes.iter().any(|(u, _)| *u == k);
+        if !known && self.priority_probes.len() < PRIORITY_PROBES_MAX {
+            self.priority_probes.push_back((k, c));
         }
     }
 
-    fn enlist(&mut self, k: MemberKey, rng: &mut impl Rng) {
+    fn add_to_probe_order(&mut self, k: MemberKey, rng: &mut impl Rng) {
         // A member that died and came back within one round is still listed.
-        if self.order.contains(&k) {
+        if self.probe_order.contains(&k) {
             return;
         }
-        let i = rng.random_range(0..=self.order.len());
-        self.order.push(k);
-        let last = self.order.len() - 1;
-        self.order.swap(i, last);
+        let i = rng.random_range(0..=self.probe_order.len());
+        self.probe_order.push(k);
+        let last = self.probe_order.len() - 1;
+        self.probe_order.swap(i, last);
     }
 
     fn reshuffle(&mut self, rng: &mut impl Rng) {
-        let mut order = std::mem::take(&mut self.order);
+        let mut order = std::mem::take(&mut self.probe_order);
         order.retain(|&k| self.is_live(k));
         order.shuffle(rng);
-        self.order = order;
+        self.probe_order = order;
         self.cursor = 0;
     }
 
-    fn count(&mut self, id: MemberId, rank: (u64, MemberState), add: bool) {
+    fn update_totals(&mut self, id: MemberId, rank: (u64, MemberState), add: bool) {
         if !rank.1.is_live() {
             return;
         }
@@ -256,7 +256,7 @@
         self.live = if add { self.live + 1 } else { self.live - 1 };
     }
 
-    fn release(&mut self, m: &Member) {
+    fn release_addr(&mut self, m: &Member) {
         let holder = self.addrs.get(&m.udp).copied();
         if holder.is_some_and(|k| !self.arena.contains_key(k)) {
             self.addrs.remove(&m.udp);
--- a/crates/fleet/tests/detect.rs
+++ b/crates/fleet/tests/detect.rs
@@ -105,7 +105,7 @@
     ];
     for c in cases {
         let mut net = Net::settled(12, 6, 0.0);
-        net.settings.relays = c.relays;
+        net.settings.indirect_probes = c.relays;
         net.grow(1);
         net.run(secs(5));
         net.broken = Some((12, 2));
