--- a/crates/fleet/src/detect.rs
+++ b/crates/fleet/src/detect.rs
@@ -1,10 +1,10 @@
-//! Failure detection: pings, pings through others, local health.
+//! Failure detection: direct probes, indirect probes and the local health score.
 //!
-//! The load pattern is a large fleet with some loss on every link and now and then a slow
-//! process. Without indirect pings, 1% loss each way makes one ping in fifty fail: at 1,180
-//! members and two pings a second each, some fifty false suspicions a second. Without
-//! the local health score, a process that is itself starved of time accuses those it couldn't
-//! hear; its waits grow here with its own failures instead (Lifeguard).
+//! The design is for a large fleet with some loss on every link and an occasional slow process.
+//! Without indirect probes, 1% loss each way makes one probe in fifty fail: at 1,180 members and
+//! two probes a second each, some fifty false suspicions a second. Without the local health score
+//! (Lifeguard), a process that gets too little CPU time suspects members whose acks it was too
+//! slow to read; the score lengthens its probe period and timeouts with each failure of its own.
 
 use std::net::SocketAddr;
 
@@ -14,27 +14,32 @@
 use crate::view::{Claim, MemberKey};
 use crate::{Action, Fleet, Member, MemberState};
 
-/// Bound on pings that are under way for others; 16 members at once is already a storm.
+/// Bound on concurrent indirect probes on behalf of others. Requests from 16 members at once
+/// already mean a storm.
 const INDIRECT_PROBES_MAX: usize = 128;
-/// How many more members than needed are drawn, to find some in other failure domains.
+/// Members sampled per helper needed, so that some are in other failure domains.
 const CANDIDATES_PER_HELPER: usize = 4;
 
-/// A ping of this process that is not answered yet.
+/// A direct probe by this process that has no ack yet.
 struct Probe {
     key: MemberKey,
     id: MemberId,
     seq: u32,
-    /// When to ask others; the far future once they were asked.
+    /// When to request indirect probes; [`Micros::MAX`] once requested.
     indirect_at: Micros,
+    /// Helpers that were asked for an indirect probe.
     requested: u32,
+    /// Helpers that reported no ack from the probed member.
     nacks: u32,
 }
 
-/// A ping on behalf of another member.
+/// A probe that this process makes on behalf of another member.
 struct IndirectProbe {
     id: MemberId,
     seq: u32,
+    /// Address of the member that requested the probe.
     requester: SocketAddr,
+    /// Sequence number of the request, repeated in the ack or nack.
     requester_seq: u32,
     deadline: Micros,
 }
@@ -44,9 +49,10 @@
     probe: Option<Probe>,
     probe_at: Micros,
     indirect_probes: Vec<IndirectProbe>,
-    /// Zero if well; each step stretches period and waits by one.
+    /// Local health score (Lifeguard): zero is healthy; each point lengthens the probe period and
+    /// the ack timeout by their base value.
     health_score: u32,
-    /// When the first suspicion runs out.
+    /// When the earliest suspicion expires.
     suspicion_at: Micros,
 }
 
@@ -67,6 +73,7 @@
         self.probe_at = now;
     }
 
+    /// When failure detection has work to do next.
     pub(crate) fn due(&self) -> Micros {
         let indirect = self.probe.as_ref().map_or(Micros::MAX, |p| p.indirect_at);
         let relays = self.indirect_probes.iter().map(|r| r.deadline);
@@ -110,7 +117,7 @@
         }
     }
 
-    /// Forgets open questions and gives all suspected members their time again.
+    /// Drops open probes and restarts all suspicion timers after a pause of this process.
     pub(crate) fn resume_detect(&mut self) {
         self.detect.probe = None;
         self.detect.indirect_probes.clear();
@@ -126,7 +133,7 @@
         self.rearm_suspicions();
     }
 
-    /// Pings the suspected members first; they may have refuted it unheard.
+    /// Probes suspected members first: their refutations may have been missed during the pause.
     fn reprobe_suspects(&mut self) {
         let suspects = self.view.iter().filter(|(_, e)| e.suspicion.is_some());
         let suspects =
@@ -136,7 +143,7 @@
         }
     }
 
-    /// Pings a member without waiting for the answer.
+    /// Pings a member without tracking the ack.
     pub(crate) fn ping(&mut self, k: MemberKey, update: Option<Update>, out: &mut Vec<Action>) {
         let Some((id, udp)) = self.view.member(k).map(|m| (m.id, m.udp)) else {
             return;
@@ -147,10 +154,10 @@
         self.send(udp, p, out);
     }
 
-    /// An answer to a ping of this process, or to one on behalf of another.
+    /// Handles an ack to a probe by this process, or to one on behalf of another member.
     ///
-    /// It must come from the member that was asked about: a later life at its address answers
-    /// too, and the earlier one mustn't look alive for it.
+    /// The ack must come from the probed member itself: a later process at the same address acks
+    /// too, and that must not keep the earlier one alive.
     pub(crate) fn handle_ack(&mut self, k: Option<MemberKey>, p: &Packet, out: &mut Vec<Action>) {
         let probe = self.detect.probe.as_ref();
         let own = |o: &Probe| o.seq == p.seq && (o.id.0 == p.from || o.id.0 == p.to);
@@ -177,14 +184,14 @@
         }
     }
 
-    /// One who was asked got no answer either, but is itself within reach.
+    /// Counts a helper that got no ack from the probed member but is itself reachable.
     pub(crate) fn handle_nack(&mut self, seq: u32) {
         if let Some(p) = self.detect.probe.as_mut().filter(|p| p.seq == seq) {
             p.nacks += 1;
         }
     }
 
-    /// Pings a member because another one asked for it.
+    /// Makes an indirect probe at the request of another member.
     pub(crate) fn probe_for(&mut self, from: SocketAddr, p: &Packet, out: &mut Vec<Action>) {
         let Ok(to) = addr(&p.addr) else {
             return;
@@ -206,7 +213,7 @@
         self.send(to, ping, out);
     }
 
-    /// Remembers when a member's suspicion runs out, if it is the first to do so.
+    /// Moves the suspicion timer forward if this member's suspicion is the first to expire.
     pub(crate) fn arm_suspicion(&mut self, k: MemberKey) {
         let size = self.size();
         let s = self.view.get(k).and_then(|e| e.suspicion.as_ref());
@@ -240,6 +247,7 @@
         self.send(udp, p, out);
     }
 
+    /// The next member to probe, queued ones first, with the claim it may want to refute.
     fn next_probe(&mut self) -> Option<(MemberKey, Option<Update>)> {
         while let Some((k, c)) = self.view.priority_probes.pop_front() {
             if self.view.is_live(k) {
@@ -255,8 +263,8 @@
         self.view.next_to_probe(&mut self.rng).map(|k| (k, None))
     }
 
-    /// Asks members in other failure domains to ping, so that a fault near this process or on
-    /// its links isn't taken for the other's death.
+    /// Requests indirect probes from members in other failure domains, so that a fault near this
+    /// process or on its links does not count as the death of the probed member.
     fn request_indirect_probes(&mut self, out: &mut Vec<Action>) {
         let Some((key, id, seq)) = self.detect.probe.as_ref().map(|p| (p.key, p.id, p.seq)) else {
             return;
@@ -281,6 +289,8 @@
         }
     }
 
+    /// Samples members for indirect probes, preferring those outside the failure domains of both
+    /// ends.
     fn choose_helpers(&mut self, key: MemberKey, m: &Member) -> Vec<MemberKey> {
         let mut some = self.view.sample(
             CANDIDATES_PER_HELPER * self.settings.indirect_probes,
@@ -296,6 +306,8 @@
         some
     }
 
+    /// Ends a probe that got no ack. The local health score worsens unless every helper sent a
+    /// nack, since missing nacks hint at a fault near this process.
     fn fail_probe(&mut self, out: &mut Vec<Action>) {
         let Some(p) = self.detect.probe.take() else {
             return;
@@ -306,7 +318,8 @@
         self.suspect(p.key, out);
     }
 
-    /// Suspects a member, or confirms that others do, and tells it at once.
+    /// Suspects a member or confirms the suspicion of others, and notifies the member at once so
+    /// that it can refute.
     fn suspect(&mut self, k: MemberKey, out: &mut Vec<Action>) {
         let Some(m) = self.view.member(k).filter(|m| m.state.is_live()).cloned() else {
             return;
@@ -319,6 +332,7 @@
         self.send_gossip(k, refutable_update.into_iter().collect(), out);
     }
 
+    /// A claim by this process that a member is in the given state.
     fn claim_about(&self, m: &Member, state: MemberState) -> Claim {
         Claim {
             id: m.id,
@@ -329,6 +343,7 @@
         }
     }
 
+    /// Declares members dead whose suspicion was not refuted in time.
     fn expire_suspicions(&mut self, out: &mut Vec<Action>) {
         let (now, size, settings) = (self.now, self.size(), &self.settings);
         let expired = self.view.iter().filter(|(_, e)| {
@@ -343,6 +358,7 @@
         self.rearm_suspicions();
     }
 
+    /// Sets the suspicion timer to the earliest deadline.
     fn rearm_suspicions(&mut self) {
         let (size, settings) = (self.size(), &self.settings);
         let suspicions = self.view.iter().filter_map(|(_, e)| e.suspicion.as_ref());
@@ -350,7 +366,7 @@
         self.detect.suspicion_at = first.unwrap_or(Micros::MAX);
     }
 
-    /// Reports pings for others that went unanswered.
+    /// Sends a nack for each indirect probe that got no ack in time.
     fn expire_indirect_probes(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let (expired, open) = std::mem::take(&mut self.detect.indirect_probes)
--- a/crates/fleet/src/merge.rs
+++ b/crates/fleet/src/merge.rs
@@ -1,8 +1,8 @@
-//! Reports of other members, weighed against what is known.
+//! Merging of claims about members into the local view.
 //!
-//! A report wins if its incarnation is higher or, within one incarnation, its state is later in
-//! [`MemberState`]. Only a member itself raises its incarnation. So the order in which reports
-//! come in doesn't matter, and a replayed one changes nothing.
+//! A claim wins if its incarnation is higher or, within one incarnation, if its state comes later
+//! in [`MemberState`]. Only a member itself raises its incarnation. The result therefore does not
+//! depend on the order of claims, and a replayed claim changes nothing.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -15,13 +15,14 @@
 use crate::view::{Claim, MemberKey};
 use crate::{Action, Conviction, Fleet, Member, MemberState};
 
-/// Most reports of one pulled list that are passed on; the rest is left to others' pulls.
+/// Claims from one pulled list that are gossiped on; other members spread the rest from their own
+/// pulls.
 const LIST_GOSSIP_MAX: usize = 64;
-/// Most members of one pulled list that are told they are taken for dead.
+/// Members of one pulled list that are pinged because this process holds them for dead.
 const LIST_PINGS_MAX: usize = 16;
 
 impl Fleet {
-    /// Takes a good datagram in: what it reports, then what it asks for.
+    /// Processes a valid datagram: merges its claims, then replies according to its kind.
     pub(crate) fn merge_packet(&mut self, from: SocketAddr, p: Packet, out: &mut Vec<Action>) {
         let limit = self.limit();
         for u in &p.updates {
@@ -47,7 +48,8 @@
         self.reply(from, sender, &p, out);
     }
 
-    /// Reads a report; its description only if that is news, as most are heard many times.
+    /// Reads a claim. The description is decoded only if the claim is new, as most claims arrive
+    /// many times.
     fn claim(&self, u: &Update) -> Result<Claim, PacketError> {
         let mut c = Claim {
             id: MemberId(u.id),
@@ -64,7 +66,7 @@
         Ok(c)
     }
 
-    /// Weighs one report; `pass` hands it on if it is news.
+    /// Merges one claim; `gossip` says whether to pass it on if it is new.
     pub(crate) fn apply_claim(&mut self, c: Claim, gossip: bool, out: &mut Vec<Action>) {
         let udp = c.detail.as_ref().map(|m| m.udp);
         match self.view.key(c.id) {
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Passes on and reports a conviction if it is news here; its expiry is on the wall clock.
+    /// Stores a conviction, and queues it for gossip and for the driver if it is new here. Its
+    /// expiry is given as wall-clock time.
     pub(crate) fn convict(&mut self, c: Conviction, out: &mut Vec<Action>) {
         let until = c.until - self.settings.epoch;
         let c = Conviction { until, ..c };
@@ -84,7 +87,8 @@
         }
     }
 
-    /// What is held against a member that may not know it.
+    /// The suspicion, death or departure recorded for a member, for sending to the member itself:
+    /// it may not have received that claim and can refute it. None if it is alive or leaving.
     pub(crate) fn refutable_update(&self, k: MemberKey) -> Option<Update> {
         let m = self.view.member(k)?;
         match m.state {
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Refutes a report about this process by a higher incarnation.
+    /// Refutes a claim about this process with a higher incarnation.
     fn refute(&mut self, c: &Claim) {
         let accused = !matches!(c.state, MemberState::Alive | MemberState::Leaving);
         match c.incarnation.cmp(&self.me.incarnation) {
@@ -107,11 +111,11 @@
         self.rumors.push(Update::brief(&self.me, MemberId(0)));
     }
 
-    /// Supersedes an earlier life at this address.
+    /// Raises the incarnation above that of an earlier process at this address.
     ///
-    /// If the wall clock was set back between the two lives, the dead one has the higher
-    /// incarnation and would keep the address; one would notice that a restarted process is in
-    /// nobody's view. Going above it settles that.
+    /// If the wall clock was set back between the two starts, the earlier process has the higher
+    /// incarnation and would keep the address, so the restarted process would be missing from
+    /// every view.
     fn supersede_older(&mut self, c: &Claim) {
         if c.incarnation >= self.me.incarnation {
             self.me.incarnation = Incarnation(c.incarnation.0.saturating_add(1));
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Takes in a member that wasn't known.
+    /// Adds a member that is not in the view yet.
     fn add_member(&mut self, c: Claim, gossip: bool, out: &mut Vec<Action>) {
         let Some(detail) = c.detail else {
             return;
@@ -145,7 +149,7 @@
         }
     }
 
-    /// Makes room for a member at its address; false if a later life has it.
+    /// Frees the address of a new member; false if a later process already has it.
     fn free_address(&mut self, m: &Member, out: &mut Vec<Action>) -> bool {
         let Some(k) = self.view.key_at(m.udp) else {
             return true;
@@ -158,7 +162,7 @@
         later
     }
 
-    /// Ends a life whose address a later one has taken.
+    /// Marks a member as left because a later process took its address.
     fn supersede(&mut self, k: MemberKey, out: &mut Vec<Action>) {
         let Some(m) = self.view.member(k).cloned() else {
             return;
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Weighs a report about a known member.
+    /// Merges a claim about a member of the view.
     fn merge_claim(&mut self, k: MemberKey, c: Claim, gossip: bool, out: &mut Vec<Action>) {
         let Some(known) = self.view.member(k).map(Member::rank) else {
             return;
@@ -188,6 +192,7 @@
         }
     }
 
+    /// Applies a newer claim and reports the change to the driver.
     fn overwrite(&mut self, k: MemberKey, c: Claim, gossip: bool, out: &mut Vec<Action>) {
         let Some(old) = self.view.member(k).cloned() else {
             return;
@@ -216,7 +221,7 @@
         }
     }
 
-    /// Counts one more accuser of a suspected member.
+    /// Records another member that confirms a suspicion.
     fn confirm(&mut self, k: MemberKey, c: &Claim) {
         let settings = &self.settings;
         let Some(e) = self.view.get_mut(k) else {
@@ -241,12 +246,12 @@
         }
     }
 
-    /// Weighs a pulled list of members.
+    /// Merges a pulled list of members.
     ///
-    /// After a split each side takes the other for dead. Were that believed from a list, the
-    /// live side would be accused as a whole and faster than it can refute. So a death that
-    /// isn't known here is checked by a ping, and those that are dead here but alive in the list
-    /// are told of it.
+    /// After a network split each side holds the other for dead. If a list alone were enough to
+    /// mark members dead, the live side would be suspected as a whole, faster than it can refute.
+    /// So a death that is new here is verified by a probe first, and members that are dead here
+    /// but alive in the list are pinged so that they can refute it.
     pub(crate) fn merge_list(
         &mut self,
         from: MemberId,
@@ -288,7 +293,7 @@
         }
     }
 
-    /// Answers a datagram according to its kind.
+    /// Replies to a datagram according to its kind.
     fn reply(
         &mut self,
         from: SocketAddr,
@@ -306,6 +311,8 @@
         }
     }
 
+    /// Acks a ping; carries the claim that the sender may want to refute, or asks an unknown
+    /// sender for its description.
     fn send_ack(
         &mut self,
         from: SocketAddr,
@@ -322,14 +329,15 @@
         self.send(from, p, out);
     }
 
-    /// Describes this process to one that doesn't know it.
+    /// Sends the description of this process to a member that lacks it.
     fn describe_self(&mut self, to: SocketAddr, out: &mut Vec<Action>) {
         let mut p = Packet::new(Kind::Gossip, 0);
         p.updates.push(Update::full(&self.me));
         self.send(to, p, out);
     }
 
-    /// Forgets members that went long ago.
+    /// Removes tombstones that are older than
+    /// [`Settings::tombstone_ttl`](crate::Settings::tombstone_ttl).
     pub(crate) fn forget_gone(&mut self) {
         let before = self.now - self.settings.tombstone_ttl;
         if before > Micros::ZERO {
@@ -338,14 +346,14 @@
     }
 }
 
-/// Whether a driver would act on the difference; a refutation alone isn't worth a word.
+/// Whether the driver would act on the change; a raised incarnation alone is not reported.
 fn is_visible_change(old: &Member, new: &Member) -> bool {
     let mut same = new.clone();
     same.incarnation = old.incarnation;
     same != *old
 }
 
-/// A report from a pulled list.
+/// The claim that an entry of a pulled list makes.
 pub(crate) fn claim_from_list(m: Member, by: MemberId) -> Claim {
     Claim {
         id: m.id,
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! All other members as this process knows them.
+//! The local view: all other members known to this process.
 
 use std::cmp::Ordering;
 use std::collections::{HashMap, VecDeque};
@@ -16,44 +16,48 @@
     pub(crate) struct MemberKey;
 }
 
-/// Bound on members that wait for a ping out of turn.
+/// Bound on members queued for a probe ahead of the regular order.
 const PRIORITY_PROBES_MAX: usize = 64;
-/// Bound on dead and departed members, beyond four for each live one.
+/// Bound on tombstones (dead and departed members), in addition to four per live member.
 const GONE_MAX: usize = 1_024;
 
-/// A report about a member, from whatever source.
+/// A claim about the state of a member, from a datagram, a pulled list or this process.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub(crate) id: MemberId,
     pub(crate) incarnation: Incarnation,
     pub(crate) state: MemberState,
+    /// The member that suspects it or served the list; zero if the claim comes from the member
+    /// itself.
     pub(crate) by: MemberId,
+    /// Description of the member, if the claim carries one.
     pub(crate) detail: Option<Box<Member>>,
 }
 
 impl Claim {
+    /// Precedence of the claim; the higher one wins.
     pub(crate) const fn rank(&self) -> (u64, MemberState) {
         (self.incarnation.0, self.state)
     }
 }
 
-/// A member with what only this process notes about it.
+/// A member with the state that only this process keeps about it.
 #[derive(Debug)]
 pub(crate) struct MemberRecord {
     pub(crate) member: Member,
-    /// The configuration it last reported; zero if none.
+    /// The configuration version it reported last; zero if none.
     pub(crate) version: Version,
-    /// The incarnation that reported it.
+    /// The incarnation that reported `version`.
     version_incarnation: Incarnation,
     pub(crate) suspicion: Option<Suspicion>,
-    /// Since when it is gone.
+    /// When the record last changed; for a dead or departed member, when it went.
     pub(crate) gone_since: Micros,
-    /// The platform has announced that its host goes.
+    /// Whether the platform has announced that its host is leaving.
     pub(crate) host_leaving: bool,
 }
 
 impl MemberRecord {
-    /// Notes the version that a life of the member reports; a later life starts anew.
+    /// Records the version that a member reports; a later incarnation starts over.
     pub(crate) fn record_version(&mut self, incarnation: Incarnation, version: Version) {
         match incarnation.cmp(&self.version_incarnation) {
             Ordering::Less => {}
@@ -63,17 +67,20 @@
     }
 }
 
-/// The members in an arena, with indices and the order of pings.
+/// Members in an arena, with indices by id and address and the probe order.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     arena: SlotMap<MemberKey, MemberRecord>,
     ids: HashMap<MemberId, MemberKey>,
     addrs: HashMap<SocketAddr, MemberKey>,
+    /// Members in the shuffled order of the current round of probes.
     probe_order: Vec<MemberKey>,
     cursor: usize,
+    /// Number of live members.
     live: usize,
+    /// XOR over the live members and their incarnations.
     hash: u64,
-    /// Members to ping before their turn, each with what is claimed of it.
+    /// Members to probe ahead of the regular order, each with the claim it may want to refute.
     pub(crate) priority_probes: VecDeque<(MemberKey, Claim)>,
 }
 
@@ -115,12 +122,13 @@
         self.live
     }
 
-    /// Digest of the live members and their incarnations, the same whatever the order.
+    /// Digest of the live members and their incarnations, independent of order.
     pub(crate) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Adds a member at a random place in the order of pings.
+    /// Adds a member at a random position in the probe order; none if it is dead or departed and
+    /// the tombstones are full.
     pub(crate) fn insert(
         &mut self,
         m: Member,
@@ -149,7 +157,7 @@
         Some(k)
     }
 
-    /// Overwrites incarnation, state and, if given, description.
+    /// Overwrites incarnation, state and, if the claim carries one, the description.
     pub(crate) fn update(&mut self, k: MemberKey, c: &Claim, now: Micros, rng: &mut impl Rng) {
         let Some(e) = self.arena.get_mut(k) else {
             return;
@@ -174,7 +182,7 @@
         }
     }
 
-    /// Forgets members that went before a time.
+    /// Removes tombstones of members that went before the given time.
     pub(crate) fn forget(&mut self, before: Micros) {
         let old = self.arena.iter();
         let old = old.filter(|(_, e)| !e.member.state.is_live() && e.gone_since < before);
@@ -187,7 +195,7 @@
         }
     }
 
-    /// The next member to ping, each live one once a round.
+    /// The next member to probe; each live member comes up once a round.
     pub(crate) fn next_to_probe(&mut self, rng: &mut impl Rng) -> Option<MemberKey> {
         for _ in 0..=self.probe_order.len() {
             if self.cursor >= self.probe_order.len() {
@@ -202,7 +210,7 @@
         None
     }
 
-    /// Up to `n` different live members at random.
+    /// Up to `n` distinct live members, chosen at random.
     pub(crate) fn sample(&self, n: usize, rng: &mut impl Rng) -> Vec<MemberKey> {
         if self.probe_order.len() <= 4 * n {
             let mut all = self.probe_order.clone();
@@ -221,7 +229,7 @@
         some
     }
 
-    /// Pings a member before its turn, with a claim it may want to refute.
+    /// Queues a member for a probe ahead of the regular order, with a claim it may want to refute.
     pub(crate) fn queue_probe(&mut self, k: MemberKey, c: Claim) {
         let known = self.priority_probes.iter().any(|(u, _)| *u == k);
         if !known && self.priority_probes.len() < PRIORITY_PROBES_MAX {
@@ -230,7 +238,7 @@
     }
 
     fn add_to_probe_order(&mut self, k: MemberKey, rng: &mut impl Rng) {
-        // A member that died and came back within one round is still listed.
+        // A member that died and came back within one round is still in the order.
         if self.probe_order.contains(&k) {
             return;
         }
@@ -248,6 +256,7 @@
         self.cursor = 0;
     }
 
+    /// Adds a live member to the count and the hash, or removes it.
     fn update_totals(&mut self, id: MemberId, rank: (u64, MemberState), add: bool) {
         if !rank.1.is_live() {
             return;
@@ -256,6 +265,7 @@
         self.live = if add { self.live + 1 } else { self.live - 1 };
     }
 
+    /// Removes the address of a removed member from the index, unless another member took it.
     fn release_addr(&mut self, m: &Member) {
         let holder = self.addrs.get(&m.udp).copied();
         if holder.is_some_and(|k| !self.arena.contains_key(k)) {
@@ -264,7 +274,7 @@
     }
 }
 
-/// Spreads two numbers over 64 bits (the finalizer of SplitMix64).
+/// Hashes two numbers into 64 bits (the finalizer of SplitMix64).
 pub(crate) fn mix(a: u64, b: u64) -> u64 {
     let mut x = a ^ b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
