--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The state machine: one per process, driven from its control thread.
+//! The state machine of one process, driven from its control thread.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     PullScope, Settings,
 };
 
-/// Membership and configuration as one process sees them.
+/// Membership and configuration as seen by one process.
 pub struct Fleet {
     pub(crate) settings: Settings,
     pub(crate) me: Member,
@@ -39,19 +39,24 @@
     pub(crate) reader: TableReader,
     pub(crate) join: Join,
     pub(crate) counters: Counters,
-    /// Hosts that go, as the platform listed them last.
+    /// Hosts that are leaving according to the latest host list of the platform.
     leaving_hosts: BTreeSet<String>,
+    /// Sequence number of the last probe.
     seq: u32,
+    /// When to send the next round of gossip datagrams.
     gossip_at: Micros,
+    /// The time of the last [`Action::WakeAt`].
     wake_at: Micros,
+    /// Set by [`Event::Quit`]; later events are ignored.
     has_quit: bool,
 }
 
 impl Fleet {
-    /// A process that knows nobody; its first step starts the timers.
+    /// Creates the state of a process that knows no other member; the first step starts the
+    /// timers.
     ///
-    /// `me.incarnation` must be higher than in earlier lives at the same address: the wall
-    /// clock's microseconds will do.
+    /// `me.incarnation` must be higher than that of any earlier process at the same address, such
+    /// as the wall clock's microseconds.
     pub fn new(settings: Settings, me: Member, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let seq = rng.random();
@@ -77,7 +82,7 @@
         }
     }
 
-    /// Takes in what happened by `now` and adds what is to be done to `out`.
+    /// Processes an event at time `now` and appends the resulting actions to `out`.
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let start = self.wake_at == Micros::MAX;
         let late = now.since(self.wake_at) > self.settings.probe_period;
@@ -102,59 +107,59 @@
         self.known_members().filter(|m| m.state.is_live())
     }
 
-    /// How many live members there are, this process included.
+    /// Number of live members, including this process.
     pub fn live(&self) -> usize {
         self.size()
     }
 
-    /// All members other than this process that are remembered, the dead included.
+    /// All members in the view other than this process, including tombstones.
     pub fn known_members(&self) -> impl Iterator<Item = &Member> {
         self.view.iter().map(|(_, e)| &e.member)
     }
 
-    /// Whether some member's whole list came in, or there was nobody to ask for one.
+    /// Whether a complete member list was received, or no seeds were given to get one from.
     pub fn has_joined(&self) -> bool {
         !self.join.is_waiting_for_list()
     }
 
-    /// A member by its id.
+    /// Looks up a member by its id.
     pub fn member(&self, id: MemberId) -> Option<&Member> {
         self.view.key(id).and_then(|k| self.view.member(k))
     }
 
-    /// This process.
+    /// This process as a member.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// Whether the platform has announced that a member's host goes.
+    /// Whether the platform has announced that the host of a member is leaving.
     pub fn is_host_leaving(&self, id: MemberId) -> bool {
         let e = self.view.key(id).and_then(|k| self.view.get(k));
-        // One that has joined since the last list came is not marked yet.
+        // Members that joined after the last host list are not marked yet.
         e.is_some_and(|e| e.host_leaving || self.leaving_hosts.contains(&e.member.host))
     }
 
-    /// The configuration's version here; zero if there is none yet.
+    /// The version of the configuration in force here; zero if there is none.
     pub fn version(&self) -> Version {
         self.spread.row.version
     }
 
-    /// The digest of the configuration here.
+    /// The digest of the configuration in force here.
     pub fn digest(&self) -> Digest {
         self.spread.row.digest
     }
 
-    /// The configuration's text here.
+    /// The text of the configuration in force here.
     pub fn text(&self) -> &Bytes {
         &self.spread.row.text
     }
 
-    /// The convictions that hold.
+    /// The convictions that have not expired.
     pub fn convictions(&self) -> impl Iterator<Item = Conviction> + '_ {
         self.convictions.iter(self.now)
     }
 
-    /// What to answer to another member's pull.
+    /// The answer to a pull by another member.
     pub fn answer(&self, scope: PullScope) -> Answer {
         let all = scope == PullScope::All;
         let epoch = self.settings.epoch;
@@ -172,44 +177,44 @@
         }
     }
 
-    /// What has happened since the start.
+    /// Event counts since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Changes the keys, as when they are rotated.
+    /// Replaces the keys, as during a key rotation.
     pub fn set_keys(&mut self, keys: Keyring) {
         self.settings.keys = keys;
     }
 
-    /// Changes this process's words for its peers.
+    /// Sets this process's tags and gossips the change.
     pub fn set_tags(&mut self, tags: impl Into<String>) {
         self.me.tags = tags.into();
         self.me.incarnation.0 += 1;
         self.rumors.push(Update::full(&self.me));
     }
 
-    /// Live members, this process included.
+    /// Number of live members, including this process.
     pub(crate) fn size(&self) -> usize {
         self.view.live() + 1
     }
 
-    /// How often an update is passed on.
+    /// How many times an update is retransmitted.
     pub(crate) fn limit(&self) -> u32 {
         (self.settings.retransmit_mult * log_size(self.size())).ceil() as u32
     }
 
-    /// Digest of the live members, this process included.
+    /// Digest of the live members, including this process.
     pub(crate) fn view_hash(&self) -> u64 {
         self.view.hash() ^ mix(self.me.id.0, self.me.incarnation.0)
     }
 
-    /// A span between half and one and a half of the given one.
+    /// A random span between half and one and a half times the given one.
     pub(crate) fn jitter(&mut self, span: Micros) -> Micros {
         self.within(span) + Micros(span.0 / 2)
     }
 
-    /// A span from nothing to the given one.
+    /// A random span between zero and the given one.
     pub(crate) fn within(&mut self, span: Micros) -> Micros {
         Micros(self.rng.random_range(0..=span.0))
     }
@@ -219,7 +224,7 @@
         self.seq
     }
 
-    /// Sends a datagram with the sender's header and as many updates as fit.
+    /// Sends a datagram with this process's header and as many piggybacked updates as fit.
     pub(crate) fn send(&mut self, to: SocketAddr, mut p: Packet, out: &mut Vec<Action>) {
         let row = &self.spread.row;
         p.from = self.me.id.0;
@@ -246,7 +251,7 @@
         out.push(Action::Send { to, bytes });
     }
 
-    /// Sends a datagram that asks for nothing.
+    /// Sends a datagram that needs no reply.
     pub(crate) fn send_gossip(
         &mut self,
         k: MemberKey,
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Timers that are due; each sets its next time.
+    /// Runs all timers that are due.
     fn run_due(&mut self, out: &mut Vec<Action>) {
         self.run_detect(out);
         self.run_join(out);
@@ -310,9 +315,10 @@
         self.arm_gossip();
     }
 
-    /// Spare datagrams while there is something to tell.
+    /// Sends a round of gossip datagrams while updates are queued.
     ///
-    /// Pings alone would spread a change in as many periods as the fleet's logarithm.
+    /// Piggybacking on probes alone would take as many periods to spread a change as the logarithm
+    /// of the fleet size.
     fn gossip(&mut self, out: &mut Vec<Action>) {
         self.gossip_at = Micros::MAX;
         for k in self.view.sample(self.settings.fanout, &mut self.rng) {
@@ -320,6 +326,7 @@
         }
     }
 
+    /// Schedules the next round of gossip if something is queued.
     fn arm_gossip(&mut self) {
         let pending = !self.rumors.is_empty()
             || self.convictions.has_pending()
@@ -330,7 +337,7 @@
         }
     }
 
-    /// Asks for the next tick, if it isn't the one asked for last.
+    /// Requests the next tick, unless the driver already has that time.
     fn schedule_wake(&mut self, out: &mut Vec<Action>) {
         let due = [
             self.detect.due(),
@@ -348,16 +355,17 @@
         self.wake_at = at;
     }
 
-    /// Takes up work after this process was paused.
+    /// Recovers after this process was paused.
     ///
-    /// Nobody was heard during the pause, so each open question looks unanswered. Without this,
-    /// a process that was stopped for a minute would declare live members dead when it goes on;
-    /// one would notice a wave of suspicions from one member.
+    /// Nothing was received during the pause, so all open probes look unanswered. Without this
+    /// step, a process that was stopped for a minute would declare live members dead when it
+    /// resumes, and one member would cause a wave of suspicions.
     fn resume(&mut self) {
         self.counters.paused += 1;
         self.resume_detect();
     }
 
+    /// Marks members by the platform's host list.
     fn apply_hosts(&mut self, hosts: Vec<HostEntry>, out: &mut Vec<Action>) {
         let gone = hosts.into_iter().filter(|h| h.leaving);
         self.leaving_hosts = gone.map(|h| h.name).collect();
@@ -371,7 +379,7 @@
         }
     }
 
-    /// Says of itself that it stops.
+    /// Changes the state of this process and gossips the change.
     fn set_own_state(&mut self, state: MemberState) {
         if self.me.state >= state {
             return;
@@ -381,8 +389,8 @@
         self.rumors.push(Update::brief(&self.me, MemberId(0)));
     }
 
-    /// Tells some members of the departure, twice as many as a change, since it can't be asked
-    /// again.
+    /// Gossips the departure to some members, twice as many as for a configuration change, since
+    /// this process cannot be asked again.
     fn quit(&mut self, out: &mut Vec<Action>) {
         self.set_own_state(MemberState::Left);
         for k in self
