--- a/crates/fleet/src/join.rs
+++ b/crates/fleet/src/join.rs
@@ -1,11 +1,12 @@
-//! How a process finds the others, and finds them again after a split.
+//! Joining the fleet, and reconnecting after a network split.
 //!
-//! Hundreds of members may start together. Each asks a few seeds, which answer with their own
-//! description and some others', and then pulls everything from one of all those it heard of; so
-//! the pulls spread over the fleet although all know the same seeds. Later, views are compared by
-//! a digest that rides on each answer, and a whole list is pulled only if they differ. Now and
-//! then a dead member or a seed nobody knows is tried: without that, regions that lost each
-//! other for longer than a suspicion would never look for each other again.
+//! Hundreds of members may start together. Each contacts a few seeds, which answer with
+//! descriptions of themselves and of some other members; the joining process then pulls the
+//! complete list from one of the members it learned of. So the pulls are spread over the fleet
+//! although all members have the same seeds. Later, views are compared by a digest in each ack,
+//! and a complete list is pulled only if they differ (anti-entropy). Now and then a dead member or
+//! an unknown seed is contacted; otherwise regions that lost each other for longer than the
+//! suspicion timeout would never reconnect.
 
 use std::net::SocketAddr;
 
@@ -17,38 +18,46 @@
 use crate::view::MemberKey;
 use crate::{Action, Fleet, MemberState, PullScope};
 
-/// Seeds asked in one round.
+/// Seeds contacted in one round.
 const SEEDS_PER_ROUND: usize = 3;
-/// Others that a seed describes in its answer; what doesn't fit is left out.
+/// Other members that a seed describes in its answer; those that do not fit are omitted.
 const MEMBERS_IN_ANSWER: usize = 12;
-/// Wait for more answers before one member is chosen for the pull.
+/// Wait for more answers before a member is chosen for the pull.
 const PICK_WAIT: Micros = Micros::from_millis(100);
-/// Size up to which views are compared at the plain interval.
+/// Fleet size up to which views are compared at the base interval.
 const SMALL_FLEET: f64 = 32.0;
-/// Wait before views are compared when something hints that they differ.
+/// Wait before views are compared when an event hints that they differ.
 const HINTED_SYNC_WAIT: Micros = Micros::from_secs(6);
-/// Wait before views are compared after a start.
+/// Wait before views are compared after the start.
 const FIRST_SYNC_WAIT: Micros = Micros::from_secs(2);
-/// Answers in a row that differ, with no news on its way here, before views are compared at
-/// once. One that misses an update differs from all; all others differ from it alone.
+/// Consecutive mismatching digests, with no updates queued, after which views are compared early.
+/// A member that missed an update mismatches with all others, while all others mismatch with it
+/// alone.
 const MISMATCHES_MAX: u32 = 3;
-/// Wait before that, so that many who missed it don't pull in step.
+/// Random delay of that comparison, so that many members that missed an update do not pull at the
+/// same moment.
 const MISMATCH_SYNC_WAIT: Micros = Micros::from_secs(1);
-/// Shortest time between two pulls of a whole list, for each member in it; at some 100 bytes a
-/// member that bounds them to 20 KB/s.
+/// Shortest time between two such pulls per member in the list. At some 100 bytes a member, this
+/// bounds them to 20 KB/s.
 const SYNC_INTERVAL_PER_MEMBER: Micros = Micros::from_millis(5);
-/// Tag and length in front of an update in a datagram.
+/// Bytes of tag and length in front of an update in a datagram.
 const UPDATE_OVERHEAD: usize = 3;
 
-/// State of joining and comparing.
+/// State of joining and of comparing views.
 pub(crate) struct Join {
     seeds: Vec<SocketAddr>,
+    /// When to try to join next.
     join_at: Micros,
     attempts: u32,
+    /// When to compare views next.
     sync_at: Micros,
+    /// When to contact a dead member or an unknown seed next.
     reconnect_at: Micros,
+    /// Whether the first complete list is still missing.
     list_pending: bool,
+    /// Consecutive acks whose view digest differs.
     mismatches: u32,
+    /// When the last comparison led to a pull.
     last_sync: Micros,
 }
 
@@ -68,21 +77,22 @@
 }
 
 impl Join {
+    /// When joining or reconnecting has work to do next.
     pub(crate) fn due(&self) -> Micros {
         self.join_at.min(self.reconnect_at)
     }
 
-    /// Whether a whole list will be asked for soon.
+    /// Whether an attempt to join is scheduled.
     pub(crate) fn is_trying(&self) -> bool {
         self.list_pending && self.join_at < Micros::MAX
     }
 
-    /// Whether the first whole list is still to come from seeds that were given.
+    /// Whether the first complete list is still missing although seeds were given.
     pub(crate) fn is_waiting_for_list(&self) -> bool {
         self.list_pending && !self.seeds.is_empty()
     }
 
-    /// Whether the first whole list is still to come.
+    /// Whether the first complete list is still missing.
     pub(crate) fn is_list_pending(&self) -> bool {
         self.list_pending
     }
@@ -115,14 +125,14 @@
         }
     }
 
-    /// Asks another member for the whole list after a failed pull.
+    /// Schedules the next attempt to join after a failed pull.
     pub(crate) fn retry_join(&mut self, wait: Micros) {
         if self.join.is_trying() {
             self.join.join_at = self.join.join_at.min(self.now + wait);
         }
     }
 
-    /// The first whole list came in.
+    /// Ends joining: the first complete list was received.
     pub(crate) fn joined(&mut self) {
         if self.join.list_pending {
             self.join.list_pending = false;
@@ -131,7 +141,8 @@
         }
     }
 
-    /// Answers a process that joins: who this is, and some others to pull from.
+    /// Answers a joining process with descriptions of this process and of some others to pull
+    /// from.
     pub(crate) fn answer_join(&mut self, to: SocketAddr, seq: u32, out: &mut Vec<Action>) {
         let mut p = Packet::new(Kind::Ack, seq);
         p.updates.push(Update::full(&self.me));
@@ -154,7 +165,8 @@
         self.send(to, p, out);
     }
 
-    /// Compares views on an answer, if it is time to.
+    /// Compares view digests on an ack, and pulls the complete list if a comparison is due and
+    /// they differ. While joining, schedules the first pull instead.
     pub(crate) fn compare_views(&mut self, k: MemberKey, theirs: u64, out: &mut Vec<Action>) {
         if self.join.list_pending {
             let soon = self.now + self.within(PICK_WAIT);
@@ -176,12 +188,13 @@
         }
     }
 
-    /// Compares views soon, as when a member came back from the dead.
+    /// Schedules an early comparison of views, as when a dead member came back.
     pub(crate) fn sync_soon(&mut self) {
         let soon = self.now + self.jitter(HINTED_SYNC_WAIT);
         self.join.sync_at = self.join.sync_at.min(soon);
     }
 
+    /// Counts consecutive mismatches and schedules an early comparison at the bound.
     fn count_mismatches(&mut self, differs: bool) {
         let quiet = self.rumors.is_empty() || self.rumors.is_backlogged();
         self.join.mismatches = match differs && quiet {
@@ -197,6 +210,7 @@
         }
     }
 
+    /// Pulls the complete list from a known member, or contacts seeds if none is known.
     fn try_join(&mut self, out: &mut Vec<Action>) {
         if !self.spread.is_idle(self.now) {
             self.join.join_at = self.spread.next_pull_at();
@@ -206,7 +220,8 @@
         let wait = self.jitter(wait.min(self.settings.reconnect_interval));
         self.join.join_at = self.now + wait;
         self.join.attempts += 1;
-        // The first choice is any, so that the pulls of many spread over the fleet.
+        // The first member is chosen at random, so that the pulls of many processes spread over
+        // the fleet.
         let known = self.view.sample(1, &mut self.rng).first().copied();
         let known = known.and_then(|k| self.view.member(k)).map(|m| m.id);
         let ahead = self.newest_source().filter(|_| self.spread.has_failed());
@@ -216,6 +231,7 @@
         }
     }
 
+    /// Sends a join request to up to `n` random seeds that are not live members.
     fn contact_seeds(&mut self, n: usize, out: &mut Vec<Action>) {
         let view = &self.view;
         let live = |s: &SocketAddr| view.key_at(*s).is_some_and(|k| view.is_live(k));
@@ -234,6 +250,7 @@
         }
     }
 
+    /// Contacts a random unknown seed and a random dead member.
     fn reconnect(&mut self, out: &mut Vec<Action>) {
         self.contact_seeds(1, out);
         let dead = self.view.iter();
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/spread.rs
@@ -1,11 +1,11 @@
-//! Spread of the configuration.
+//! Dissemination of the configuration.
 //!
-//! A change must be in force everywhere within seconds and never revert. Each datagram names the
-//! sender's version; whoever is behind pulls the text from whoever is ahead, then tells a few
-//! others at once, so a change travels as an epidemic whose every step is one pull. Only higher
-//! versions are adopted: without that, a process that was paused, or an old datagram, could bring
-//! back an older text. Failed pulls back off with jitter; without it, a member that can't answer
-//! would be asked by all others in step.
+//! A change must be in force everywhere within seconds and must never be reverted. Each datagram
+//! carries the sender's configuration version. A process with an older version pulls the text from
+//! one with a newer version, then notifies a few others at once, so a change spreads as an
+//! epidemic in which each step is one pull. Only higher versions are adopted; otherwise a process
+//! that was paused, or an old datagram, could bring back an older text. Failed pulls back off with
+//! jitter; otherwise all members would retry a member that cannot answer at the same moments.
 
 use std::cmp::Ordering;
 
@@ -16,43 +16,53 @@
 use crate::view::MemberKey;
 use crate::{Action, Answer, Digest, Fleet, PullScope, TableRow};
 
-/// Bound on members known to be ahead; enough that some can be lost.
+/// Bound on remembered members with a newer version; enough that some can fail.
 const SOURCES_MAX: usize = 4;
-/// A process that joins doubles its wait only at each so many failures. It has the whole fleet to
-/// ask, and in a herd of restarts two in five of the members that it heard of are gone.
+/// A joining process doubles its backoff only after this many failures. It can ask any member of
+/// the fleet, and after a mass restart two in five of the members it has learned of are gone.
 const JOIN_FAILURES_PER_DOUBLING: u32 = 4;
-/// Failed pulls in a row after which the table is asked instead.
+/// Consecutive failed pulls after which the table is read instead.
 const FAILURES_BEFORE_TABLE: u32 = 4;
 
-/// A member that is ahead.
+/// A member that announced a newer configuration, or the text that the table holds for the version
+/// here.
 #[derive(Clone, Copy)]
 pub(crate) struct Source {
     pub(crate) id: MemberId,
     version: Version,
     digest: Digest,
+    /// Whether the member knows this digest to be the table's.
     proven: bool,
+    /// The member that wrote the configuration to the table; zero if unknown.
     origin: MemberId,
 }
 
+/// A pull in progress.
 struct Pull {
     from: MemberId,
     deadline: Micros,
+    /// What the member had announced, if it was remembered as a source.
     source: Option<Source>,
 }
 
-/// The configuration here and what is under way for the next one.
+/// The configuration in force here and the state of pulling the next one.
 pub(crate) struct Spread {
     pub(crate) row: TableRow,
-    /// The table is known to hold this digest for this version.
+    /// Whether the table is known to hold this digest for this version.
     pub(crate) proven: bool,
-    /// Datagrams in which the change is still told.
+    /// Number of datagrams that still announce the change as new.
     pub(crate) announcements_left: u32,
-    /// Another text of the same version is about.
+    /// Whether another text with the same version was seen.
     pub(crate) contested: bool,
+    /// The member that wrote this configuration to the table and collects reports; zero if
+    /// unknown.
     origin: MemberId,
+    /// Members to pull from.
     sources: Vec<Source>,
     pull: Option<Pull>,
+    /// Consecutive failed pulls.
     failures: u32,
+    /// When the next pull may start.
     retry_at: Micros,
 }
 
@@ -77,6 +87,7 @@
 }
 
 impl Spread {
+    /// When dissemination has work to do next.
     pub(crate) fn due(&self) -> Micros {
         match &self.pull {
             Some(p) => p.deadline,
@@ -85,12 +96,12 @@
         }
     }
 
-    /// When the next pull may start at the latest.
+    /// When the next pull can start at the latest.
     pub(crate) fn next_pull_at(&self) -> Micros {
         self.pull.as_ref().map_or(self.retry_at, |p| p.deadline)
     }
 
-    /// Whom to tell that the change is in force; nobody once it is old.
+    /// The member to report the change to; zero once the change is no longer announced.
     pub(crate) fn report_origin(&self) -> u64 {
         match self.announcements_left {
             0 => 0,
@@ -103,15 +114,18 @@
         self.failures > 0
     }
 
+    /// Whether a pull can start now.
     pub(crate) fn is_idle(&self, now: Micros) -> bool {
         self.pull.is_none() && self.retry_at <= now
     }
 
-    /// Asks a member again only if nobody else is ahead.
+    /// Moves a member to the front of the list, which is pulled from last: it is asked again only
+    /// if no other source has the version.
     fn deprioritize(&mut self, from: MemberId) {
         self.sources.sort_by_key(|s| s.id != from);
     }
 
+    /// Adds or refreshes a source; the oldest one is dropped at the bound.
     fn add_source(&mut self, s: Source) {
         self.sources.retain(|o| o.id != s.id);
         if self.sources.len() >= SOURCES_MAX {
@@ -127,13 +141,13 @@
             let from = p.from;
             self.pull_failed(from);
         }
-        // A process that joins gets the text with the whole list.
+        // A joining process gets the text with the complete member list.
         if self.spread.is_idle(self.now) && !self.join.is_trying() {
             self.pull_text(out);
         }
     }
 
-    /// Compares a sender's configuration with the one here.
+    /// Compares a sender's configuration with the local one.
     pub(crate) fn compare_config(&mut self, k: MemberKey, p: &Packet, out: &mut Vec<Action>) {
         let digest = Digest::from_wire(&p.digest).unwrap_or_default();
         let version = Version(p.version);
@@ -157,7 +171,7 @@
         }
     }
 
-    /// Puts a configuration in force and tells a few members.
+    /// Puts a configuration in force.
     pub(crate) fn adopt(&mut self, row: TableRow, proven: bool, out: &mut Vec<Action>) {
         let version = row.version;
         self.spread.row = row.clone();
@@ -169,7 +183,7 @@
         out.push(Action::Adopt(row));
     }
 
-    /// Tells a few members at once, and whoever waits for the change that it is here.
+    /// Notifies a few members at once, and reports to the member that wrote the change.
     pub(crate) fn announce_config(&mut self, origin: MemberId, out: &mut Vec<Action>) {
         self.spread.origin = origin;
         self.spread.announcements_left = self.limit();
@@ -179,11 +193,13 @@
         self.send_report(out);
     }
 
-    /// Takes what a sender knows more about the configuration that both have.
+    /// Takes over what a sender with the same configuration knows in addition: whether the table
+    /// holds it, and which member wrote it.
     ///
-    /// A reader of the table may find a change as soon as its writer, and what it spreads names
-    /// no writer. Unless such members report when they hear of the writer, hundreds have to be
-    /// asked, and one would notice an `apply` that takes seconds longer now and then.
+    /// A reader of the table may find a change at the same time as its writer, and what the reader
+    /// spreads names no writer. Unless members that got the change from it report once they learn
+    /// the writer, hundreds of them have to be polled, and an `apply` takes seconds longer now and
+    /// then.
     fn on_same_text(&mut self, p: &Packet, out: &mut Vec<Action>) {
         if p.proven {
             self.mark_proven();
@@ -195,7 +211,7 @@
         }
     }
 
-    /// Tells whoever waits for the change that it is in force here.
+    /// Reports to the member that wrote the change that it is in force here.
     fn send_report(&mut self, out: &mut Vec<Action>) {
         let origin = self.view.key(self.spread.origin);
         let to = origin.and_then(|k| self.view.member(k)).map(|m| m.udp);
@@ -205,12 +221,12 @@
         }
     }
 
-    /// A configuration that this process wrote to the table.
+    /// Handles a configuration that this process wrote to the table.
     pub(crate) fn accepted(&mut self, row: TableRow, out: &mut Vec<Action>) {
         let mine = &self.spread.row;
         match row.version.cmp(&mine.version) {
             Ordering::Less => return,
-            // A reader of the table was faster than the table's answer.
+            // A reader of the table found the change before the writer got the table's answer.
             Ordering::Equal if row.digest == mine.digest => self.mark_proven(),
             _ => self.adopt(row, true, out),
         }
@@ -218,7 +234,8 @@
         self.expect_reports();
     }
 
-    /// Starts a pull if none is under way; at most one at a time bounds what a process fetches.
+    /// Starts a pull. Callers check that none is in progress: one at a time bounds the traffic of
+    /// a process.
     pub(crate) fn pull(&mut self, from: MemberId, scope: PullScope, out: &mut Vec<Action>) {
         let Some(m) = self.view.key(from).and_then(|k| self.view.member(k)) else {
             return;
@@ -234,6 +251,7 @@
         out.push(Action::Pull { from, tcp, scope });
     }
 
+    /// Handles the answer to a pull.
     pub(crate) fn pulled(&mut self, from: MemberId, answer: Answer, out: &mut Vec<Action>) {
         let pull = self.spread.pull.take_if(|p| p.from == from);
         let source = pull.and_then(|p| p.source);
@@ -244,11 +262,13 @@
         }
         let joining = self.join.is_list_pending();
         let whole = !answer.members.is_empty();
-        // A later life at the same address knows nothing yet and would look like an empty fleet.
+        // A later process at the same address has no state yet, and its answer would look like an
+        // empty fleet.
         let other = whole && answer.members.iter().all(|m| m.id != from);
         let behind = source.is_some_and(|s| answer.version < s.version);
-        // So does one that joins itself, as when all entries restart together. Were its list taken
-        // for whole, this process would serve only once it is found or reads the table.
+        // Likewise a member that is itself still joining, as when all entries restart together. If
+        // its list were taken as complete, this process would get the configuration only once
+        // another member contacts it or it reads the table.
         let fresh = joining
             && self
                 .newest_source()
@@ -272,7 +292,7 @@
         }
     }
 
-    /// The live member that is known to be the furthest ahead, while pulls from others may fail.
+    /// The live member with the newest known version; none after too many failed pulls.
     pub(crate) fn newest_source(&self) -> Option<Source> {
         let live = |s: &&Source| self.view.key(s.id).is_some_and(|k| self.view.is_live(k));
         let sources = self.spread.sources.iter().filter(live);
@@ -280,7 +300,7 @@
         top.filter(|_| self.spread.failures < FAILURES_BEFORE_TABLE)
     }
 
-    /// A pull came to nothing: another member is asked, later and later.
+    /// Handles a failed pull: the next one asks another member, after a growing backoff.
     pub(crate) fn pull_failed(&mut self, from: MemberId) {
         if self.spread.pull.take_if(|p| p.from == from).is_some() {
             self.counters.pull_failures += 1;
@@ -289,7 +309,8 @@
         }
     }
 
-    /// A text comes from the next member sooner than a lost connection is noticed.
+    /// The timeout of a pull. That of a text pull is short at first, so that another member is
+    /// asked before a lost connection would be noticed.
     fn pull_timeout(&self, scope: PullScope) -> Micros {
         let text = Micros(self.settings.config_pull_timeout.0 << self.spread.failures.min(8));
         match scope {
@@ -299,6 +320,7 @@
         }
     }
 
+    /// Schedules the next pull after a failure, and a read of the table after several.
     fn back_off(&mut self) {
         self.spread.failures += 1;
         let doubled = match self.join.is_trying() {
@@ -314,7 +336,8 @@
         }
     }
 
-    /// Adopts a pulled text if it is newer, or if it is the table's choice of two.
+    /// Adopts a pulled text if its version is newer, or if it is known to be the table's text for
+    /// the version here and the local one is not.
     fn adopt_if_newer(
         &mut self,
         row: TableRow,
@@ -333,13 +356,14 @@
             return;
         }
         self.adopt(row, proven, out);
-        // A restarted process gets what all others have; that is no news.
+        // A restarted process only catches up with the others, so it has nothing to announce.
         if !joining {
             let origin = source.map_or(MemberId(0), |s| s.origin);
             self.announce_config(origin, out);
         }
     }
 
+    /// Pulls the text from the source with the newest version.
     fn pull_text(&mut self, out: &mut Vec<Action>) {
         let spread = &mut self.spread;
         let view = &self.view;
@@ -355,8 +379,8 @@
         }
     }
 
-    /// Two texts of one version: the one that is known to be the table's is taken; if neither
-    /// is, the table is asked.
+    /// Handles two texts of one version: the one known to be the table's wins; if that is known of
+    /// neither or of both, the table is read.
     fn on_conflicting_text(&mut self, s: Source) {
         self.counters.version_conflicts += 1;
         match (s.proven, self.spread.proven) {
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -1,35 +1,39 @@
-//! Who reads the platform's table, and when.
+//! Which members read the platform's table, and when.
 //!
-//! The table takes about two thousand reads a second for everyone. If each of 1,180 members
-//! read it once a second, more than half of that would be gone, and a herd of restarts in step
-//! would take all. So the few members with the highest rendezvous score read for the fleet; views
-//! that differ for a while give a few readers more or fewer, which does no harm.
+//! The table handles about two thousand reads a second for all clients. If each of 1,180 members
+//! read it once a second, that would use more than half, and a mass restart with synchronized
+//! reads would use all of it. So only the few members with the highest rendezvous scores read it
+//! for the fleet. Views that differ for a while yield a few readers more or fewer, which does no
+//! harm.
 
 use model::{MemberId, Micros};
 
 use crate::view::mix;
 use crate::{Action, Fleet, MemberState, TableRead, TableRow};
 
-/// Wait before the first read while others may still be found; spreads a cold start of 1,180
-/// over this and half as much again.
+/// Base delay of the first read while other members may still be found; with jitter, a cold start
+/// of 1,180 members spreads its reads between half and one and a half times this delay.
 const JOIN_READ_WAIT: Micros = Micros::from_secs(3);
-/// Wait before the first read of a process that was given no seeds.
+/// Base delay of the first read of a process that was given no seeds.
 const NO_SEEDS_READ_WAIT: Micros = Micros::from_millis(100);
-/// How much longer a process waits between reads that knows nobody: if each of 1,180 were cut
-/// off from all others but not from the table, they would read 236 times a second together.
+/// Factor on the read interval of a process without live members in its view. If all 1,180 members
+/// were cut off from each other but not from the table, they would together read it 236 times a
+/// second.
 const ISOLATED_FACTOR: u64 = 5;
-/// Share of the fleet's reads that settles a contested version, as a time for each member: a
-/// hundred reads a second.
+/// Random delay per member of the fleet before a contested version is looked up in the table;
+/// limits these reads to a hundred a second.
 const CONTEST_WAIT_PER_MEMBER: Micros = Micros::from_millis(10);
-/// How long an answer is awaited.
+/// How long to wait for the answer to a read.
 const READ_TIMEOUT: Micros = Micros::from_secs(10);
 
-/// State of the reads.
+/// State of table reads.
 pub(crate) struct TableReader {
     read_at: Micros,
-    /// Read even if others are the readers.
+    /// Read next time even if this process is not one of the readers.
     forced: bool,
+    /// Whether a read has no answer yet.
     in_flight: bool,
+    /// Consecutive failed reads.
     failures: u32,
 }
 
@@ -45,18 +49,20 @@
 }
 
 impl TableReader {
+    /// When the next read is due.
     pub(crate) fn due(&self) -> Micros {
         self.read_at
     }
 }
 
 impl Fleet {
+    /// Schedules the first read.
     pub(crate) fn start_reads(&mut self) {
         let wait = self.jitter(NO_SEEDS_READ_WAIT);
         self.reader.read_at = self.now + wait;
     }
 
-    /// Puts the first read off while others may be found.
+    /// Postpones the first read while other members may still be found.
     pub(crate) fn delay_reads(&mut self) {
         if self.counters.table_reads == 0 {
             let wait = self.jitter(JOIN_READ_WAIT);
@@ -64,6 +70,8 @@
         }
     }
 
+    /// Reads the table if a read is due and this process is a reader or a read is forced. A read
+    /// without an answer counts as failed.
     pub(crate) fn run_reads(&mut self, out: &mut Vec<Action>) {
         if self.reader.read_at > self.now {
             return;
@@ -83,7 +91,7 @@
         }
     }
 
-    /// Takes in what the table says; it decides between two texts of one version.
+    /// Handles the result of a read. The table decides between two texts of one version.
     pub(crate) fn table_read(&mut self, read: TableRead, out: &mut Vec<Action>) {
         self.reader.in_flight = false;
         match read {
@@ -101,7 +109,7 @@
         }
     }
 
-    /// The digest here is known to be the table's.
+    /// Records that the table holds the digest in force here.
     pub(crate) fn mark_proven(&mut self) {
         self.spread.proven = true;
         if self.spread.contested {
@@ -110,7 +118,7 @@
         }
     }
 
-    /// Reads within a time, reader or not.
+    /// Forces a read within the given time, whether or not this process is a reader.
     pub(crate) fn read_soon(&mut self, wait: Micros) {
         if self.reader.in_flight || self.reader.forced {
             return;
@@ -119,7 +127,8 @@
         self.reader.read_at = self.reader.read_at.min(self.now + wait);
     }
 
-    /// Asks the table which of two texts holds, spread over the fleet.
+    /// Schedules a read to find out which of two texts the table holds; the reads of all members
+    /// are spread over time.
     pub(crate) fn resolve_by_table(&mut self) {
         if !self.spread.contested {
             self.spread.contested = true;
@@ -129,6 +138,7 @@
         }
     }
 
+    /// Compares the row of the table with the configuration in force here.
     fn evaluate_row(&mut self, row: TableRow, out: &mut Vec<Action>) {
         let mine = &self.spread.row;
         let same = row.version == mine.version;
@@ -144,6 +154,7 @@
         }
     }
 
+    /// Schedules the next regular read, with backoff after failures.
     fn schedule_read(&mut self) {
         let every = match self.view.live() {
             0 => self.settings.read_interval.0 * ISOLATED_FACTOR,
@@ -155,7 +166,7 @@
         self.reader.read_at = self.now + wait;
     }
 
-    /// Whether this process is among the highest scores of the live view.
+    /// Whether this process has one of the highest scores among the live members.
     fn is_reader(&self) -> bool {
         let score = |id: MemberId| mix(id.0, 0x7461_626c);
         let mine = score(self.me.id);
