--- a/crates/fleet/src/convict.rs
+++ b/crates/fleet/src/convict.rs
@@ -1,8 +1,9 @@
-//! Fingerprints of requests that crash their targets.
+//! Convictions: fingerprints of requests that crash their targets.
 //!
-//! A caller sends a crashing request again, through other entries; unless all of them know it,
-//! each costs one more target. Expiry is carried as wall-clock time, so that a replayed datagram
-//! can't renew it, and is cut to [`TTL_MAX`], so that a wrong clock can't convict for good.
+//! A caller may send a crashing request again through other entries, and each entry without the
+//! conviction costs one more target. The expiry is sent as wall-clock time, so that a replayed
+//! datagram cannot extend it, and is limited to [`TTL_MAX`], so that a wrong clock cannot block a
+//! request indefinitely.
 
 use std::collections::HashMap;
 
@@ -11,38 +12,41 @@
 
 use crate::packet::{Mark, Packet};
 
-/// Bound on the convictions kept, 64 bytes each; the first to expire goes.
+/// Bound on stored convictions, 64 bytes each; the first to expire is evicted.
 const CONVICTIONS_MAX: usize = 256;
-/// Longest time that a conviction holds.
+/// Longest time that a conviction lasts.
 const TTL_MAX: Micros = Micros::from_secs(3_600);
-/// Most that ride on one datagram, so that membership keeps its room.
+/// Most convictions in one datagram, so that room is left for membership updates.
 const PER_DATAGRAM_MAX: usize = 4;
-/// Tag and length in front of a mark in a datagram.
+/// Bytes of tag and length in front of a mark in a datagram.
 const MARK_OVERHEAD: usize = 2;
 
-/// A request that is to be refused.
+/// A request to be refused because it crashes its targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Conviction {
     /// Digest of the request.
     pub fingerprint: u128,
-    /// When it may be tried again, on the driver's clock.
+    /// When the conviction expires, on the driver's clock.
     pub until: Micros,
 }
 
+/// A stored conviction.
 struct Stored {
     until: Micros,
+    /// Number of datagrams that carried it.
     sends: u32,
 }
 
-/// The convictions known here.
+/// The convictions known to this process.
 #[derive(Default)]
 pub(crate) struct Convictions {
     stored: HashMap<u128, Stored>,
+    /// Fingerprints that are still to be gossiped.
     pending: Vec<u128>,
 }
 
 impl Convictions {
-    /// Takes one in; true if it is new or holds longer than known.
+    /// Stores a conviction; true if it is new or expires later than the stored one.
     pub(crate) fn add(&mut self, now: Micros, c: Conviction) -> bool {
         let until = c.until.min(now + TTL_MAX);
         self.stored.retain(|_, k| k.until > now);
@@ -58,7 +62,7 @@
         true
     }
 
-    /// All that hold.
+    /// The convictions that have not expired.
     pub(crate) fn iter(&self, now: Micros) -> impl Iterator<Item = Conviction> + '_ {
         let live = self.stored.iter().filter(move |(_, k)| k.until > now);
         live.map(|(&fingerprint, k)| Conviction {
@@ -67,12 +71,12 @@
         })
     }
 
-    /// Whether some are still to be passed on.
+    /// Whether any conviction is still to be gossiped.
     pub(crate) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Adds a few to a datagram.
+    /// Adds pending convictions to a datagram, as far as they fit.
     pub(crate) fn fill(&mut self, p: &mut Packet, mut room: usize, limit: u32, epoch: Micros) {
         let n = self.pending.len().min(PER_DATAGRAM_MAX);
         self.pending.rotate_left(n);
@@ -94,6 +98,7 @@
             .retain(|f| stored.get(f).is_some_and(|k| k.sends < limit));
     }
 
+    /// Evicts the first conviction to expire if there are too many.
     fn evict_excess(&mut self) {
         if self.stored.len() <= CONVICTIONS_MAX {
             return;
--- a/crates/fleet/src/in_force.rs
+++ b/crates/fleet/src/in_force.rs
@@ -1,52 +1,54 @@
-//! How far the configuration is in force.
+//! Tracks on how many members the configuration is in force.
 //!
-//! The operator's `apply` returns when every live member reports the change and names those that
-//! don't. With two pings a second it would take this process minutes to hear from 1,180 members,
-//! so each member tells the one that wrote the change as soon as it has it, once, and only those
-//! that haven't reported within half a second are asked.
+//! The operator's `apply` returns when every live member has reported the change, and names those
+//! that have not. With two probes a second, this process would need minutes to get an ack from
+//! each of 1,180 members. So each member sends one report to the writer of a change as soon as it
+//! has it, and only members that have not reported within half a second are polled.
 
 use model::{MemberId, Micros, Version};
 use rand::seq::IndexedRandom;
 
 use crate::{Action, Fleet};
 
-/// Members asked in one round for the version they have.
+/// Members polled for their version in one round.
 const POLL_BATCH: usize = 64;
-/// Time that members have to report a change by themselves; 99 of 100 have it in that time at
-/// 1,180 members and 1% loss (examples/slopes).
+/// Time for members to report a change unasked; at 1,180 members and 1% loss, 99 of 100 have the
+/// change within that time (see examples/slopes).
 const REPORT_WAIT: Micros = Micros::from_millis(500);
-/// Time between two rounds of asking.
+/// Time between two rounds of polling.
 const POLL_INTERVAL: Micros = Micros::from_millis(250);
-/// How long to go on asking.
+/// How long to keep polling.
 const POLL_DURATION: Micros = Micros::from_secs(60);
 
-/// A live member without the newest configuration, as far as is known here.
+/// A live member that is not known to have the newest configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingMember {
-    /// Which member.
+    /// Id of the member.
     pub id: MemberId,
-    /// Where it runs.
+    /// Host that it runs on.
     pub host: String,
-    /// What it last reported; none if nothing was heard.
+    /// The version that it reported last; none if it has not reported any.
     pub version: Option<Version>,
 }
 
-/// How far the configuration here is in force.
+/// On how many members the configuration of this process is in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InForce {
-    /// The version asked about.
+    /// The version in force on this process.
     pub version: Version,
-    /// Live members, this process included.
+    /// Number of live members, including this process.
     pub live: usize,
-    /// Those that report it or a later one, this process included.
+    /// Number of members that report this or a later version, including this process.
     pub current: usize,
-    /// The others.
+    /// The remaining live members.
     pub lagging: Vec<LaggingMember>,
 }
 
-/// When to ask members that haven't reported.
+/// Timer for polling members that have not reported the configuration.
 pub(crate) struct VersionPoll {
+    /// When to poll next.
     at: Micros,
+    /// When to stop polling.
     until: Micros,
 }
 
@@ -60,13 +62,14 @@
 }
 
 impl VersionPoll {
+    /// When the next poll is due.
     pub(crate) fn due(&self) -> Micros {
         self.at
     }
 }
 
 impl Fleet {
-    /// Who among the live members has the configuration that is in force here.
+    /// Which live members have the configuration that is in force here.
     pub fn in_force(&self) -> InForce {
         let version = self.version();
         let live = self.view.iter().filter(|(_, e)| e.member.state.is_live());
@@ -86,24 +89,26 @@
         }
     }
 
-    /// Gives members some time to report a change before they are asked.
+    /// Gives members time to report a change before they are polled.
     pub(crate) fn expect_reports(&mut self) {
         self.version_poll.at = self.now + REPORT_WAIT;
         self.version_poll.until = self.now + POLL_DURATION;
     }
 
-    /// Begins to ask members that haven't reported the configuration.
+    /// Starts polling at once.
     pub(crate) fn poll_versions_now(&mut self) {
         self.version_poll.at = self.now;
         self.version_poll.until = self.now + POLL_DURATION;
     }
 
+    /// Polls if a round is due.
     pub(crate) fn run_version_poll(&mut self, out: &mut Vec<Action>) {
         if self.version_poll.at <= self.now {
             self.poll_versions(out);
         }
     }
 
+    /// Pings members that have not reported the configuration; their acks carry the version.
     fn poll_versions(&mut self, out: &mut Vec<Action>) {
         let version = self.version();
         let live = self.view.iter().filter(|(_, e)| e.member.state.is_live());
--- a/crates/fleet/src/rumor.rs
+++ b/crates/fleet/src/rumor.rs
@@ -1,8 +1,8 @@
-//! Updates waiting to ride on datagrams.
+//! Queue of updates to be piggybacked on datagrams.
 //!
-//! Each update is passed on a number of times that grows with the logarithm of the fleet, the
-//! least told first. Hearing an update again counts as a time, since it shows that others tell
-//! it. Without the bound, a burst of changes would fill every datagram for good.
+//! Each update is sent a number of times that grows with the logarithm of the fleet size, the
+//! least sent first. Receiving a queued update counts as sending it, since it shows that others
+//! spread it too. Without this bound, a burst of changes would fill every datagram indefinitely.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -11,32 +11,35 @@
 
 use crate::packet::{Packet, Update, BODY_MAX};
 
-/// Bound on the updates that wait; some more than a whole fleet that restarts.
+/// Bound on queued updates; somewhat more than a restart of the whole fleet needs.
 const QUEUE_MAX: usize = 4_096;
-/// Updates that a member can pass on within some five seconds: it sends about 14 datagrams a
-/// second with 9 descriptions each, and each description about 10 times.
+/// Number of updates that a member can spread within some five seconds: it sends about 14
+/// datagrams a second with 9 descriptions each, and each description about 10 times.
 const BACKLOG_MAX: usize = 64;
-/// Tag and length in front of an update in a datagram.
+/// Bytes of tag and length in front of an update in a datagram.
 const UPDATE_OVERHEAD: usize = 3;
 
-/// Place in the queue: the least told first, then the newest.
+/// Position in the queue: the least sent first, then the newest.
 type QueueKey = (u32, Reverse<u64>);
 
+/// A queued update and its encoded form.
 struct Rumor {
     update: Update,
     bytes: Vec<u8>,
 }
 
-/// A bounded queue with one update per member.
+/// A bounded queue with at most one update per member.
 #[derive(Default)]
 pub(crate) struct Rumors {
     queue: BTreeMap<QueueKey, Rumor>,
+    /// Queue position by member id.
     keys: HashMap<u64, QueueKey>,
+    /// Number of insertions; orders updates by age.
     count: u64,
 }
 
 impl Rumors {
-    /// Queues an update in place of an older one of the same member.
+    /// Queues an update; replaces an older one about the same member.
     pub(crate) fn push(&mut self, update: Update) {
         if let Some(old) = self.keys.remove(&update.id) {
             self.queue.remove(&old);
@@ -49,7 +52,7 @@
         self.put(0, Rumor { update, bytes });
     }
 
-    /// Counts an update that came back.
+    /// Counts a received update as one sent, if the same update is queued.
     pub(crate) fn count_received(&mut self, update: &Update, limit: u32) {
         let Some(&key) = self.keys.get(&update.id) else {
             return;
@@ -61,18 +64,18 @@
         }
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Whether more waits than datagrams can carry in a few seconds, as when hundreds start
-    /// together; whole lists are pulled then.
+    /// Whether more updates are queued than datagrams can carry in a few seconds, as when hundreds
+    /// of members start together. Complete lists are pulled then.
     pub(crate) fn is_backlogged(&self) -> bool {
         self.queue.len() > BACKLOG_MAX
     }
 
-    /// Adds what fits to an encoded datagram, the least told first.
+    /// Appends the updates that fit to an encoded datagram, the least sent first.
     pub(crate) fn fill(&mut self, body: &mut Vec<u8>, limit: u32) {
         let mut sent = Vec::new();
         while let Some(e) = self.queue.first_entry() {
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Puts an update back unless it was told often enough.
+    /// Puts an update back, or drops it once it was sent often enough.
     fn requeue(&mut self, sends: u32, r: Rumor, limit: u32) {
         match sends < limit {
             true => self.put(sends, r),
