--- a/crates/fleet/src/counters.rs
+++ b/crates/fleet/src/counters.rs
@@ -1,38 +1,39 @@
-//! Counts for metrics.
+//! Event counts for metrics.
 
-/// What has happened since the start; for metrics.
+/// Event counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes in them.
+    /// Bytes of sent datagrams.
     pub sent_bytes: u64,
-    /// Datagrams that came in, good or bad.
+    /// Datagrams received, valid or not.
     pub received: u64,
-    /// Datagrams whose seal didn't hold.
+    /// Received datagrams that failed authentication.
     pub bad_seal: u64,
-    /// Datagrams that couldn't be decoded or were too large.
+    /// Received datagrams or descriptions in them that could not be decoded, and datagrams that
+    /// were too large.
     pub bad_packet: u64,
-    /// Reports and answers that were older than what was known, as in replayed datagrams.
+    /// Claims older than the view, as in replayed datagrams.
     pub stale: u64,
-    /// Members that this process began to suspect by itself.
+    /// Suspicions raised by this process itself.
     pub suspected: u64,
     /// Members that this process declared dead.
     pub declared_dead: u64,
-    /// Accusations of this process that it refuted.
+    /// Suspicions and death claims about this process that it refuted.
     pub refuted: u64,
-    /// Times that this process was found to have been paused.
+    /// Pauses of this process that it detected.
     pub paused: u64,
-    /// Pulls asked for.
+    /// Pulls started.
     pub pulls: u64,
     /// Pulls that failed.
     pub pull_failures: u64,
-    /// Reads of the table asked for.
+    /// Reads of the table started.
     pub table_reads: u64,
     /// Reads of the table that failed.
     pub table_read_failures: u64,
-    /// Reads that gave an older version than is in force, as after a restored backup.
+    /// Reads that returned an older version than the one in force, as after restoring a backup.
     pub table_behind: u64,
-    /// Times that another text of the same version was seen.
+    /// Times that another text with the same version was seen.
     pub version_conflicts: u64,
 }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,4 +1,4 @@
-//! What a driver tells a [`Fleet`](crate::Fleet), and what it is told to do.
+//! Input and output of a [`Fleet`](crate::Fleet): events from its driver and actions for it.
 
 use std::net::SocketAddr;
 
@@ -11,32 +11,32 @@
 /// The newest configuration in the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableRow {
-    /// Its version.
+    /// Version of the configuration.
     pub version: Version,
-    /// The digest of its text.
+    /// Digest of the text.
     pub digest: Digest,
-    /// Its text.
+    /// Text of the configuration.
     pub text: Bytes,
 }
 
-/// The table gave no answer.
+/// The table did not answer a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the platform's table gave no answer")]
+#[error("the platform's table did not answer")]
 pub struct TableUnavailable;
 
-/// What a read of the table gave.
+/// Result of a read of the table.
 pub type TableRead = Result<Option<TableRow>, TableUnavailable>;
 
-/// A host as the platform's lagging list has it.
+/// A host in the platform's host list, which lags behind the real state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostEntry {
-    /// Its name, as in [`Member::host`].
+    /// Name of the host, as in [`Member::host`].
     pub name: String,
-    /// Whether the platform has announced that it goes.
+    /// Whether the platform has announced that the host is leaving.
     pub leaving: bool,
 }
 
-/// How much a pull asks for.
+/// What a pull asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PullScope {
     /// The configuration alone.
@@ -45,63 +45,63 @@
     All,
 }
 
-/// Something happened outside.
+/// An event from outside the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The time asked for by [`Action::WakeAt`] has come.
+    /// The time requested by [`Action::WakeAt`] has come.
     Tick,
-    /// A datagram came in.
+    /// A datagram was received.
     Datagram {
-        /// Its source.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What it holds.
+        /// Sealed content.
         bytes: Bytes,
     },
-    /// Addresses to join through; replaces those given before.
+    /// Seed addresses to join through; replaces earlier ones.
     Seeds(Vec<SocketAddr>),
-    /// The platform's list of hosts.
+    /// The platform's host list.
     Hosts(Vec<HostEntry>),
-    /// The answer to [`Action::ReadTable`].
+    /// Result of [`Action::ReadTable`].
     Table(TableRead),
-    /// The answer to [`Action::Pull`].
+    /// Result of [`Action::Pull`].
     Pulled {
-        /// Who answered.
+        /// The member that was asked.
         from: MemberId,
-        /// What it answered.
+        /// The answer.
         answer: Answer,
     },
-    /// A pull came to nothing.
+    /// A pull failed.
     PullFailed {
-        /// Who was asked.
+        /// The member that was asked.
         from: MemberId,
     },
-    /// This process wrote a configuration to the table and knows that it took effect.
+    /// This process wrote a configuration to the table, and the table confirmed it.
     Accepted(TableRow),
-    /// A request was found here to crash its targets; the others are told.
+    /// This process found a request that crashes its targets; the conviction is gossiped.
     Convicted(Conviction),
-    /// Ask every live member which version it has, until all have the current one.
+    /// Poll all live members for their version until all have the current one.
     PollVersions,
-    /// This process will stop: finish what runs, take nothing new.
+    /// This process will stop: it finishes running work and accepts no new work.
     Leave,
     /// This process stops now.
     Quit,
 }
 
-/// Something to do outside.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination.
         to: SocketAddr,
-        /// Sealed bytes.
+        /// Sealed content.
         bytes: Bytes,
     },
-    /// Ask a member over TCP; answer with [`Event::Pulled`] or [`Event::PullFailed`].
+    /// Pull from a member over TCP; answer with [`Event::Pulled`] or [`Event::PullFailed`].
     Pull {
-        /// Whom.
+        /// The member to ask.
         from: MemberId,
-        /// Where it answers.
+        /// Its address for pulls.
         tcp: SocketAddr,
         /// What to ask for.
         scope: PullScope,
@@ -110,14 +110,14 @@
     ReadTable,
     /// Put this configuration in force.
     Adopt(TableRow),
-    /// A live member is new here.
+    /// A live member was added to the view.
     Joined(Member),
-    /// A live member's state or description changed.
+    /// The state or description of a live member changed.
     Changed(Member),
     /// A member is dead or has left.
     Gone(MemberId),
     /// Another process found that this request crashes its targets: refuse it.
     Convict(Conviction),
-    /// Give an [`Event::Tick`] at this time; a later one replaces it.
+    /// Deliver [`Event::Tick`] at this time; replaces the time requested before.
     WakeAt(Micros),
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,19 +1,21 @@
-//! Membership and spread of configuration, without a coordinator and without input or output.
+//! Gossip membership and dissemination of the configuration, without a coordinator and free of
+//! I/O.
 //!
-//! Each process runs one [`Fleet`]. Its driver hands in time and [`Event`]s and performs the
-//! [`Action`]s that come out; the same code runs in the daemon, in tests and in benches. Failure
-//! detection follows SWIM (Das, Gupta, Motivala 2002) with the refinements of Lifeguard
-//! (Dadgar, Phillips, Currey 2018): each period one member is pinged, first directly, then
-//! through members in other failure domains; who doesn't answer is suspected, and is dead only
-//! if it doesn't refute that with a higher incarnation in time. Updates ride on these messages,
-//! so the cost per process doesn't grow with the fleet but for a logarithm.
+//! Each process runs one [`Fleet`]. Its driver passes in the time and [`Event`]s and performs the
+//! resulting [`Action`]s; the same code runs in the daemon, in tests and in benchmarks. Failure
+//! detection follows SWIM (Das, Gupta, Motivala 2002) with the refinements of Lifeguard (Dadgar,
+//! Phillips, Currey 2018): each period one member is probed, first directly, then through members
+//! in other failure domains. A member that does not answer is suspected, and is declared dead
+//! unless it refutes the suspicion with a higher incarnation in time. Updates are piggybacked on
+//! these messages, so the cost per process grows only with the logarithm of the fleet size.
 //!
-//! Every datagram names the sender's configuration version. A process that is behind pulls the
-//! text from whoever is ahead and only ever adopts a higher version; the platform's table decides
-//! between two texts of one version, and a few readers watch it for all.
+//! Every datagram carries the sender's configuration version. A process with an older version
+//! pulls the text from a member with a newer one and only ever adopts higher versions. The
+//! platform's table decides between two texts of one version; a few members read it for the whole
+//! fleet.
 //!
-//! Order of reading: [`Fleet`], then `detect`, `merge`, `spread`, `table` and `join`, which each
-//! add one job to it.
+//! Suggested reading order: [`Fleet`], then `detect`, `merge`, `spread`, `table` and `join`, each
+//! of which adds one task to it.
 
 mod answer;
 mod convict;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,35 +1,35 @@
-//! What processes know of one another.
+//! Members of the fleet and their states.
 
 use std::net::SocketAddr;
 
 use model::{Incarnation, MemberId};
 
-/// What a process does for the system.
+/// Role of a process in the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts callers' requests.
     Entry,
-    /// Stands beside one target.
+    /// Runs beside one target.
     Sidecar,
 }
 
-/// What is believed of a process; later variants win within one incarnation.
+/// State of a member; within one incarnation, later variants override earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It works.
+    /// Working.
     Alive,
-    /// It works, but has announced that it will stop.
+    /// Working, but has announced that it will stop.
     Leaving,
-    /// It didn't answer and may yet refute that.
+    /// Did not answer a probe; can still refute the suspicion.
     Suspect,
-    /// It didn't refute the suspicion in time.
+    /// Did not refute the suspicion in time.
     Dead,
-    /// It said goodbye, or a later life took its address.
+    /// Announced its departure, or a later process took its address.
     Left,
 }
 
 impl MemberState {
-    /// Whether it may still do work.
+    /// Whether the member may still do work.
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Leaving | Self::Suspect)
     }
@@ -37,38 +37,38 @@
 
 /// A process of the system.
 ///
-/// `incarnation` starts at the wall clock's microseconds when the process starts, so that a
-/// later life at the same address has a higher one.
+/// `incarnation` starts at the wall clock's microseconds at the start of the process, so that a
+/// later process at the same address has a higher one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Drawn at random when it starts; never zero, which stands for nobody in datagrams.
+    /// Random id drawn at the start; never zero, which means no member in datagrams.
     pub id: MemberId,
-    /// What it does.
+    /// Role of the process.
     pub role: Role,
-    /// The host it runs on, as the platform names it.
+    /// The host it runs on, as named by the platform.
     pub host: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Its region.
+    /// Region of the host.
     pub region: String,
-    /// Where it takes datagrams.
+    /// Address for gossip datagrams.
     pub udp: SocketAddr,
-    /// Where it answers pulls and exchanges.
+    /// Address for pulls and exchanges.
     pub tcp: SocketAddr,
-    /// Where it answers callers and operators.
+    /// Address for callers and operators.
     pub http: Option<SocketAddr>,
-    /// The pool its target belongs to.
+    /// Pool of its target.
     pub pool: Option<String>,
-    /// A few words for its peers, such as the weights it serves.
+    /// Free text for other members, such as the weights it serves.
     pub tags: String,
-    /// Raised by itself alone.
+    /// Incarnation; raised only by the member itself.
     pub incarnation: Incarnation,
-    /// What is believed of it.
+    /// State as known to this process.
     pub state: MemberState,
 }
 
 impl Member {
-    /// What decides between two reports of one member.
+    /// Precedence between two claims about one member; the higher one wins.
     pub(crate) const fn rank(&self) -> (u64, MemberState) {
         (self.incarnation.0, self.state)
     }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,77 +1,81 @@
-//! Settings of membership and spread, with the grounds of their defaults.
+//! Settings of membership and dissemination, with the reasons for their defaults.
 
 use model::Micros;
 
 use crate::Keyring;
 
-/// All that a [`Fleet`](crate::Fleet) can be told before it starts.
+/// Settings of a [`Fleet`](crate::Fleet).
 ///
-/// All members should have the same values, but nothing breaks if they differ for a while.
+/// All members should use the same values, but temporary differences do no harm.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Keys that seal and open datagrams.
     pub keys: Keyring,
-    /// The wall clock (microseconds since 1970) at [`Micros::ZERO`] of the driver's clock. Only
-    /// expiry times of convictions use it.
+    /// Wall-clock time (microseconds since 1970) at [`Micros::ZERO`] of the driver's clock. Used
+    /// only for the expiry of convictions.
     pub epoch: Micros,
-    /// Time between two pings of this process. A dead member is first missed by someone after
-    /// about one period whatever the size, as all others ping.
+    /// Time between two probes by this process. Since every member probes, a dead member is first
+    /// noticed after about one period, whatever the fleet size.
     pub probe_period: Micros,
-    /// How long to wait for a direct answer before others are asked to ping. Ten times the
-    /// round trip within a region and five times that between regions.
+    /// How long to wait for a direct ack before requesting indirect probes. Ten times the round
+    /// trip within a region and five times that between regions.
     pub ack_timeout: Micros,
-    /// How many members are asked to ping one that didn't answer. With 1% loss a live one is
-    /// missed by all three ways about once in a million pings.
+    /// Number of indirect probes for a member that sent no ack. With 1% loss, a live member is
+    /// missed on all paths about once in a million probes.
     pub indirect_probes: usize,
-    /// Shortest suspicion, in periods times the decimal logarithm of the live members: time for
-    /// the accusation to reach the accused and for its answer to spread.
+    /// Shortest suspicion timeout, in periods times the decimal logarithm of the number of live
+    /// members: time for the suspicion to reach the suspected member and for the refutation to
+    /// spread.
     pub suspicion_mult: f64,
-    /// Longest suspicion, as a multiple of the shortest; holds until others confirm it.
+    /// Longest suspicion timeout, as a multiple of the shortest; applies until other members
+    /// confirm the suspicion.
     pub suspicion_max_mult: f64,
-    /// Confirmations by other members that bring the longest down to the shortest.
+    /// Number of confirmations that reduce the suspicion timeout to the shortest.
     pub confirmations: u32,
-    /// Highest value of the local health score, which stretches period and waits.
+    /// Highest local health score; the score lengthens the probe period and timeouts.
     pub health_score_max: u32,
-    /// Time between two rounds of spare datagrams while there is something to tell.
+    /// Time between two rounds of gossip datagrams while updates are queued.
     pub gossip_interval: Micros,
-    /// Members told in each such round.
+    /// Number of members that receive each such round.
     pub fanout: usize,
-    /// Members told at once when a configuration was adopted.
+    /// Number of members notified at once when a configuration is adopted.
     pub config_fanout: usize,
-    /// How often an update is passed on, times the decimal logarithm of the live members.
+    /// Transmissions of an update, per decimal logarithm of the number of live members.
     pub retransmit_mult: f64,
-    /// Time between two comparisons of the whole view with some member, before scaling with
-    /// the size.
+    /// Time between two comparisons of the whole view with another member (anti-entropy); grows
+    /// with the fleet size.
     pub sync_interval: Micros,
-    /// Time between two tries to reach a dead member or an unknown seed; heals splits.
+    /// Time between two attempts to reach a dead member or an unknown seed, which reunites a split
+    /// fleet.
     pub reconnect_interval: Micros,
-    /// How long a dead or departed member is remembered; more than the longest split of regions.
+    /// How long a dead or departed member is kept as a tombstone; longer than the longest split of
+    /// regions.
     pub tombstone_ttl: Micros,
-    /// Readers of the table at any time.
+    /// Number of members that read the table.
     pub table_readers: usize,
-    /// Time between two reads of a reader.
+    /// Time between two reads by a reader.
     pub read_interval: Micros,
-    /// Longest time between reads while the table is away.
+    /// Longest time between reads while the table is unavailable.
     pub read_interval_max: Micros,
-    /// How long a pull may take. Nothing else is pulled meanwhile, so a lost answer to a whole list
-    /// holds up a change for that long; an answer that comes later is still taken.
+    /// Timeout of a pull. No other pull runs meanwhile, so a lost answer to a pull of a complete
+    /// list delays a change by that long; an answer that arrives later is still used.
     pub pull_timeout: Micros,
-    /// How long a process that joins waits for the whole list before it asks another member; the
+    /// How long a joining process waits for the complete list before it asks another member; the
     /// list of 1,180 members has 118 KB and takes a few round trips.
     pub join_pull_timeout: Micros,
-    /// How long a pull of the text alone may take at first; doubles with each failure. Kilobytes
+    /// Initial timeout of a pull of the text alone; doubles with each failure. A few kilobytes
     /// take two round trips, so this is ten times what they need within a region.
     pub config_pull_timeout: Micros,
-    /// First wait after a failed pull; doubles.
+    /// First backoff after a failed pull; doubles.
     pub pull_backoff: Micros,
-    /// Longest wait after failed pulls.
+    /// Longest backoff after failed pulls.
     pub pull_backoff_max: Micros,
-    /// First wait for an answer from seeds; doubles up to [`Self::heal_every`].
+    /// First wait for an answer from seeds; doubles up to [`Self::reconnect_interval`].
     pub join_backoff: Micros,
 }
 
 impl Settings {
-    /// The defaults with the fleet's keys.
+    /// The default settings with the given keys.
     pub fn new(keys: Keyring) -> Self {
         Self {
             keys,
