--- a/crates/fleet/src/answer.rs
+++ b/crates/fleet/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a member answers to a pull over TCP.
+//! Answers to pulls over TCP.
 
 use bytes::Bytes;
 use model::Version;
@@ -7,6 +7,7 @@
 use crate::packet::{Mark, Update};
 use crate::{Conviction, Digest, Member, PacketError};
 
+/// The encoded form of an [`Answer`].
 #[derive(Clone, PartialEq, prost::Message)]
 struct AnswerBody {
     #[prost(uint64, tag = "1")]
@@ -21,23 +22,24 @@
     marks: Vec<Mark>,
 }
 
-/// What a member answers to a pull.
+/// The answer to a pull.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answer {
-    /// Version of its configuration; zero if it has none.
+    /// Version of the configuration; zero if the member has none.
     pub version: Version,
     /// Digest of the text.
     pub digest: Digest,
-    /// The text.
+    /// Text of the configuration.
     pub text: Bytes,
-    /// All members it knows, the dead included.
+    /// All members in the view, including tombstones and the answering member; empty if only the
+    /// configuration was asked for.
     pub members: Vec<Member>,
-    /// Convictions that hold, with expiry on the wall clock.
+    /// Unexpired convictions, with expiry as wall-clock time.
     pub convictions: Vec<Conviction>,
 }
 
 impl Answer {
-    /// The answer as bytes; the frame around them must be authenticated.
+    /// Encodes the answer. The frame around it must be authenticated.
     pub fn encode(&self) -> Bytes {
         let marks = self.convictions.iter();
         let body = AnswerBody {
@@ -50,7 +52,7 @@
         body.encode_to_vec().into()
     }
 
-    /// Reads and checks an answer.
+    /// Decodes and validates an answer.
     pub fn decode(bytes: Bytes) -> Result<Self, PacketError> {
         let body = AnswerBody::decode(bytes)?;
         let digest = Digest::from_wire(&body.digest)?;
--- a/crates/fleet/src/digest.rs
+++ b/crates/fleet/src/digest.rs
@@ -1,15 +1,15 @@
-//! The digest that tells two texts of one version apart.
+//! Digest of a configuration text; distinguishes two texts of one version.
 
 use bytes::Bytes;
 
 use crate::PacketError;
 
-/// 128 bits of a configuration's BLAKE3.
+/// The first 128 bits of the BLAKE3 hash of a text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; 16]);
 
 impl Digest {
-    /// The digest of a text.
+    /// Computes the digest of a text.
     pub fn of(text: impl AsRef<[u8]>) -> Self {
         let hash = blake3::hash(text.as_ref());
         let mut d = [0; 16];
@@ -17,6 +17,7 @@
         Self(d)
     }
 
+    /// The digest as a message field; empty for the default, which means no text.
     pub(crate) fn to_wire(self) -> Bytes {
         match self == Self::default() {
             true => Bytes::new(),
@@ -24,6 +25,7 @@
         }
     }
 
+    /// Reads the digest from a message field.
     pub(crate) fn from_wire(b: &Bytes) -> Result<Self, PacketError> {
         match b.len() {
             0 => Ok(Self::default()),
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,7 +1,7 @@
-//! Datagrams and pull answers as `prost` messages.
+//! Datagrams and answers to pulls as `prost` messages.
 //!
-//! Decoding trusts nothing: a field out of range is a [`PacketError`], never a panic, since a
-//! member of another release or with broken memory may hold the key too.
+//! Decoding validates everything: a field out of range yields a [`PacketError`], never a panic,
+//! since a member of another release or with faulty memory may also hold the key.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -14,66 +14,67 @@
 use crate::seal::{Keyring, SealError, OVERHEAD};
 use crate::{Conviction, Digest, Member, MemberState, Role};
 
-/// Largest datagram: fits the smallest usual path MTU, so that none is fragmented and lost whole
-/// when one fragment is.
+/// Largest datagram. It fits the smallest common path MTU, so that no datagram is fragmented and
+/// lost when one fragment is.
 pub const DATAGRAM_MAX: usize = 1_200;
-/// Largest body under a seal.
+/// Largest body inside a seal.
 pub(crate) const BODY_MAX: usize = DATAGRAM_MAX - OVERHEAD;
-/// Longest text in a member's description.
+/// Longest text field in a member's description, in bytes.
 const TEXT_MAX: usize = 255;
 
-/// Why a datagram or an answer can't be used.
+/// Why a datagram or an answer was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PacketError {
-    /// Its seal doesn't hold.
+    /// Authentication failed.
     #[error(transparent)]
     Seal(#[from] SealError),
     /// Larger than [`DATAGRAM_MAX`].
-    #[error("a datagram of {0} bytes is too large")]
+    #[error("datagram too large: {0} bytes")]
     Large(usize),
-    /// Not of this format.
-    #[error("a message can't be decoded: {0}")]
+    /// Not a valid message.
+    #[error("invalid message: {0}")]
     Format(#[from] prost::DecodeError),
-    /// An address of neither family.
-    #[error("an address has {0} bytes")]
+    /// An address that is neither IPv4 nor IPv6.
+    #[error("invalid address length: {0} bytes")]
     Addr(usize),
     /// A digest of the wrong length.
-    #[error("a digest has {0} bytes")]
+    #[error("invalid digest length: {0} bytes")]
     Digest(usize),
-    /// A number that names nothing.
-    #[error("the number {0} names no kind, state or role")]
+    /// An unknown enum value.
+    #[error("unknown kind or state: {0}")]
     Number(i32),
-    /// A description with a text that is too long.
-    #[error("a text of {0} bytes is too long")]
+    /// A text field that is too long.
+    #[error("text field too long: {0} bytes")]
     Text(usize),
-    /// A member that is described without a part it must have.
-    #[error("a member lacks its description")]
+    /// A member without its description.
+    #[error("member without description")]
     Detail,
-    /// Text that doesn't match its digest.
-    #[error("a configuration doesn't match its digest")]
+    /// A configuration text that does not match its digest.
+    #[error("configuration text does not match its digest")]
     Mismatch,
 }
 
-/// What a datagram is for.
+/// Kind of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Kind {
-    /// Carries updates and asks for nothing.
+    /// Carries updates; needs no reply.
     Gossip = 0,
-    /// Asks for an [`Kind::Ack`].
+    /// Requests an [`Kind::Ack`].
     Ping = 1,
-    /// Answers a ping.
+    /// Acknowledges a ping or a join request.
     Ack = 2,
-    /// Asks to ping another member.
+    /// Requests an indirect probe of another member.
     PingReq = 3,
-    /// The other member didn't answer the one who was asked.
+    /// The member probed on request sent no ack.
     Nack = 4,
-    /// Asks for an [`Kind::Ack`] that describes the sender and some others.
+    /// Requests an [`Kind::Ack`] that describes the receiver and some other members.
     Join = 5,
-    /// Tells whoever accepted a configuration that it is in force here.
+    /// Reports to the member that wrote a configuration that it is in force on the sender.
     Report = 6,
 }
 
+/// Wire form of [`MemberState`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum State {
@@ -84,46 +85,46 @@
     Left = 4,
 }
 
-/// A datagram: the sender's own state, then updates about others.
+/// A datagram: the sender's own state, then updates about other members.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Packet {
     /// A [`Kind`].
     #[prost(enumeration = "Kind", tag = "1")]
     pub kind: i32,
-    /// Ties an answer to its question.
+    /// Sequence number; matches a reply to its request.
     #[prost(fixed32, tag = "2")]
     pub seq: u32,
-    /// The sender.
+    /// Id of the sender.
     #[prost(fixed64, tag = "3")]
     pub from: u64,
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// What the sender says of itself.
+    /// State of the sender, as it announces it.
     #[prost(enumeration = "State", tag = "5")]
     pub state: i32,
-    /// The sender's configuration.
+    /// Version of the sender's configuration.
     #[prost(uint64, tag = "6")]
     pub version: u64,
     /// Digest of that configuration.
     #[prost(bytes = "bytes", tag = "7")]
     pub digest: Bytes,
-    /// Whether the digest is known to be the table's.
+    /// Whether that digest is known to be the table's.
     #[prost(bool, tag = "8")]
     pub proven: bool,
-    /// Who accepted that configuration; zero if nobody waits for reports.
+    /// The member that wrote that configuration; zero if no reports are expected.
     #[prost(fixed64, tag = "9")]
     pub origin: u64,
     /// Digest of the sender's view.
     #[prost(fixed64, tag = "10")]
     pub view: u64,
-    /// Whom it is for or about; zero for anyone.
+    /// The member that the datagram is for or about; zero for any.
     #[prost(fixed64, tag = "11")]
     pub to: u64,
-    /// Address of the member to ping.
+    /// Address of the member to probe.
     #[prost(bytes = "bytes", tag = "12")]
     pub addr: Bytes,
-    /// The sender doesn't know the receiver and wants its description.
+    /// Whether the receiver is unknown to the sender and should send its description.
     #[prost(bool, tag = "13")]
     pub ask: bool,
     /// Updates about members.
@@ -134,27 +135,28 @@
     pub marks: Vec<Mark>,
 }
 
-/// A report about one member.
+/// A claim about one member.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Update {
-    /// About whom.
+    /// Id of the member.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
-    /// Which incarnation.
+    /// Incarnation of the member.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// What is reported.
+    /// Claimed state.
     #[prost(enumeration = "State", tag = "3")]
     pub state: i32,
-    /// Who suspects it.
+    /// The member that suspects it.
     #[prost(fixed64, tag = "4")]
     pub by: u64,
-    /// Its description, for those that don't know it; decoded only if it is news, since most
-    /// updates are heard many times.
+    /// Its description, for receivers that lack it. Decoded only if the update is new, since most
+    /// updates arrive many times.
     #[prost(bytes = "bytes", optional, tag = "5")]
     pub detail: Option<Bytes>,
 }
 
+/// Description of a member.
 #[derive(Clone, PartialEq, prost::Message)]
 struct Detail {
     #[prost(bool, tag = "1")]
@@ -177,7 +179,7 @@
     tags: String,
 }
 
-/// A conviction, with its expiry on the wall clock.
+/// A conviction, with its expiry as wall-clock time.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Mark {
     /// Upper half of the fingerprint.
@@ -186,13 +188,13 @@
     /// Lower half of the fingerprint.
     #[prost(fixed64, tag = "2")]
     pub low: u64,
-    /// Microseconds since 1970.
+    /// Expiry, in microseconds since 1970.
     #[prost(uint64, tag = "3")]
     pub until: u64,
 }
 
 impl Packet {
-    /// A datagram of a kind, still without its sender.
+    /// A datagram of the given kind; the sender fields are filled in by `Fleet::send`.
     pub(crate) fn new(kind: Kind, seq: u32) -> Self {
         Self {
             kind: kind as i32,
@@ -201,19 +203,19 @@
         }
     }
 
-    /// Seals it for sending.
+    /// Encodes and seals the datagram.
     pub fn seal(&self, keys: &Keyring) -> Bytes {
         keys.seal(&self.encode_to_vec())
     }
 
-    /// Adds an update that is encoded already to an encoded datagram.
+    /// Appends an encoded update to an encoded datagram.
     pub(crate) fn append(body: &mut Vec<u8>, update: &[u8]) {
         prost::encoding::encode_key(14, WireType::LengthDelimited, body);
         prost::encoding::encode_varint(update.len() as u64, body);
         body.extend_from_slice(update);
     }
 
-    /// Opens and checks what came in.
+    /// Opens and validates a received datagram.
     pub fn open(keys: &Keyring, bytes: Bytes) -> Result<Self, PacketError> {
         if bytes.len() > DATAGRAM_MAX {
             return Err(PacketError::Large(bytes.len()));
@@ -228,7 +230,7 @@
         Ok(p)
     }
 
-    /// The sender's report about itself.
+    /// The sender's claim about itself.
     pub(crate) fn header(&self) -> Update {
         Update {
             id: self.from,
@@ -241,7 +243,7 @@
 }
 
 impl Update {
-    /// A report that only those can use that know the member.
+    /// An update without description, for receivers that know the member.
     pub(crate) fn brief(m: &Member, by: MemberId) -> Self {
         Self {
             id: m.id.0,
@@ -252,7 +254,7 @@
         }
     }
 
-    /// A report with the member's description.
+    /// An update with the description of the member.
     pub(crate) fn full(m: &Member) -> Self {
         let detail = Detail {
             sidecar: m.role == Role::Sidecar,
@@ -271,17 +273,17 @@
         }
     }
 
-    /// Whether both say the same of the same life.
+    /// Whether both updates claim the same state of the same incarnation.
     pub(crate) fn same_claim(&self, o: &Self) -> bool {
         (self.id, self.incarnation, self.state) == (o.id, o.incarnation, o.state)
     }
 
-    /// What is reported.
+    /// The claimed state.
     pub(crate) fn member_state(&self) -> MemberState {
         member_state_from_wire(self.state).unwrap_or(MemberState::Suspect)
     }
 
-    /// The member it describes, if it does.
+    /// The member described by the update.
     pub(crate) fn member(&self) -> Result<Member, PacketError> {
         let detail = self.detail.clone().ok_or(PacketError::Detail)?;
         let d = Detail::decode(detail)?;
@@ -308,6 +310,7 @@
 }
 
 impl Detail {
+    /// Rejects text fields that are too long.
     fn check(&self) -> Result<(), PacketError> {
         let texts = [&self.host, &self.domain, &self.region, &self.tags];
         let texts = texts.into_iter().chain(&self.pool);
@@ -320,6 +323,7 @@
 }
 
 impl Mark {
+    /// Encodes a fingerprint and its expiry.
     pub(crate) fn new(fingerprint: u128, until: Micros) -> Self {
         Self {
             high: (fingerprint >> 64) as u64,
@@ -328,6 +332,7 @@
         }
     }
 
+    /// Decodes the conviction.
     pub(crate) fn read(&self) -> Conviction {
         Conviction {
             fingerprint: u128::from(self.high) << 64 | u128::from(self.low),
@@ -336,7 +341,7 @@
     }
 }
 
-/// An address as four or sixteen bytes and a port.
+/// Encodes an address as four or sixteen bytes and a port.
 pub(crate) fn put_addr(a: SocketAddr) -> Bytes {
     let mut b = BytesMut::with_capacity(18);
     match a.ip() {
@@ -347,7 +352,7 @@
     b.freeze()
 }
 
-/// Reads an address.
+/// Decodes an address.
 pub(crate) fn addr(b: &Bytes) -> Result<SocketAddr, PacketError> {
     let mut r = &b[..];
     let ip: IpAddr = match b.len() {
--- a/crates/fleet/src/seal.rs
+++ b/crates/fleet/src/seal.rs
@@ -1,34 +1,36 @@
-//! Authentication of datagrams by a key that all members share.
+//! Authentication of datagrams with a key shared by all members.
 //!
-//! A datagram is one format byte, 16 bytes of keyed BLAKE3 and the body. It proves that a member
-//! sent it at some time, not that it is new: a replayed datagram passes here and is made harmless
-//! by incarnations, versions and expiry times. Keys are rotated by restarting members with
-//! the old key first and the new one second, then with the new one first, then with the new one
-//! alone; a member seals with its first key and opens with any.
+//! A datagram consists of a format byte, 16 bytes of keyed BLAKE3 and the body. The seal proves
+//! that a member sent the datagram at some time, not that it is recent: a replayed datagram is
+//! accepted here and made harmless by incarnations, versions and expiry times. To rotate keys,
+//! restart the members with the old key first and the new one second, then with the new key first
+//! and the old one second, then with the new key alone. A member seals with its first key and
+//! opens with any.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Bytes that sealing adds.
+/// Bytes added by sealing.
 pub(crate) const OVERHEAD: usize = 1 + MAC;
-/// 128 bits: forging one takes 2^127 tries, and it is an eighth of a steady datagram.
+/// Length of the MAC: 128 bits. Forging one takes 2^127 attempts, and it is an eighth of a typical
+/// datagram.
 const MAC: usize = 16;
-/// The format; another one could be told apart from this.
+/// Format byte; distinguishes this format from later ones.
 const FORMAT: u8 = 1;
-/// Keeps these keys apart from other uses of the same secret.
+/// Key derivation context; separates these keys from other uses of the same secret.
 const CONTEXT: &str = "clementinestep fleet datagram 1";
 
-/// Why a datagram wasn't opened.
+/// Why a datagram was not opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SealError {
     /// Too short to hold a seal.
-    #[error("a datagram is shorter than its seal")]
+    #[error("datagram shorter than its seal")]
     Short,
-    /// Of another format.
-    #[error("a datagram has the unknown format {0}")]
+    /// Unknown format.
+    #[error("unknown datagram format: {0}")]
     Format(u8),
-    /// Sealed with none of the keys, or changed on its way.
-    #[error("a datagram is sealed with none of the keys")]
+    /// Sealed with an unknown key, or altered in transit.
+    #[error("datagram seal matches none of the keys")]
     Key,
 }
 
@@ -53,17 +55,17 @@
     }
 }
 
-/// The key that seals and one more that opens.
+/// The key that seals, and optionally a second key that opens.
 #[derive(Clone, Debug)]
 pub struct Keyring {
     /// Seals and opens.
     pub first: Key,
-    /// Only opens, while keys are rotated.
+    /// Only opens, during a key rotation.
     pub second: Option<Key>,
 }
 
 impl Keyring {
-    /// One key for both.
+    /// A keyring with one key for sealing and opening.
     pub fn new(secret: impl AsRef<[u8]>) -> Self {
         let first = Key::new(secret);
         Self {
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Accepts one more key.
+    /// Adds a second key that opens.
     pub fn accept(mut self, secret: impl AsRef<[u8]>) -> Self {
         self.second = Some(Key::new(secret));
         self
@@ -87,7 +89,7 @@
         b.freeze()
     }
 
-    /// Gives the body of a sealed datagram.
+    /// Verifies a sealed datagram and returns its body.
     pub fn open(&self, sealed: Bytes) -> Result<Bytes, SealError> {
         match sealed.first() {
             Some(&f) if f != FORMAT => Err(SealError::Format(f)),
@@ -107,7 +109,7 @@
     }
 }
 
-/// Compares in constant time: an early exit would tell a forger how many bytes were right.
+/// Compares in constant time: an early exit would reveal to a forger how many bytes are right.
 fn same(a: &[u8], b: &[u8]) -> bool {
     let diff = a.iter().zip(b).fold(0, |d, (x, y)| d | (x ^ y));
     std::hint::black_box(diff) == 0
