--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Datagrams and answers as bytes: what is sent comes out, and what is broken is an error.
+//! Encoding of datagrams and answers: valid ones round-trip, invalid ones give errors.
 
 mod net;
 
@@ -15,7 +15,7 @@
 
 const CASES: u32 = 500;
 
-/// The same cases each time.
+/// A runner that generates the same cases each time.
 fn runner() -> TestRunner {
     let config = ProptestConfig {
         cases: CASES,
@@ -32,7 +32,7 @@
     (a, b)
 }
 
-/// What the fleet sends next.
+/// The next datagram that the fleet sends.
 fn datagram(f: &mut Fleet) -> Bytes {
     let mut out = Vec::new();
     f.step(Micros::from_secs(1_000), Event::Tick, &mut out);
@@ -91,10 +91,9 @@
     );
 }
 
-/// A datagram is damaged on its way or made by someone without the key. It must be counted and
-/// change nothing; a user would notice a process that stops.
+/// Guards against damaged or forged datagrams crashing a process or being accepted.
 #[test]
-fn broken_datagrams_are_typed() {
+fn invalid_datagrams_give_specific_errors() {
     let keys = Keyring::new("a secret");
     let (mut a, _) = pair();
     let good = datagram(&mut a);
@@ -171,9 +170,10 @@
     );
 }
 
-/// A member of another release, or one with broken memory, holds the key and sends nonsense.
+/// Guards against nonsense sealed with a valid key, from a member of another release or with
+/// faulty memory.
 #[test]
-fn sealed_nonsense_does_no_harm() {
+fn sealed_random_bytes_change_nothing() {
     let keys = Keyring::new("a secret");
     let (mut a, _) = pair();
     let version = a.version();
@@ -204,9 +204,10 @@
     assert!(a.counters().bad_packet > 100);
 }
 
-/// Well-formed datagrams with any numbers in them: nothing overflows, and replies stay small.
+/// Guards against overflows and oversized replies caused by extreme field values in valid
+/// datagrams.
 #[test]
-fn any_numbers_do_no_harm() {
+fn extreme_field_values_do_not_overflow() {
     let keys = Keyring::new("a secret");
     let edge = prop_oneof![
         any::<u64>(),
@@ -257,7 +258,7 @@
 }
 
 #[test]
-fn random_bytes_are_errors() {
+fn unsealed_random_bytes_are_errors() {
     let keys = Keyring::new("a secret");
     let body = prop::collection::vec(any::<u8>(), 0..1_400);
     runner()
@@ -270,7 +271,7 @@
 }
 
 #[test]
-fn packets_come_out_as_sent() {
+fn packets_round_trip() {
     let keys = Keyring::new("a secret");
     let some = (0..7_i32, any::<u32>(), any::<[u64; 4]>(), any::<bool>());
     runner()
@@ -293,7 +294,7 @@
 }
 
 #[test]
-fn answers_come_out_as_sent() {
+fn answers_round_trip() {
     let net = Net::settled(5, 42, 0.0);
     let member = net.member(3, 0);
     let text = prop::collection::vec(any::<u8>(), 0..2_000);
@@ -324,7 +325,7 @@
 }
 
 #[test]
-fn broken_answers_are_typed() {
+fn invalid_answers_give_specific_errors() {
     let net = Net::settled(2, 43, 0.0);
     let mut a = net.nodes[0].fleet.answer(fleet::PullScope::All);
     a.text = "another".into();
@@ -337,20 +338,20 @@
     assert_matches!(Answer::decode(cut), Err(PacketError::Format(_)));
 }
 
-/// Many members change at once, so that more is to be told than fits into a datagram.
+/// Guards against oversized datagrams when more updates are queued than fit into one.
 #[test]
-fn full_datagrams_stay_small() {
+fn full_datagrams_stay_within_the_limit() {
     let mut net = Net::settled(60, 44, 0.01);
-    net.tape = Some(Vec::new());
+    net.recorded = Some(Vec::new());
     (20..60).for_each(|i| net.restart(i));
     let until = net.now + Micros::from_secs(60);
     for fingerprint in 0..50 {
-        net.hand(0, Event::Convicted(Conviction { fingerprint, until }));
+        net.deliver(0, Event::Convicted(Conviction { fingerprint, until }));
     }
     net.accept(0, row(2, "second"));
     net.run(Micros::from_secs(5));
-    let tape = net.tape.take().unwrap_or_default();
-    let largest = tape.iter().map(|t| t.2.len()).max();
+    let recorded = net.recorded.take().unwrap_or_default();
+    let largest = recorded.iter().map(|t| t.2.len()).max();
     assert_matches!(largest, Some(n) if n <= DATAGRAM_MAX && n > 900);
-    assert!(settings().keys.open(tape[0].2.clone()).is_ok());
+    assert!(settings().keys.open(recorded[0].2.clone()).is_ok());
 }
--- a/crates/fleet/tests/detect.rs
+++ b/crates/fleet/tests/detect.rs
@@ -1,4 +1,4 @@
-//! Failure detection: who is taken for dead, who isn't, and how fast.
+//! Failure detection: which members are declared dead, which are not, and how fast.
 
 mod net;
 
@@ -13,7 +13,7 @@
     Micros::from_secs(n)
 }
 
-/// Times at which live members lost `i` from their view.
+/// Number of live processes that do not have node `i` as a live member.
 fn gone(net: &Net, i: usize) -> usize {
     let id = net.nodes[i].fleet.me().id;
     net.up()
@@ -26,10 +26,10 @@
     net.up().map(|n| n.gone.len()).sum()
 }
 
-/// Datagrams are lost now and then, so some pings and the pings through others fail together. A
-/// user would notice targets that vanish and come back although nothing is wrong with them.
+/// Guards against lost probes, direct and indirect, adding up to the death of a live member. Its
+/// targets would disappear and come back.
 #[test]
-fn loss_kills_nobody() {
+fn packet_loss_causes_no_deaths() {
     struct Case {
         size: usize,
         loss: f64,
@@ -57,14 +57,13 @@
         let before = losses(&net);
         net.run(c.span);
         assert_eq!(losses(&net), before, "{} members", c.size);
-        assert!(net.is_whole());
+        assert!(net.is_complete());
     }
 }
 
-/// A process hangs for some seconds, long enough to be suspected, and then goes on. A user would
-/// notice that a target that works again stays without work.
+/// Guards against losing a member that hung long enough to be suspected and then resumed.
 #[test]
-fn suspect_refutes() {
+fn suspected_member_refutes_after_a_hang() {
     let mut net = Net::settled(20, 5, 0.0);
     let id = net.nodes[4].fleet.me().id;
     let before = net.nodes[4].fleet.me().incarnation;
@@ -75,20 +74,19 @@
             .count()
     };
     net.pause(4);
-    let seen = net.until(secs(10), |net| suspects(net) >= 15);
+    let seen = net.run_until(secs(10), |net| suspects(net) >= 15);
     assert_matches!(seen, Some(_), "it is suspected");
     net.resume(4);
-    let cleared = net.until(secs(5), |net| suspects(net) == 0);
+    let cleared = net.run_until(secs(5), |net| suspects(net) == 0);
     assert_matches!(cleared, Some(_), "it refutes the suspicion");
     assert!(net.nodes[4].fleet.me().incarnation > before);
     assert_eq!(gone(&net, 4), 0);
     assert_eq!(losses(&net), 0);
 }
 
-/// A link between two processes fails while both work. The one can't reach the other and would
-/// have it declared dead; a user would notice that a healthy target leaves everyone's view.
+/// Guards against declaring a healthy member dead because one link to it is broken.
 #[test]
-fn others_reach_it() {
+fn indirect_probes_prevent_suspicion_over_a_broken_link() {
     struct Case {
         relays: usize,
         suspected: bool,
@@ -106,9 +104,9 @@
     for c in cases {
         let mut net = Net::settled(12, 6, 0.0);
         net.settings.indirect_probes = c.relays;
-        net.grow(1);
+        net.add_nodes(1);
         net.run(secs(5));
-        net.broken = Some((12, 2));
+        net.unlinked_nodes = Some((12, 2));
         net.run(secs(60));
         let suspected = net.nodes[12].fleet.counters().suspected > 0;
         assert_eq!(suspected, c.suspected, "{} relays", c.relays);
@@ -116,10 +114,9 @@
     }
 }
 
-/// A process is killed. A user would notice requests that are sent to a target that is no longer
-/// there, until it has left every view.
+/// Guards against a dead member staying in views, where its target would still get requests.
 #[test]
-fn killed_is_gone() {
+fn killed_member_leaves_every_view() {
     struct Case {
         size: usize,
         within: Micros,
@@ -141,7 +138,7 @@
     for c in cases {
         let mut net = Net::settled(c.size, 7, 0.01);
         net.kill(1);
-        let took = net.until(c.within, |net| gone(net, 1) == net.up().count());
+        let took = net.run_until(c.within, |net| gone(net, 1) == net.up().count());
         assert_matches!(took, Some(_), "{} members", c.size);
         let wrong = net
             .up()
@@ -151,30 +148,29 @@
     }
 }
 
-/// A whole failure domain loses power. A user would notice that a third of the requests wait for
-/// targets that are gone, and live targets must not be lost along with them.
+/// Guards against slow detection when a whole failure domain loses power, and against losing live
+/// members along with it.
 #[test]
-fn dead_domain_is_gone() {
+fn dead_failure_domain_leaves_every_view() {
     let mut net = Net::settled(30, 8, 0.01);
     let dead: Vec<usize> = (0..30).filter(|i| i % 3 == 1).collect();
     dead.iter().for_each(|&i| net.kill(i));
-    let took = net.until(secs(20), |net| dead.iter().all(|&i| gone(net, i) == 20));
+    let took = net.run_until(secs(20), |net| dead.iter().all(|&i| gone(net, i) == 20));
     assert_matches!(took, Some(_));
-    assert!(net.is_whole(), "the live ones stay");
+    assert!(net.is_complete(), "the live ones stay");
     assert_eq!(losses(&net), 20 * 10);
 }
 
-/// A process is stopped for a minute and goes on. All its questions look unanswered then; without
-/// care it would accuse everyone. A user would notice a wave of targets that vanish.
+/// Guards against a resumed process taking all its unanswered probes for dead members.
 #[test]
-fn paused_accuses_nobody() {
+fn paused_member_declares_no_deaths_on_resume() {
     let mut net = Net::settled(20, 9, 0.0);
     net.pause(3);
     net.run(secs(60));
     assert_eq!(gone(&net, 3), 19, "it is taken for dead meanwhile");
     net.resume(3);
     let before = losses(&net);
-    let back = net.until(secs(30), Net::is_whole);
+    let back = net.run_until(secs(30), Net::is_complete);
     assert_matches!(back, Some(_), "it comes back");
     net.run(secs(30));
     assert_eq!(losses(&net), before, "it takes nobody with it");
@@ -182,10 +178,9 @@
     assert_eq!(net.nodes[3].fleet.counters().declared_dead, 0);
 }
 
-/// Two regions lose each other for an hour, each takes the other for dead, then the links come
-/// back. A user would notice that targets of the other region stay without work for good.
+/// Guards against two regions staying apart after an hour in which each declared the other dead.
 #[test]
-fn split_heals() {
+fn split_regions_reconnect() {
     let mut net = Net::settled(24, 10, 0.01);
     for i in 0..8 {
         net.nodes[i].group = 1;
@@ -195,30 +190,29 @@
     assert_eq!(net.nodes[20].fleet.members().count(), 15);
     net.nodes.iter_mut().for_each(|n| n.group = 0);
     let before = losses(&net);
-    let healed = net.until(secs(60), Net::is_whole);
+    let healed = net.run_until(secs(60), Net::is_complete);
     assert_matches!(healed, Some(_), "both sides find each other");
     net.run(secs(60));
     assert_eq!(losses(&net), before, "nobody is lost over it");
-    assert!(net.is_whole());
+    assert!(net.is_complete());
 }
 
-/// One process loses its network and gets it back later. It must not end up alone for good,
-/// which a user would notice as an entry that refuses everything.
+/// Guards against a process staying isolated after its network is back.
 #[test]
-fn cut_off_member_returns() {
+fn isolated_member_returns() {
     let mut net = Net::settled(12, 11, 0.01);
     net.nodes[7].group = 1;
     net.run(secs(300));
     assert_eq!(net.nodes[7].fleet.members().count(), 0);
     net.nodes[7].group = 0;
-    let back = net.until(secs(60), Net::is_whole);
+    let back = net.run_until(secs(60), Net::is_complete);
     assert_matches!(back, Some(_));
 }
 
-/// A process that will stop says so, finishes its work, and says goodbye, while the platform's
-/// list of hosts still shows it for a minute. A user would notice new work that goes to it.
+/// Guards against a host list that lags a minute behind overriding what a leaving member announced
+/// itself.
 #[test]
-fn leaves_ahead_of_the_list() {
+fn leaving_member_is_not_restored_by_the_host_list() {
     let mut net = Net::settled(15, 12, 0.01);
     let id = net.nodes[5].fleet.me().id;
     let stale = |leaving| {
@@ -229,30 +223,30 @@
         let of = |n: &net::Node| n.fleet.member(id).map(|m| m.state);
         net.up().filter(|n| of(n) == Some(s)).count()
     };
-    net.hand(5, Event::Leave);
-    let told = net.until(secs(3), |net| state(net, MemberState::Leaving) == 14);
+    net.deliver(5, Event::Leave);
+    let told = net.run_until(secs(3), |net| state(net, MemberState::Leaving) == 14);
     assert_matches!(told, Some(_), "all know within seconds");
-    (0..15).for_each(|i| net.hand(i, stale(false)));
+    (0..15).for_each(|i| net.deliver(i, stale(false)));
     net.run(secs(10));
     assert_eq!(
         state(&net, MemberState::Leaving),
         14,
         "the list doesn't bring it back"
     );
-    net.hand(5, Event::Quit);
+    net.deliver(5, Event::Quit);
     net.kill(5);
-    let left = net.until(secs(3), |net| state(net, MemberState::Left) == 14);
+    let left = net.run_until(secs(3), |net| state(net, MemberState::Left) == 14);
     assert_matches!(left, Some(_), "it goes without a suspicion");
-    (0..15).for_each(|i| net.hand(i, stale(false)));
+    (0..15).for_each(|i| net.deliver(i, stale(false)));
     net.run(secs(120));
     assert_eq!(state(&net, MemberState::Left), 14);
     assert!(net.up().all(|n| n.fleet.counters().declared_dead == 0));
 }
 
-/// The platform says that a host goes, and the process on it is suddenly gone. The list may make
-/// its death known sooner, but a live process stays whatever the list says.
+/// Guards against the host list declaring a live process dead; it may only shorten the suspicion
+/// timeout.
 #[test]
-fn list_only_hastens() {
+fn host_list_shortens_suspicion_but_causes_no_death() {
     struct Case {
         listed: bool,
         kill: bool,
@@ -264,11 +258,11 @@
             name,
             leaving: c.listed,
         }];
-        (0..2).for_each(|i| net.hand(i, Event::Hosts(hosts.clone())));
+        (0..2).for_each(|i| net.deliver(i, Event::Hosts(hosts.clone())));
         if c.kill {
             net.kill(1);
         }
-        net.until(secs(60), |net| gone(net, 1) > 0)
+        net.run_until(secs(60), |net| gone(net, 1) > 0)
     };
     let fast = run(&Case {
         listed: true,
@@ -288,14 +282,13 @@
     );
 }
 
-/// Someone who recorded datagrams, or a switch that repeats them, sends them again later. Old
-/// reports must not bring the dead back or take the living away.
+/// Guards against replayed datagrams reviving dead members or removing live ones.
 #[test]
-fn replay_changes_nothing() {
+fn replayed_datagrams_change_nothing() {
     let mut net = Net::new(14, 0.0);
     net.row = Some(net::row(1, "first"));
-    net.tape = Some(Vec::new());
-    net.grow(8);
+    net.recorded = Some(Vec::new());
+    net.add_nodes(8);
     net.run(secs(30));
     net.kill(2);
     net.run(secs(40));
@@ -303,16 +296,16 @@
     net.run(secs(5));
     net.restart(3);
     net.run(secs(10));
-    let tape = net.tape.take().unwrap_or_default();
+    let recorded = net.recorded.take().unwrap_or_default();
     let before = losses(&net);
-    for (from, to, bytes) in tape {
-        net.hand(net::index(to), Event::Datagram { from, bytes });
+    for (from, to, bytes) in recorded {
+        net.deliver(net::index(to), Event::Datagram { from, bytes });
     }
     net.run(SECOND);
     assert_eq!(gone(&net, 2), 7, "the dead stay dead");
     assert_eq!(losses(&net), before, "the living stay");
     net.run(secs(60));
-    assert!(net.is_whole());
+    assert!(net.is_complete());
     assert!(net.all_have(&net::row(2, "second")));
     assert!(net
         .up()
@@ -323,23 +316,28 @@
     );
 }
 
-/// A process is restarted at its address, and the wall clock was set back meanwhile. The dead
-/// life has the higher incarnation; a user would notice a target that nobody knows.
+/// Guards against the former process at an address hiding the restarted one. After a clock set
+/// back, the former has the higher incarnation.
 #[test]
-fn new_life_supersedes_the_old() {
+fn restarted_member_supersedes_its_predecessor() {
     struct Case {
         back: Micros,
     }
     for c in [Case { back: Micros::ZERO }, Case { back: secs(3_600) }] {
         let mut net = Net::settled(10, 15, 0.01);
         let old = net.nodes[6].fleet.me().id;
-        net.restart_back(6, c.back);
+        net.restart_with_clock_back(6, c.back);
         let new = net.nodes[6].fleet.me().id;
         let known = |net: &Net| {
             let knows = |n: &net::Node| n.fleet.member(new).is_some_and(|m| m.state.is_live());
-            net.up().filter(|n| knows(n)).count() == 9 && net.is_whole()
+            net.up().filter(|n| knows(n)).count() == 9 && net.is_complete()
         };
-        assert_matches!(net.until(secs(10), known), Some(_), "back by {:?}", c.back);
+        assert_matches!(
+            net.run_until(secs(10), known),
+            Some(_),
+            "back by {:?}",
+            c.back
+        );
         net.run(secs(20));
         assert!(known(&net));
         assert!(net
@@ -348,16 +346,15 @@
     }
 }
 
-/// A process is stopped just after it began to suspect another one, which meanwhile refutes that.
-/// When it goes on, the time for the refutation is over by its clock, but it has read nothing
-/// yet. A user would notice a healthy target that leaves one entry's view after each pause.
+/// Guards against a resumed process declaring a suspected member dead before it reads the
+/// refutation that arrived during its pause.
 #[test]
-fn suspicion_waits_through_a_pause() {
+fn suspicion_timeout_restarts_after_a_pause() {
     let mut net = Net::settled(20, 16, 0.0);
     let id = net.nodes[4].fleet.me().id;
     let suspects = |net: &Net| net.nodes[3].fleet.member(id).map(|m| m.state);
     net.pause(4);
-    let seen = net.until(secs(10), |net| suspects(net) == Some(MemberState::Suspect));
+    let seen = net.run_until(secs(10), |net| suspects(net) == Some(MemberState::Suspect));
     assert_matches!(seen, Some(_), "it is suspected");
     net.pause(3);
     net.nodes[3].group = 1;
@@ -367,32 +364,30 @@
     net.resume(3);
     net.run(secs(20));
     assert!(net.nodes[3].gone.is_empty(), "nobody was taken for dead");
-    assert!(net.is_whole());
+    assert!(net.is_complete());
 }
 
-/// A process is restarted at its address, but its list of seeds is out of date. The others still
-/// ping that address for the old life, and so find the new one. A user would notice a target
-/// that is up and gets no work.
+/// Guards against a restarted process with outdated seeds staying unknown, although others still
+/// probe its address.
 #[test]
-fn found_without_seeds() {
+fn restarted_member_without_seeds_is_found() {
     let mut net = Net::settled(10, 17, 0.01);
     let me = net.member(6, 1);
     net.replace(6, me);
-    let found = net.until(secs(20), |net| {
-        net.is_whole() && net.all_have(&net::row(1, "first"))
+    let found = net.run_until(secs(20), |net| {
+        net.is_complete() && net.all_have(&net::row(1, "first"))
     });
     assert_matches!(found, Some(_));
 }
 
-/// Two failure domains lose the link between them while both reach the third. Whoever asks its
-/// neighbours to ping across that link learns nothing; a user would notice that half of the
-/// targets come and go.
+/// Guards against false suspicions when two failure domains lose the link between them: helpers in
+/// the third domain still reach both.
 #[test]
-fn third_domain_relays() {
+fn indirect_probes_go_through_a_third_domain() {
     let mut net = Net::settled(12, 18, 0.0);
-    net.apart = Some((0, 1));
+    net.unlinked_domains = Some((0, 1));
     net.run(secs(120));
     let suspected: u64 = net.up().map(|n| n.fleet.counters().suspected).sum();
     assert_eq!(suspected, 0);
-    assert!(net.is_whole());
+    assert!(net.is_complete());
 }
--- a/crates/fleet/tests/hosts.rs
+++ b/crates/fleet/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! What the platform's host list means for members.
+//! Effect of the platform's host list on members.
 
 use std::net::SocketAddr;
 
@@ -36,7 +36,7 @@
 }
 
 /// Makes a member known to another by its first datagram.
-fn meet(known: &mut Fleet, fresh: &mut Fleet) {
+fn introduce(known: &mut Fleet, fresh: &mut Fleet) {
     let mut out = Vec::new();
     fresh.step(Micros(1), Event::Seeds(vec![known.me().udp]), &mut out);
     fresh.step(Micros(2), Event::Tick, &mut out);
@@ -49,27 +49,27 @@
     assert!(known.member(fresh.me().id).is_some(), "it is known");
 }
 
-/// A host goes, and somebody starts a process on it all the same, or one is found there only after
-/// the list came. It would get work until the next list, ten seconds later.
+/// Guards against giving work to a member that joined on a leaving host after the last host list:
+/// it would get work until the next one, ten seconds later.
 #[test]
-fn members_on_a_leaving_host_are_announced_whenever_they_come() {
+fn members_on_a_leaving_host_are_marked_whenever_they_join() {
     struct Case {
         what: &'static str,
         before: &'static [&'static str],
         after: &'static [&'static str],
-        announced: bool,
+        marked: bool,
     }
     #[rustfmt::skip]
     let cases = [
-        Case { what: "its host stays", before: &[], after: &[], announced: false },
-        Case { what: "another host goes", before: &["two"], after: &["two"], announced: false },
-        Case { what: "its host goes later", before: &[], after: &["one"], announced: true },
-        Case { what: "its host was to go, but stays", before: &["one"], after: &[], announced: false },
+        Case { what: "its host stays", before: &[], after: &[], marked: false },
+        Case { what: "another host goes", before: &["two"], after: &["two"], marked: false },
+        Case { what: "its host goes later", before: &[], after: &["one"], marked: true },
+        Case { what: "its host was to go, but stays", before: &["one"], after: &[], marked: false },
     ];
     for c in cases {
         let (mut me, mut other) = (member(1, "two"), member(2, "one"));
         me.step(Micros(1), list(c.before), &mut Vec::new());
-        meet(&mut me, &mut other);
+        introduce(&mut me, &mut other);
         let early = c.before.contains(&"one");
         assert_eq!(
             me.is_host_leaving(MemberId(2)),
@@ -79,6 +79,6 @@
         );
         let mut out = Vec::new();
         me.step(Micros(4), list(c.after), &mut out);
-        assert_eq!(me.is_host_leaving(MemberId(2)), c.announced, "{}", c.what);
+        assert_eq!(me.is_host_leaving(MemberId(2)), c.marked, "{}", c.what);
     }
 }
--- a/crates/fleet/tests/join.rs
+++ b/crates/fleet/tests/join.rs
@@ -1,4 +1,4 @@
-//! Whose list of members a process takes for whole when it joins.
+//! Which member lists a joining process accepts as complete.
 
 use std::net::SocketAddr;
 
@@ -8,8 +8,8 @@
 };
 use model::{Incarnation, MemberId, Micros, Version};
 
-const OLD: u64 = 1;
-const FRESH: u64 = 2;
+const ESTABLISHED: u64 = 1;
+const JUST_STARTED: u64 = 2;
 const ME: u64 = 3;
 
 fn at(id: u64) -> SocketAddr {
@@ -34,13 +34,13 @@
     Fleet::new(Settings::new(Keyring::new([1; 32])), me, seed)
 }
 
-/// Hands over datagrams between three members until one of them pulls; gives whom it asks.
-fn until_pull(all: &mut [Fleet; 3], who: u64, now: &mut Micros) -> MemberId {
-    let mut mail: Vec<(SocketAddr, SocketAddr, Bytes)> = Vec::new();
+/// Exchanges datagrams between three members until `puller` pulls; returns the member it asks.
+fn until_pull(all: &mut [Fleet; 3], puller: u64, now: &mut Micros) -> MemberId {
+    let mut in_transit: Vec<(SocketAddr, SocketAddr, Bytes)> = Vec::new();
     for _ in 0..10_000 {
         *now = *now + Micros::from_millis(1);
         let mut pulls = None;
-        let batch = std::mem::take(&mut mail);
+        let batch = std::mem::take(&mut in_transit);
         for f in all.iter_mut() {
             let mut out = Vec::new();
             let (own, id) = (f.me().udp, f.me().id);
@@ -51,8 +51,8 @@
             f.step(*now, Event::Tick, &mut out);
             for action in out {
                 match action {
-                    Action::Send { to, bytes } => mail.push((own, to, bytes)),
-                    Action::Pull { from, .. } if id.0 == who => pulls = Some(from),
+                    Action::Send { to, bytes } => in_transit.push((own, to, bytes)),
+                    Action::Pull { from, .. } if id.0 == puller => pulls = Some(from),
                     _ => {}
                 }
             }
@@ -64,14 +64,17 @@
     panic!("no pull");
 }
 
-/// All entries restart together. One asks another that has just started as well, and gets a list
-/// of two and no configuration. Taken for whole, it leaves the process without configuration
-/// until a later round; its callers are refused for seconds.
+/// Guards against accepting the list of a member that has itself just started: it has no
+/// configuration, and callers would be refused for seconds.
 #[test]
-fn list_of_one_that_joins_itself_is_not_whole() {
-    let mut met = 0;
+fn list_of_a_joining_member_is_not_complete() {
+    let mut asked_just_started = 0;
     for seed in 0..40 {
-        let mut all = [member(OLD, 1), member(FRESH, 2), member(ME, seed)];
+        let mut all = [
+            member(ESTABLISHED, 1),
+            member(JUST_STARTED, 2),
+            member(ME, seed),
+        ];
         let text = Bytes::from_static(b"text");
         let row = TableRow {
             version: Version(3),
@@ -80,13 +83,13 @@
         };
         let mut now = Micros(1);
         all[0].step(now, Event::Accepted(row), &mut Vec::new());
-        for joins in &mut all[1..] {
-            joins.step(now, Event::Seeds(vec![at(OLD)]), &mut Vec::new());
+        for joining in &mut all[1..] {
+            joining.step(now, Event::Seeds(vec![at(ESTABLISHED)]), &mut Vec::new());
         }
         let first = until_pull(&mut all, ME, &mut now);
-        let empty = member(FRESH, 2).answer(PullScope::All);
-        if first == MemberId(FRESH) {
-            met += 1;
+        let empty = member(JUST_STARTED, 2).answer(PullScope::All);
+        if first == MemberId(JUST_STARTED) {
+            asked_just_started += 1;
             let event = Event::Pulled {
                 from: first,
                 answer: empty,
@@ -94,13 +97,13 @@
             all[2].step(now, event, &mut Vec::new());
             assert!(!all[2].has_joined(), "seed {seed}");
             let second = until_pull(&mut all, ME, &mut now);
-            assert_eq!(second, MemberId(OLD), "seed {seed}");
+            assert_eq!(second, MemberId(ESTABLISHED), "seed {seed}");
         }
         let answer = all[0].answer(PullScope::All);
-        let from = MemberId(OLD);
+        let from = MemberId(ESTABLISHED);
         all[2].step(now, Event::Pulled { from, answer }, &mut Vec::new());
         assert!(all[2].has_joined(), "seed {seed}");
         assert_eq!(all[2].version(), Version(3), "seed {seed}");
     }
-    assert!(met > 0, "none asked the fresh one first");
+    assert!(asked_just_started > 0, "none asked the fresh one first");
 }
--- a/crates/fleet/tests/mixed.rs
+++ b/crates/fleet/tests/mixed.rs
@@ -1,4 +1,4 @@
-//! Failures at any moment, together or twice, in an order drawn from a seed.
+//! Overlapping failures in a random order drawn from a seed.
 
 mod net;
 
@@ -15,8 +15,9 @@
     Micros::from_secs(n)
 }
 
-/// One failure or repair; the first process keeps running, so that something is left.
-fn disturb(net: &mut Net, step: u64, version: &mut u64) {
+/// Applies one random failure or repair. The first process keeps running, so that the
+/// configuration is not lost.
+fn inject_failure(net: &mut Net, step: u64, version: &mut u64) {
     let i = net.rng.random_range(1..SIZE);
     match net.rng.random_range(0..12) {
         0 => net.kill(i),
@@ -25,11 +26,11 @@
         4 if net.nodes[i].paused => net.resume(i),
         5 => net.nodes[i].group = 1,
         6 => net.nodes[i].group = 0,
-        7 => net.up = !net.up,
-        8 => net.nodes[i].table = !net.nodes[i].table,
-        9 => net.apart = net.apart.xor(Some((0, 1))),
-        10 if net.nodes[i].up && !net.nodes[i].paused => net.hand(i, Event::Leave),
-        _ if net.up => {
+        7 => net.table_up = !net.table_up,
+        8 => net.nodes[i].table_reachable = !net.nodes[i].table_reachable,
+        9 => net.unlinked_domains = net.unlinked_domains.xor(Some((0, 1))),
+        10 if net.nodes[i].up && !net.nodes[i].paused => net.deliver(i, Event::Leave),
+        _ if net.table_up => {
             *version += 1;
             net.accept(0, row(*version, format!("step {step}")));
         }
@@ -38,11 +39,11 @@
 }
 
 fn repair(net: &mut Net) {
-    net.up = true;
-    net.apart = None;
+    net.table_up = true;
+    net.unlinked_domains = None;
     for i in 0..SIZE {
         net.nodes[i].group = 0;
-        net.nodes[i].table = true;
+        net.nodes[i].table_reachable = true;
         match net.nodes[i].up {
             true if net.nodes[i].paused => net.resume(i),
             true => {}
@@ -51,16 +52,15 @@
     }
 }
 
-/// Processes die, hang, restart and lose each other or the platform while changes are made, and
-/// nothing waits for the failure before to be over. A user would notice rules that go back, or a
-/// fleet that doesn't find together again once all is repaired.
+/// Guards against rules that are reverted, or a fleet that stays incomplete after repair, when
+/// failures and changes overlap.
 #[test]
-fn any_order_ends_whole() {
+fn overlapping_failures_end_with_a_complete_fleet() {
     for seed in 0..12 {
         let mut net = Net::settled(SIZE, 100 + seed, 0.02);
         let mut version = 1;
         for step in 0..STEPS {
-            disturb(&mut net, step, &mut version);
+            inject_failure(&mut net, step, &mut version);
             let pause = net.rng.random_range(0..8_000);
             net.run(Micros::from_millis(pause));
             for n in net.up() {
@@ -70,11 +70,11 @@
         }
         repair(&mut net);
         let last = net.row.clone().expect("the table has a row");
-        let whole = net.until(secs(120), |net| net.is_whole() && net.all_have(&last));
+        let whole = net.run_until(secs(120), |net| net.is_complete() && net.all_have(&last));
         assert_matches!(whole, Some(_), "seed {seed}");
         net.run(secs(60));
         assert!(
-            net.is_whole() && net.all_have(&last),
+            net.is_complete() && net.all_have(&last),
             "seed {seed} stays whole"
         );
     }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -1,4 +1,5 @@
-//! A queue of messages with delay and loss, and a loop that hands them to the state machines.
+//! A simulated network in virtual time: delivers datagrams and pulls between the state machines,
+//! with delay and loss.
 
 #![allow(dead_code)]
 
@@ -13,29 +14,37 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Datagrams that wait at a paused process; what comes after is lost, as in a socket's buffer.
+/// Bound on datagrams queued at a paused process; later ones are lost, as in a full socket buffer.
 const INBOX: usize = 200;
 
-pub(crate) enum Post {
+/// An event scheduled for a node. A generation ties it to one start of the process.
+pub(crate) enum Scheduled {
+    /// A requested wake-up.
     Wake(u32),
-    Hand(u32, Event),
-    Mail(Event),
+    /// An event from the local driver.
+    Local(u32, Event),
+    /// A datagram, whichever process runs at the address when it arrives.
+    Datagram(Event),
+    /// A pull that this node is to answer.
     Serve {
         asker: usize,
-        life: u32,
+        generation: u32,
         from: MemberId,
         scope: PullScope,
     },
 }
 
+/// A simulated process with a record of its actions.
 pub(crate) struct Node {
     pub(crate) fleet: Fleet,
     pub(crate) up: bool,
     pub(crate) paused: bool,
-    /// Nodes in different groups don't reach each other.
+    /// Nodes in different groups do not reach each other.
     pub(crate) group: u32,
-    pub(crate) table: bool,
-    pub(crate) life: u32,
+    /// Whether the node reaches the table.
+    pub(crate) table_reachable: bool,
+    /// Number of restarts.
+    pub(crate) generation: u32,
     wake: Micros,
     inbox: Vec<Event>,
     pub(crate) adopted: Vec<(Micros, Version, Digest)>,
@@ -43,30 +52,36 @@
     pub(crate) gone: Vec<(Micros, MemberId)>,
     pub(crate) convicted: Vec<u128>,
     pub(crate) reads: u64,
-    /// Bytes of answers to pulls that it took in.
+    /// Bytes of received answers to pulls.
     pub(crate) pulled: u64,
+    /// Wall time spent in `Fleet::step`.
     pub(crate) spent: Duration,
 }
 
+/// The network, the table and all nodes.
 pub(crate) struct Net {
     pub(crate) now: Micros,
     pub(crate) nodes: Vec<Node>,
     pub(crate) loss: f64,
     pub(crate) delay: Micros,
+    /// Row in the table.
     pub(crate) row: Option<TableRow>,
-    pub(crate) up: bool,
-    /// Keep what is sent, for a replay.
-    pub(crate) tape: Option<Vec<(SocketAddr, SocketAddr, Bytes)>>,
+    /// Whether the table answers.
+    pub(crate) table_up: bool,
+    /// Datagrams recorded for a replay, if enabled.
+    pub(crate) recorded: Option<Vec<(SocketAddr, SocketAddr, Bytes)>>,
     pub(crate) settings: Settings,
+    /// Number of failure domains.
     pub(crate) domains: usize,
+    /// Whether to measure the time spent in `Fleet::step`.
     pub(crate) timed: bool,
-    /// These two don't reach each other.
-    pub(crate) broken: Option<(usize, usize)>,
-    /// Members of these two failure domains don't reach each other.
-    pub(crate) apart: Option<(usize, usize)>,
-    posts: HashMap<u64, Post>,
+    /// Two nodes that do not reach each other.
+    pub(crate) unlinked_nodes: Option<(usize, usize)>,
+    /// Two failure domains whose members do not reach each other.
+    pub(crate) unlinked_domains: Option<(usize, usize)>,
+    scheduled: HashMap<u64, Scheduled>,
     heap: BinaryHeap<Reverse<(Micros, u64, usize)>>,
-    count: u64,
+    scheduled_count: u64,
     pub(crate) rng: SmallRng,
 }
 
@@ -102,42 +117,42 @@
             loss,
             delay: Micros::from_millis(5),
             row: None,
-            up: true,
-            tape: None,
+            table_up: true,
+            recorded: None,
             settings: settings(),
             domains: 3,
             timed: false,
-            broken: None,
-            apart: None,
-            posts: HashMap::new(),
+            unlinked_nodes: None,
+            unlinked_domains: None,
+            scheduled: HashMap::new(),
             heap: BinaryHeap::new(),
-            count: 0,
+            scheduled_count: 0,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// A fleet that has found together.
+    /// A fleet in which all members have found each other.
     pub(crate) fn settled(n: usize, seed: u64, loss: f64) -> Self {
         let mut net = Self::new(seed, loss);
         net.row = Some(row(1, "first"));
-        net.grow(n);
-        net.until(Micros::from_secs(120), |net| net.is_whole());
-        assert!(net.is_whole(), "members have found together");
+        net.add_nodes(n);
+        net.run_until(Micros::from_secs(120), |net| net.is_complete());
+        assert!(net.is_complete(), "members have found together");
         net.run(Micros::from_secs(20));
         net
     }
 
-    pub(crate) fn grow(&mut self, n: usize) {
+    pub(crate) fn add_nodes(&mut self, n: usize) {
         for _ in 0..n {
             let i = self.nodes.len();
-            let fleet = self.birth(i, 0);
+            let fleet = self.new_fleet(i, 0);
             self.nodes.push(Node {
                 fleet,
                 up: true,
                 paused: false,
                 group: 0,
-                table: true,
-                life: 0,
+                table_reachable: true,
+                generation: 0,
                 wake: Micros::MAX,
                 inbox: Vec::new(),
                 adopted: Vec::new(),
@@ -152,10 +167,10 @@
         }
     }
 
-    pub(crate) fn member(&self, i: usize, life: u32) -> Member {
+    pub(crate) fn member(&self, i: usize, generation: u32) -> Member {
         let domain = i % self.domains;
         Member {
-            id: MemberId((i as u64 + 1) * 1_000 + u64::from(life)),
+            id: MemberId((i as u64 + 1) * 1_000 + u64::from(generation)),
             role: if i % 10 < 3 {
                 Role::Entry
             } else {
@@ -174,36 +189,36 @@
         }
     }
 
-    fn birth(&mut self, i: usize, life: u32) -> Fleet {
+    fn new_fleet(&mut self, i: usize, generation: u32) -> Fleet {
         let seed = self.rng.random();
-        Fleet::new(self.settings.clone(), self.member(i, life), seed)
+        Fleet::new(self.settings.clone(), self.member(i, generation), seed)
     }
 
     fn seed(&mut self, i: usize) {
         let seeds = (0..3).map(udp).collect();
-        self.hand(i, Event::Seeds(seeds));
+        self.deliver(i, Event::Seeds(seeds));
     }
 
-    /// Ends a process without a word and starts a new one in its place.
+    /// Kills a process without notice and starts a new one at its address.
     pub(crate) fn restart(&mut self, i: usize) {
-        self.restart_back(i, Micros::ZERO);
+        self.restart_with_clock_back(i, Micros::ZERO);
     }
 
-    /// The same, with the wall clock set back meanwhile.
-    pub(crate) fn restart_back(&mut self, i: usize, back: Micros) {
-        let mut me = self.member(i, self.nodes[i].life + 1);
+    /// Restarts a process with the wall clock set back.
+    pub(crate) fn restart_with_clock_back(&mut self, i: usize, back: Micros) {
+        let mut me = self.member(i, self.nodes[i].generation + 1);
         me.incarnation.0 -= back.0;
         self.replace(i, me);
         self.seed(i);
     }
 
-    /// Ends a process and starts one in its place that is given no seeds.
+    /// Kills a process and starts one at its address without seeds.
     pub(crate) fn replace(&mut self, i: usize, me: Member) {
-        let life = self.nodes[i].life + 1;
+        let generation = self.nodes[i].generation + 1;
         let fleet = Fleet::new(self.settings.clone(), me, self.rng.random());
         let n = &mut self.nodes[i];
         n.fleet = fleet;
-        n.life = life;
+        n.generation = generation;
         n.up = true;
         n.paused = false;
         n.wake = Micros::MAX;
@@ -211,7 +226,7 @@
         n.joined.clear();
         n.gone.clear();
         n.convicted.clear();
-        self.hand(i, Event::Tick);
+        self.deliver(i, Event::Tick);
     }
 
     pub(crate) fn kill(&mut self, i: usize) {
@@ -225,19 +240,19 @@
     pub(crate) fn resume(&mut self, i: usize) {
         self.nodes[i].paused = false;
         for e in std::mem::take(&mut self.nodes[i].inbox) {
-            self.hand(i, e);
+            self.deliver(i, e);
         }
-        self.hand(i, Event::Tick);
+        self.deliver(i, Event::Tick);
     }
 
     /// Writes a configuration to the table through one process.
     pub(crate) fn accept(&mut self, i: usize, r: TableRow) {
         self.row = Some(r.clone());
-        self.hand(i, Event::Accepted(r));
+        self.deliver(i, Event::Accepted(r));
     }
 
-    /// Gives a process a text that nobody has checked against the table.
-    pub(crate) fn inject(&mut self, i: usize, r: TableRow) {
+    /// Delivers a text that was not verified against the table.
+    pub(crate) fn deliver_unproven(&mut self, i: usize, r: TableRow) {
         let from = MemberId(1);
         let answer = Answer {
             version: r.version,
@@ -245,15 +260,15 @@
             text: r.text,
             ..Answer::default()
         };
-        self.hand(i, Event::Pulled { from, answer });
+        self.deliver(i, Event::Pulled { from, answer });
     }
 
     pub(crate) fn up(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().filter(|n| n.up)
     }
 
-    /// Whether each process knows exactly the others.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Whether each running process has exactly the others as live members.
+    pub(crate) fn is_complete(&self) -> bool {
         let n = self.up().count();
         self.up().all(|x| x.fleet.live() == n)
     }
@@ -265,12 +280,12 @@
 
     pub(crate) fn run(&mut self, span: Micros) {
         let end = self.now + span;
-        while self.turn(end) {}
+        while self.run_next(end) {}
         self.now = end;
     }
 
-    /// Runs until something holds, looking every 10 ms; gives the time it took.
-    pub(crate) fn until(&mut self, span: Micros, ok: impl Fn(&Self) -> bool) -> Option<Micros> {
+    /// Runs until a condition holds, checking every 10 ms; returns the elapsed time.
+    pub(crate) fn run_until(&mut self, span: Micros, ok: impl Fn(&Self) -> bool) -> Option<Micros> {
         let start = self.now;
         while self.now < start + span {
             if ok(self) {
@@ -281,7 +296,8 @@
         ok(self).then(|| self.now.since(start))
     }
 
-    fn turn(&mut self, end: Micros) -> bool {
+    /// Runs the next scheduled event; false if none is due by `end`.
+    fn run_next(&mut self, end: Micros) -> bool {
         match self.heap.peek() {
             Some(Reverse((at, ..))) if *at <= end => {}
             _ => return false,
@@ -289,33 +305,37 @@
         let Some(Reverse((at, id, i))) = self.heap.pop() else {
             return false;
         };
-        let Some(post) = self.posts.remove(&id) else {
+        let Some(scheduled) = self.scheduled.remove(&id) else {
             return true;
         };
         self.now = at;
-        match post {
-            Post::Wake(life) if self.nodes[i].life == life && self.nodes[i].wake <= at => {
+        match scheduled {
+            Scheduled::Wake(generation)
+                if self.nodes[i].generation == generation && self.nodes[i].wake <= at =>
+            {
                 if self.nodes[i].up && !self.nodes[i].paused {
-                    self.hand(i, Event::Tick);
+                    self.deliver(i, Event::Tick);
                 }
             }
-            Post::Wake(_) => {}
-            Post::Hand(life, e) if self.nodes[i].life == life => self.hand(i, e),
-            Post::Hand(..) => {}
-            Post::Mail(e) => self.hand(i, e),
-            Post::Serve {
+            Scheduled::Wake(_) => {}
+            Scheduled::Local(generation, e) if self.nodes[i].generation == generation => {
+                self.deliver(i, e)
+            }
+            Scheduled::Local(..) => {}
+            Scheduled::Datagram(e) => self.deliver(i, e),
+            Scheduled::Serve {
                 asker,
-                life,
+                generation,
                 from,
                 scope,
-            } => self.serve(i, asker, life, from, scope),
+            } => self.serve(i, asker, generation, from, scope),
         }
         true
     }
 
-    fn serve(&mut self, i: usize, asker: usize, life: u32, from: MemberId, scope: PullScope) {
+    fn serve(&mut self, i: usize, asker: usize, generation: u32, from: MemberId, scope: PullScope) {
         let n = &self.nodes[i];
-        let ok = n.up && !n.paused && self.reach(i, asker);
+        let ok = n.up && !n.paused && self.connected(i, asker);
         let ok = ok && !self.rng.random_bool(self.loss);
         let (wait, event) = match ok {
             true => {
@@ -326,26 +346,28 @@
             }
             false => (Micros::from_secs(1), Event::PullFailed { from }),
         };
-        self.post(self.now + wait, asker, Post::Hand(life, event));
+        self.schedule(self.now + wait, asker, Scheduled::Local(generation, event));
     }
 
-    pub(crate) fn reach(&self, a: usize, b: usize) -> bool {
+    pub(crate) fn connected(&self, a: usize, b: usize) -> bool {
         let cut = self
-            .broken
+            .unlinked_nodes
             .is_some_and(|(x, y)| (x, y) == (a, b) || (y, x) == (a, b));
         let (x, y) = (a % self.domains, b % self.domains);
-        let apart = self.apart.is_some_and(|d| d == (x, y) || d == (y, x));
+        let apart = self
+            .unlinked_domains
+            .is_some_and(|d| d == (x, y) || d == (y, x));
         !cut && !apart && self.nodes[a].group == self.nodes[b].group
     }
 
-    pub(crate) fn post(&mut self, at: Micros, i: usize, p: Post) {
-        self.count += 1;
-        self.posts.insert(self.count, p);
-        self.heap.push(Reverse((at, self.count, i)));
+    pub(crate) fn schedule(&mut self, at: Micros, i: usize, p: Scheduled) {
+        self.scheduled_count += 1;
+        self.scheduled.insert(self.scheduled_count, p);
+        self.heap.push(Reverse((at, self.scheduled_count, i)));
     }
 
-    /// Hands an event to a process now.
-    pub(crate) fn hand(&mut self, i: usize, e: Event) {
+    /// Delivers an event to a process now.
+    pub(crate) fn deliver(&mut self, i: usize, e: Event) {
         let n = &mut self.nodes[i];
         if !n.up {
             return;
@@ -366,19 +388,19 @@
     }
 
     fn perform(&mut self, i: usize, a: Action) {
-        let life = self.nodes[i].life;
+        let generation = self.nodes[i].generation;
         let now = self.now;
         match a {
-            Action::Send { to, bytes } => self.carry(i, to, bytes),
+            Action::Send { to, bytes } => self.transmit(i, to, bytes),
             Action::Pull { tcp, scope, from } => {
                 let asker = i;
                 let at = now + Micros(self.delay.0 * 3);
-                self.post(
+                self.schedule(
                     at,
                     index(tcp),
-                    Post::Serve {
+                    Scheduled::Serve {
                         asker,
-                        life,
+                        generation,
                         from,
                         scope,
                     },
@@ -386,12 +408,12 @@
             }
             Action::ReadTable => {
                 self.nodes[i].reads += 1;
-                let read = match self.up && self.nodes[i].table {
+                let read = match self.table_up && self.nodes[i].table_reachable {
                     true => Ok(self.row.clone()),
                     false => Err(TableUnavailable),
                 };
                 let at = now + Micros::from_millis(20);
-                self.post(at, i, Post::Hand(life, Event::Table(read)));
+                self.schedule(at, i, Scheduled::Local(generation, Event::Table(read)));
             }
             Action::Adopt(r) => self.nodes[i].adopted.push((now, r.version, r.digest)),
             Action::Joined(m) => self.nodes[i].joined.push((now, m.id)),
@@ -400,24 +422,24 @@
             Action::Changed(_) => {}
             Action::WakeAt(at) => {
                 self.nodes[i].wake = at;
-                self.post(at, i, Post::Wake(life));
+                self.schedule(at, i, Scheduled::Wake(generation));
             }
         }
     }
 
-    fn carry(&mut self, i: usize, to: SocketAddr, bytes: Bytes) {
-        if let Some(t) = self.tape.as_mut() {
+    fn transmit(&mut self, i: usize, to: SocketAddr, bytes: Bytes) {
+        if let Some(t) = self.recorded.as_mut() {
             t.push((udp(i), to, bytes.clone()));
         }
         assert!(bytes.len() <= DATAGRAM_MAX, "a datagram is small enough");
         let j = index(to);
         let lost = self.rng.random_bool(self.loss);
-        if lost || j >= self.nodes.len() || !self.reach(i, j) {
+        if lost || j >= self.nodes.len() || !self.connected(i, j) {
             return;
         }
         let spread = self.rng.random_range(0..=self.delay.0 / 5);
         let from = udp(i);
         let at = self.now + self.delay + Micros(spread);
-        self.post(at, j, Post::Mail(Event::Datagram { from, bytes }));
+        self.schedule(at, j, Scheduled::Datagram(Event::Datagram { from, bytes }));
     }
 }
