--- a/crates/fleet/examples/slopes.rs
+++ b/crates/fleet/examples/slopes.rs
@@ -1,10 +1,10 @@
-//! Slopes of membership and spread: 10, 100 and 1,180 members in virtual time.
+//! Cost and speed of membership and dissemination with 10, 100 and 1,180 members in virtual time.
 //!
-//! Prints a table for each size. Links take 5 ms one way, up to a fifth more at random, and lose
-//! 1% of all datagrams and pulls. CPU is the wall time spent in `Fleet::step` alone, so it grows
-//! when the machine is busy. Arguments: the sizes to run, `hour` for the virtual hour without
-//! faults that counts false deaths, `split` for two groups of regions that lose each other, `far`
-//! for links of 15 ms.
+//! Prints a table for each fleet size. Links have a delay of 5 ms one way plus up to a fifth at
+//! random, and lose 1% of all datagrams and pulls. CPU is the wall time spent in `Fleet::step`
+//! alone, so it grows when the machine is busy. Arguments: the fleet sizes to run; `hour` for a
+//! virtual hour without faults that counts false deaths; `split` for two groups of regions that
+//! lose each other; `far` for links of 15 ms.
 
 #[path = "../tests/net/mod.rs"]
 mod net;
@@ -16,23 +16,23 @@
 use model::Micros;
 use net::{row, Net};
 
-/// Counts bytes in use, to give the memory of a view.
+/// An allocator that counts bytes in use, to measure the memory of a view.
 struct Counting;
 
 static USED: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: Both calls go to the system's allocator unchanged; the counter doesn't touch memory
-// that they hand out.
+// SAFETY: Both calls are forwarded unchanged to the system allocator; the counter does not touch
+// the allocated memory.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, l: Layout) -> *mut u8 {
         USED.fetch_add(l.size() as u64, Ordering::Relaxed);
-        // SAFETY: The caller's promises are passed on.
+        // SAFETY: The caller upholds the contract of `alloc`.
         unsafe { System.alloc(l) }
     }
 
     unsafe fn dealloc(&self, p: *mut u8, l: Layout) {
         USED.fetch_sub(l.size() as u64, Ordering::Relaxed);
-        // SAFETY: The caller's promises are passed on.
+        // SAFETY: The caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(p, l) }
     }
 }
@@ -40,16 +40,16 @@
 #[global_allocator]
 static ALLOC: Counting = Counting;
 
-/// Configuration changes measured at each size.
+/// Configuration changes measured at each fleet size.
 const CHANGES: u64 = 20;
-/// Bytes of a configuration's text.
+/// Bytes of a configuration text.
 const TEXT: usize = 8_000;
-/// All links as long as those between regions.
+/// Delay of all links with the `far` argument, as between regions.
 const FAR: Micros = Micros::from_millis(15);
 /// Bytes of IP and UDP headers.
 const HEADERS: u64 = 28;
 
-/// Sums over all members at one time.
+/// Sums over all running members.
 #[derive(Clone, Copy, Default)]
 struct Totals {
     sent: u64,
@@ -85,7 +85,7 @@
     );
 }
 
-fn settle(n: usize, seed: u64, far: bool) -> Net {
+fn start_fleet(n: usize, seed: u64, far: bool) -> Net {
     let before = USED.load(Ordering::Relaxed);
     let mut net = Net::new(seed, 0.01);
     net.domains = if n > 100 { 11 } else { 3 };
@@ -94,9 +94,9 @@
     if far {
         net.delay = FAR;
     }
-    net.grow(n);
-    let whole = net.until(Micros::from_secs(300), Net::is_whole);
-    let ms = took(whole);
+    net.add_nodes(n);
+    let whole = net.run_until(Micros::from_secs(300), Net::is_complete);
+    let ms = format_duration(whole);
     println!("| cold start of all, until everyone knows everyone | {ms} |");
     net.run(Micros::from_secs(60));
     let used = USED.load(Ordering::Relaxed) - before;
@@ -114,16 +114,17 @@
 
 fn changes(net: &mut Net, n: usize) {
     let mut h = Histogram::<u64>::new(3).expect("three digits are supported");
-    let mut told = Histogram::<u64>::new(3).expect("three digits are supported");
+    let mut confirmed = Histogram::<u64>::new(3).expect("three digits are supported");
     for v in 0..CHANGES {
         let r = row(v + 2, format!("{v}{}", "x".repeat(TEXT)));
         let start = net.now;
         let writer = (v as usize * 7) % n;
         net.accept(writer, r.clone());
-        let known = net.until(Micros::from_secs(10), |net| {
+        let known = net.run_until(Micros::from_secs(10), |net| {
             net.nodes[writer].fleet.in_force().lagging.is_empty()
         });
-        told.record(known.map_or(10_000, Micros::as_millis))
+        confirmed
+            .record(known.map_or(10_000, Micros::as_millis))
             .expect("it resizes");
         net.run(Micros::from_secs(5));
         for x in net.up() {
@@ -133,11 +134,11 @@
         }
     }
     print_times("change in force, over members and changes", &h);
-    print_times("writer knows that it is in force", &told);
+    print_times("writer knows that it is in force", &confirmed);
 }
 
-/// A time that may not have come.
-fn took(t: Option<Micros>) -> String {
+/// Formats an elapsed time, or states that the condition was not reached.
+fn format_duration(t: Option<Micros>) -> String {
     match t {
         Some(t) => format!("{} ms", t.as_millis()),
         None => "not reached".to_owned(),
@@ -154,7 +155,7 @@
     );
 }
 
-fn herd(net: &mut Net, n: usize) {
+fn mass_restart(net: &mut Net, n: usize) {
     let some = n * 470 / 1_180;
     let span = Micros::from_secs(30);
     let a = totals(net);
@@ -163,8 +164,8 @@
         net.restart(n - 1 - i);
     }
     let last = row(CHANGES + 1, format!("{}{}", CHANGES - 1, "x".repeat(TEXT)));
-    let ready = net.until(Micros::from_secs(60), |net| net.all_have(&last));
-    let whole = net.until(Micros::from_secs(240), Net::is_whole);
+    let ready = net.run_until(Micros::from_secs(60), |net| net.all_have(&last));
+    let whole = net.run_until(Micros::from_secs(240), Net::is_complete);
     if let Some(rest) = (start + span).0.checked_sub(net.now.0) {
         net.run(Micros(rest));
     }
@@ -173,17 +174,17 @@
     b.sent = b.sent.max(a.sent);
     println!(
         "| {some} restart: all have the configuration | {} |",
-        took(ready)
+        format_duration(ready)
     );
     let whole = whole.zip(ready).map(|(w, r)| w + r);
     println!(
         "| {some} restart: everyone knows everyone | {} |",
-        took(whole)
+        format_duration(whole)
     );
     print_rates(format!("{some} restart"), lost(a, n, some), b, time, n);
 }
 
-/// Totals before a restart, less what the restarted had counted.
+/// Totals before a mass restart, less the share of the restarted members.
 fn lost(a: Totals, n: usize, some: usize) -> Totals {
     let keep = |x: u64| x * (n - some) as u64 / n as u64;
     Totals {
@@ -193,13 +194,13 @@
     }
 }
 
-fn domain(net: &mut Net, n: usize) {
+fn kill_domain(net: &mut Net, n: usize) {
     net.run(Micros::from_secs(60));
     let start = net.now;
     let hit: Vec<usize> = (0..n).filter(|i| i % net.domains == 1).collect();
     hit.iter().for_each(|&i| net.kill(i));
-    let out = net.until(Micros::from_secs(240), Net::is_whole);
-    let ms = took(out);
+    let out = net.run_until(Micros::from_secs(240), Net::is_complete);
+    let ms = format_duration(out);
     println!(
         "| domain of {} dead, until out of every view | {ms} |",
         hit.len()
@@ -212,9 +213,10 @@
     print_times("each dead member out of each view", &h);
 }
 
-/// A third of the failure domains loses the others for ten minutes, long past any suspicion.
+/// Splits a third of the failure domains from the others for ten minutes, far longer than any
+/// suspicion timeout, and then reconnects them.
 fn split(n: usize) {
-    let mut net = settle(n, 55, false);
+    let mut net = start_fleet(n, 55, false);
     let apart = |net: &mut Net, group| {
         let domains = net.domains;
         for (i, x) in net.nodes.iter_mut().enumerate() {
@@ -232,8 +234,8 @@
     let start = net.now;
     let lost = |net: &Net| net.up().map(|x| x.gone.len()).sum::<usize>();
     let before = lost(&net);
-    let healed = net.until(Micros::from_secs(240), Net::is_whole);
-    let ms = took(healed);
+    let healed = net.run_until(Micros::from_secs(240), Net::is_complete);
+    let ms = format_duration(healed);
     println!("| split of regions healed, until everyone knows everyone | {ms} |");
     println!(
         "| deaths declared while it heals | {} |",
@@ -243,8 +245,8 @@
     print_rates("while it heals", a, totals(&net), span, n);
 }
 
-fn hour(n: usize) {
-    let mut net = settle(n, 99, false);
+fn false_deaths(n: usize) {
+    let mut net = start_fleet(n, 99, false);
     net.timed = false;
     let before: Vec<usize> = net.up().map(|x| x.gone.len()).collect();
     let sum = |net: &Net| net.up().map(|x| x.fleet.counters().suspected).sum::<u64>();
@@ -269,7 +271,7 @@
     for n in sizes {
         println!("\n{n} members\n\n| what | figure |\n| --- | --- |");
         if args.iter().any(|a| a == "hour") {
-            hour(n);
+            false_deaths(n);
             continue;
         }
         if args.iter().any(|a| a == "split") {
@@ -277,10 +279,10 @@
             continue;
         }
         let far = args.iter().any(|a| a == "far");
-        let mut net = settle(n, 7, far);
+        let mut net = start_fleet(n, 7, far);
         steady(&mut net, n);
         changes(&mut net, n);
-        herd(&mut net, n);
-        domain(&mut net, n);
+        mass_restart(&mut net, n);
+        kill_domain(&mut net, n);
     }
 }
