--- a/crates/fleet/src/detect.rs
+++ b/crates/fleet/src/detect.rs
@@ -292,18 +292,18 @@
     /// Samples members for indirect probes, preferring those outside the failure domains of both
     /// ends.
     fn choose_helpers(&mut self, key: MemberKey, m: &Member) -> Vec<MemberKey> {
-        let mut some = self.view.sample(
+        let mut candidates = self.view.sample(
             CANDIDATES_PER_HELPER * self.settings.indirect_probes,
             &mut self.rng,
         );
-        some.retain(|&k| k != key);
-        let near = |k: &MemberKey| {
+        candidates.retain(|&k| k != key);
+        let is_near = |k: &MemberKey| {
             let domain = self.view.member(*k).map(|r| &r.domain);
             domain == Some(&m.domain) || domain == Some(&self.me.domain)
         };
-        some.sort_by_key(near);
-        some.truncate(self.settings.indirect_probes);
-        some
+        candidates.sort_by_key(is_near);
+        candidates.truncate(self.settings.indirect_probes);
+        candidates
     }
 
     /// Ends a probe that got no ack. The local health score worsens unless every helper sent a
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -52,7 +52,7 @@
 }
 
 impl Fleet {
-    /// Creates the state of a process that knows no other member; the first step starts the
+    /// Creates the state of a process without any other member in its view; the first step starts the
     /// timers.
     ///
     /// `me.incarnation` must be higher than that of any earlier process at the same address, such
@@ -84,12 +84,12 @@
 
     /// Processes an event at time `now` and appends the resulting actions to `out`.
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        let start = self.wake_at == Micros::MAX;
-        let late = now.since(self.wake_at) > self.settings.probe_period;
+        let first_step = self.wake_at == Micros::MAX;
+        let was_paused = now.since(self.wake_at) > self.settings.probe_period;
         self.now = self.now.max(now);
-        match start {
+        match first_step {
             true => self.start(),
-            false if late => self.resume(),
+            false if was_paused => self.resume(),
             false => {}
         }
         if self.has_quit {
--- a/crates/fleet/src/join.rs
+++ b/crates/fleet/src/join.rs
@@ -30,9 +30,9 @@
 const HINTED_SYNC_WAIT: Micros = Micros::from_secs(6);
 /// Wait before views are compared after the start.
 const FIRST_SYNC_WAIT: Micros = Micros::from_secs(2);
-/// Consecutive mismatching digests, with no updates queued, after which views are compared early.
-/// A member that missed an update mismatches with all others, while all others mismatch with it
-/// alone.
+/// Consecutive mismatching digests after which views are compared early. They count only while no
+/// updates are queued that may explain the difference, or too many to spread soon. A member that
+/// missed an update mismatches with all others, while all others mismatch with it alone.
 const MISMATCHES_MAX: u32 = 3;
 /// Random delay of that comparison, so that many members that missed an update do not pull at the
 /// same moment.
@@ -48,6 +48,7 @@
     seeds: Vec<SocketAddr>,
     /// When to try to join next.
     join_at: Micros,
+    /// Attempts to join; determines the backoff.
     attempts: u32,
     /// When to compare views next.
     sync_at: Micros,
@@ -99,11 +100,13 @@
 }
 
 impl Fleet {
+    /// Schedules the first contact of seeds or dead members and the first comparison of views.
     pub(crate) fn start_join(&mut self) {
         self.join.reconnect_at = self.now + self.settings.reconnect_interval;
         self.join.sync_at = self.now + FIRST_SYNC_WAIT;
     }
 
+    /// Replaces the seeds, and starts joining through them if the complete list is missing.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         let me = self.me.udp;
         self.join.seeds = seeds.into_iter().filter(|&s| s != me).collect();
@@ -113,6 +116,7 @@
         }
     }
 
+    /// Runs the timers of joining and reconnecting.
     pub(crate) fn run_join(&mut self, out: &mut Vec<Action>) {
         if self.join.join_at <= self.now {
             self.try_join(out);
--- a/crates/fleet/src/merge.rs
+++ b/crates/fleet/src/merge.rs
@@ -59,8 +59,8 @@
             detail: None,
         };
         let known = self.view.key(c.id).and_then(|k| self.view.member(k));
-        let news = known.is_none_or(|m| m.rank() < c.rank());
-        if news && u.detail.is_some() {
+        let is_new = known.is_none_or(|m| m.rank() < c.rank());
+        if is_new && u.detail.is_some() {
             c.detail = Some(Box::new(u.member()?));
         }
         Ok(c)
@@ -227,11 +227,11 @@
         let Some(e) = self.view.get_mut(k) else {
             return;
         };
-        let news = e
+        let is_new = e
             .suspicion
             .as_mut()
             .is_some_and(|s| s.confirm(c.by, settings));
-        if news {
+        if is_new {
             let update = Update::brief(&e.member, c.by);
             self.rumors.push(update);
             self.arm_suspicion(k);
@@ -277,8 +277,8 @@
                     }
                 }
                 (_, here) => {
-                    let news = here.is_none_or(|h| c.rank() > h.rank());
-                    gossiped += usize::from(news);
+                    let is_new = here.is_none_or(|h| c.rank() > h.rank());
+                    gossiped += usize::from(is_new);
                     self.apply_claim(c, !joining && gossiped <= LIST_GOSSIP_MAX, out);
                 }
             }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -243,7 +243,7 @@
 }
 
 impl Update {
-    /// An update without description, for receivers that know the member.
+    /// An update without description, for receivers that already have the description.
     pub(crate) fn brief(m: &Member, by: MemberId) -> Self {
         Self {
             id: m.id.0,
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/spread.rs
@@ -31,7 +31,7 @@
     pub(crate) id: MemberId,
     version: Version,
     digest: Digest,
-    /// Whether the member knows this digest to be the table's.
+    /// Whether the digest is known to be the table's.
     proven: bool,
     /// The member that wrote the configuration to the table; zero if unknown.
     origin: MemberId,
@@ -136,6 +136,7 @@
 }
 
 impl Fleet {
+    /// Ends a pull that timed out and starts the next one if due.
     pub(crate) fn run_spread(&mut self, out: &mut Vec<Action>) {
         if let Some(p) = self.spread.pull.as_ref().filter(|p| p.deadline <= self.now) {
             let from = p.from;
@@ -193,7 +194,7 @@
         self.send_report(out);
     }
 
-    /// Takes over what a sender with the same configuration knows in addition: whether the table
+    /// Takes over what a sender with the same configuration adds to it: whether the table
     /// holds it, and which member wrote it.
     ///
     /// A reader of the table may find a change at the same time as its writer, and what the reader
@@ -261,19 +262,19 @@
             return self.back_off();
         }
         let joining = self.join.is_list_pending();
-        let whole = !answer.members.is_empty();
+        let has_list = !answer.members.is_empty();
         // A later process at the same address has no state yet, and its answer would look like an
         // empty fleet.
-        let other = whole && answer.members.iter().all(|m| m.id != from);
-        let behind = source.is_some_and(|s| answer.version < s.version);
+        let restarted = has_list && answer.members.iter().all(|m| m.id != from);
+        let outdated = source.is_some_and(|s| answer.version < s.version);
         // Likewise a member that is itself still joining, as when all entries restart together. If
         // its list were taken as complete, this process would get the configuration only once
         // another member contacts it or it reads the table.
-        let fresh = joining
+        let still_joining = joining
             && self
                 .newest_source()
                 .is_some_and(|s| answer.version < s.version);
-        if other || behind || fresh {
+        if restarted || outdated || still_joining {
             self.counters.pull_failures += 1;
             return self.back_off();
         }
@@ -287,7 +288,7 @@
             text: answer.text,
         };
         self.adopt_if_newer(row, source, joining, out);
-        if whole {
+        if has_list {
             self.joined();
         }
     }
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -87,7 +87,7 @@
     assert_eq!(
         format!("{:?}", Key::new("a")),
         "Key(..)",
-        "keys don't get into logs"
+        "keys are not logged"
     );
 }
 
@@ -186,7 +186,7 @@
             bodies.borrow_mut().push(b);
             Ok(())
         })
-        .expect("all bodies are kept");
+        .expect("all bodies are collected");
     for b in bodies.into_inner() {
         now = now + Micros(100);
         let bytes = keys.seal(&b);
@@ -254,7 +254,7 @@
             }
             Ok(())
         })
-        .expect("no numbers break it");
+        .expect("extreme values are handled");
 }
 
 #[test]
@@ -267,7 +267,7 @@
             let _ = Answer::decode(Bytes::from(b));
             Ok(())
         })
-        .expect("no bytes are taken in without a seal");
+        .expect("unsealed bytes are rejected");
 }
 
 #[test]
@@ -289,7 +289,7 @@
             prop_assert_eq!(Packet::open(&keys, p.seal(&keys)), Ok(p));
             Ok(())
         })
-        .expect("packets survive");
+        .expect("packets round-trip");
     assert_eq!(Kind::try_from(3), Ok(Kind::PingReq));
 }
 
@@ -304,7 +304,7 @@
             |(t, f, s, ip)| {
                 let mut m = member.clone();
                 m.http = Some((ip, 80).into());
-                m.udp = "[::1]:9".parse().expect("an address");
+                m.udp = "[::1]:9".parse().expect("valid address");
                 m.pool = Some(s.clone()).filter(|s| !s.is_empty());
                 m.tags = s;
                 let a = Answer {
@@ -321,7 +321,7 @@
                 Ok(())
             },
         )
-        .expect("answers survive");
+        .expect("answers round-trip");
 }
 
 #[test]
--- a/crates/fleet/tests/detect.rs
+++ b/crates/fleet/tests/detect.rs
@@ -75,10 +75,10 @@
     };
     net.pause(4);
     let seen = net.run_until(secs(10), |net| suspects(net) >= 15);
-    assert_matches!(seen, Some(_), "it is suspected");
+    assert_matches!(seen, Some(_), "member is suspected");
     net.resume(4);
     let cleared = net.run_until(secs(5), |net| suspects(net) == 0);
-    assert_matches!(cleared, Some(_), "it refutes the suspicion");
+    assert_matches!(cleared, Some(_), "member refutes the suspicion");
     assert!(net.nodes[4].fleet.me().incarnation > before);
     assert_eq!(gone(&net, 4), 0);
     assert_eq!(losses(&net), 0);
@@ -88,29 +88,33 @@
 #[test]
 fn indirect_probes_prevent_suspicion_over_a_broken_link() {
     struct Case {
-        relays: usize,
+        indirect_probes: usize,
         suspected: bool,
     }
     let cases = [
         Case {
-            relays: 3,
+            indirect_probes: 3,
             suspected: false,
         },
         Case {
-            relays: 0,
+            indirect_probes: 0,
             suspected: true,
         },
     ];
     for c in cases {
         let mut net = Net::settled(12, 6, 0.0);
-        net.settings.indirect_probes = c.relays;
+        net.settings.indirect_probes = c.indirect_probes;
         net.add_nodes(1);
         net.run(secs(5));
         net.unlinked_nodes = Some((12, 2));
         net.run(secs(60));
         let suspected = net.nodes[12].fleet.counters().suspected > 0;
-        assert_eq!(suspected, c.suspected, "{} relays", c.relays);
-        assert_eq!(gone(&net, 2), 0, "nobody else believes it dead");
+        assert_eq!(
+            suspected, c.suspected,
+            "{} indirect probes",
+            c.indirect_probes
+        );
+        assert_eq!(gone(&net, 2), 0, "no other member declares it dead");
     }
 }
 
@@ -144,7 +148,7 @@
             .up()
             .flat_map(|n| &n.gone)
             .filter(|g| g.1 != net.nodes[1].fleet.me().id);
-        assert_eq!(wrong.count(), 0, "nobody else is lost");
+        assert_eq!(wrong.count(), 0, "no live member is lost");
     }
 }
 
@@ -157,7 +161,7 @@
     dead.iter().for_each(|&i| net.kill(i));
     let took = net.run_until(secs(20), |net| dead.iter().all(|&i| gone(net, i) == 20));
     assert_matches!(took, Some(_));
-    assert!(net.is_complete(), "the live ones stay");
+    assert!(net.is_complete(), "live members stay");
     assert_eq!(losses(&net), 20 * 10);
 }
 
@@ -167,13 +171,13 @@
     let mut net = Net::settled(20, 9, 0.0);
     net.pause(3);
     net.run(secs(60));
-    assert_eq!(gone(&net, 3), 19, "it is taken for dead meanwhile");
+    assert_eq!(gone(&net, 3), 19, "declared dead during the pause");
     net.resume(3);
     let before = losses(&net);
     let back = net.run_until(secs(30), Net::is_complete);
-    assert_matches!(back, Some(_), "it comes back");
+    assert_matches!(back, Some(_), "the paused member returns");
     net.run(secs(30));
-    assert_eq!(losses(&net), before, "it takes nobody with it");
+    assert_eq!(losses(&net), before, "no other member is lost");
     assert_eq!(net.nodes[3].fleet.counters().paused, 1);
     assert_eq!(net.nodes[3].fleet.counters().declared_dead, 0);
 }
@@ -191,9 +195,9 @@
     net.nodes.iter_mut().for_each(|n| n.group = 0);
     let before = losses(&net);
     let healed = net.run_until(secs(60), Net::is_complete);
-    assert_matches!(healed, Some(_), "both sides find each other");
+    assert_matches!(healed, Some(_), "both sides reconnect");
     net.run(secs(60));
-    assert_eq!(losses(&net), before, "nobody is lost over it");
+    assert_eq!(losses(&net), before, "no member is lost");
     assert!(net.is_complete());
 }
 
@@ -224,19 +228,19 @@
         net.up().filter(|n| of(n) == Some(s)).count()
     };
     net.deliver(5, Event::Leave);
-    let told = net.run_until(secs(3), |net| state(net, MemberState::Leaving) == 14);
-    assert_matches!(told, Some(_), "all know within seconds");
+    let leaving = net.run_until(secs(3), |net| state(net, MemberState::Leaving) == 14);
+    assert_matches!(leaving, Some(_), "all mark it as leaving within seconds");
     (0..15).for_each(|i| net.deliver(i, stale(false)));
     net.run(secs(10));
     assert_eq!(
         state(&net, MemberState::Leaving),
         14,
-        "the list doesn't bring it back"
+        "the host list does not restore it"
     );
     net.deliver(5, Event::Quit);
     net.kill(5);
     let left = net.run_until(secs(3), |net| state(net, MemberState::Left) == 14);
-    assert_matches!(left, Some(_), "it goes without a suspicion");
+    assert_matches!(left, Some(_), "leaves without a suspicion");
     (0..15).for_each(|i| net.deliver(i, stale(false)));
     net.run(secs(120));
     assert_eq!(state(&net, MemberState::Left), 14);
@@ -302,8 +306,8 @@
         net.deliver(net::index(to), Event::Datagram { from, bytes });
     }
     net.run(SECOND);
-    assert_eq!(gone(&net, 2), 7, "the dead stay dead");
-    assert_eq!(losses(&net), before, "the living stay");
+    assert_eq!(gone(&net, 2), 7, "dead members stay dead");
+    assert_eq!(losses(&net), before, "live members stay");
     net.run(secs(60));
     assert!(net.is_complete());
     assert!(net.all_have(&net::row(2, "second")));
@@ -312,7 +316,7 @@
         .all(|n| n.adopted.iter().filter(|a| a.1 .0 == 1).count() <= 1));
     assert!(
         net.nodes[0].fleet.counters().stale > 0,
-        "old reports are counted"
+        "stale claims are counted"
     );
 }
 
@@ -329,13 +333,13 @@
         net.restart_with_clock_back(6, c.back);
         let new = net.nodes[6].fleet.me().id;
         let known = |net: &Net| {
-            let knows = |n: &net::Node| n.fleet.member(new).is_some_and(|m| m.state.is_live());
-            net.up().filter(|n| knows(n)).count() == 9 && net.is_complete()
+            let is_live = |n: &net::Node| n.fleet.member(new).is_some_and(|m| m.state.is_live());
+            net.up().filter(|n| is_live(n)).count() == 9 && net.is_complete()
         };
         assert_matches!(
             net.run_until(secs(10), known),
             Some(_),
-            "back by {:?}",
+            "clock set back by {:?}",
             c.back
         );
         net.run(secs(20));
@@ -355,7 +359,7 @@
     let suspects = |net: &Net| net.nodes[3].fleet.member(id).map(|m| m.state);
     net.pause(4);
     let seen = net.run_until(secs(10), |net| suspects(net) == Some(MemberState::Suspect));
-    assert_matches!(seen, Some(_), "it is suspected");
+    assert_matches!(seen, Some(_), "member is suspected");
     net.pause(3);
     net.nodes[3].group = 1;
     net.resume(4);
@@ -363,7 +367,7 @@
     net.nodes[3].group = 0;
     net.resume(3);
     net.run(secs(20));
-    assert!(net.nodes[3].gone.is_empty(), "nobody was taken for dead");
+    assert!(net.nodes[3].gone.is_empty(), "no member was declared dead");
     assert!(net.is_complete());
 }
 
--- a/crates/fleet/tests/hosts.rs
+++ b/crates/fleet/tests/hosts.rs
@@ -46,7 +46,7 @@
             known.step(Micros(3), Event::Datagram { from, bytes }, &mut Vec::new());
         }
     }
-    assert!(known.member(fresh.me().id).is_some(), "it is known");
+    assert!(known.member(fresh.me().id).is_some(), "the member is known");
 }
 
 /// Guards against giving work to a member that joined on a leaving host after the last host list:
@@ -61,10 +61,10 @@
     }
     #[rustfmt::skip]
     let cases = [
-        Case { what: "its host stays", before: &[], after: &[], marked: false },
-        Case { what: "another host goes", before: &["two"], after: &["two"], marked: false },
-        Case { what: "its host goes later", before: &[], after: &["one"], marked: true },
-        Case { what: "its host was to go, but stays", before: &["one"], after: &[], marked: false },
+        Case { what: "host stays", before: &[], after: &[], marked: false },
+        Case { what: "another host is leaving", before: &["two"], after: &["two"], marked: false },
+        Case { what: "host is leaving later", before: &[], after: &["one"], marked: true },
+        Case { what: "host was leaving, but stays", before: &["one"], after: &[], marked: false },
     ];
     for c in cases {
         let (mut me, mut other) = (member(1, "two"), member(2, "one"));
--- a/crates/fleet/tests/join.rs
+++ b/crates/fleet/tests/join.rs
@@ -61,7 +61,7 @@
             return from;
         }
     }
-    panic!("no pull");
+    panic!("no pull was started");
 }
 
 /// Guards against accepting the list of a member that has itself just started: it has no
@@ -105,5 +105,8 @@
         assert!(all[2].has_joined(), "seed {seed}");
         assert_eq!(all[2].version(), Version(3), "seed {seed}");
     }
-    assert!(asked_just_started > 0, "none asked the fresh one first");
+    assert!(
+        asked_just_started > 0,
+        "no seed asked the just started member first"
+    );
 }
--- a/crates/fleet/tests/mixed.rs
+++ b/crates/fleet/tests/mixed.rs
@@ -70,12 +70,12 @@
         }
         repair(&mut net);
         let last = net.row.clone().expect("the table has a row");
-        let whole = net.run_until(secs(120), |net| net.is_complete() && net.all_have(&last));
-        assert_matches!(whole, Some(_), "seed {seed}");
+        let complete = net.run_until(secs(120), |net| net.is_complete() && net.all_have(&last));
+        assert_matches!(complete, Some(_), "seed {seed}");
         net.run(secs(60));
         assert!(
             net.is_complete() && net.all_have(&last),
-            "seed {seed} stays whole"
+            "seed {seed} stays complete"
         );
     }
 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -137,7 +137,7 @@
         net.row = Some(row(1, "first"));
         net.add_nodes(n);
         net.run_until(Micros::from_secs(120), |net| net.is_complete());
-        assert!(net.is_complete(), "members have found together");
+        assert!(net.is_complete(), "all members have found each other");
         net.run(Micros::from_secs(20));
         net
     }
@@ -341,7 +341,7 @@
             true => {
                 let bytes = self.nodes[i].fleet.answer(scope).encode();
                 self.nodes[asker].pulled += bytes.len() as u64;
-                let answer = Answer::decode(bytes).expect("an answer decodes");
+                let answer = Answer::decode(bytes).expect("a valid answer decodes");
                 (self.delay, Event::Pulled { from, answer })
             }
             false => (Micros::from_secs(1), Event::PullFailed { from }),
@@ -431,7 +431,7 @@
         if let Some(t) = self.recorded.as_mut() {
             t.push((udp(i), to, bytes.clone()));
         }
-        assert!(bytes.len() <= DATAGRAM_MAX, "a datagram is small enough");
+        assert!(bytes.len() <= DATAGRAM_MAX, "datagram within the limit");
         let j = index(to);
         let lost = self.rng.random_bool(self.loss);
         if lost || j >= self.nodes.len() || !self.connected(i, j) {
--- a/crates/fleet/tests/spread.rs
+++ b/crates/fleet/tests/spread.rs
@@ -77,7 +77,7 @@
     let all = net.run_until(secs(3), |net| {
         net.nodes[0].fleet.in_force().lagging.is_empty()
     });
-    assert_matches!(all, Some(_), "it reports as soon as it goes on");
+    assert_matches!(all, Some(_), "reports as soon as it resumes");
 }
 
 /// Guards against only the writer of a change being able to find out where it is in force.
@@ -120,7 +120,7 @@
     let second = row(2, "second");
     net.row = Some(second.clone());
     let took = net.run_until(secs(4), |net| net.all_have(&second));
-    assert_matches!(took, Some(_), "the readers find it");
+    assert_matches!(took, Some(_), "the readers find the change");
 }
 
 /// Guards against rules that flip with every message while two texts of one version circulate.
@@ -156,14 +156,19 @@
         net.row = Some(right.clone());
         net.table_up = c.table;
         net.run(secs(60));
-        assert_eq!(net.all_have(&right), c.table, "{} wrong", c.first);
+        assert_eq!(
+            net.all_have(&right),
+            c.table,
+            "{} members with the wrong text",
+            c.first
+        );
         let most = net
             .up()
             .map(|n| n.adopted.iter().filter(|a| a.1 == Version(2)).count());
-        assert!(most.max() <= Some(2), "nobody flips back");
+        assert!(most.max() <= Some(2), "no member flips back");
         net.table_up = true;
         net.run(secs(60));
-        assert!(net.all_have(&right), "once the table is there");
+        assert!(net.all_have(&right), "resolved once the table is available");
     }
 }
 
@@ -178,7 +183,7 @@
     net.run(secs(30));
     assert!(net.all_have(&second));
     let behind: u64 = net.up().map(|n| n.fleet.counters().table_behind).sum();
-    assert!(behind > 0, "and it is counted");
+    assert!(behind > 0, "older rows are counted");
 }
 
 /// Guards against a process missing changes when it reaches only the table, or only the other
@@ -224,16 +229,13 @@
     assert_matches!(
         served,
         Some(_),
-        "all have the configuration from one that lived"
+        "all get the configuration from the member that kept running"
     );
-    let whole = net.run_until(secs(30), Net::is_complete);
-    assert_matches!(whole, Some(_));
+    let complete = net.run_until(secs(30), Net::is_complete);
+    assert_matches!(complete, Some(_));
     net.run(secs(60));
     let reads: u64 = net.up().map(|n| n.reads).sum();
-    assert!(
-        reads < 100,
-        "the table isn't stormed in its outage: {reads} reads"
-    );
+    assert!(reads < 100, "too many reads during the outage: {reads}");
 }
 
 /// Guards against overloading the table when all processes start together without a configuration.
@@ -318,26 +320,29 @@
         until,
     };
     net.deliver(3, Event::Convicted(c));
-    let knows = |n: &net::Node| {
+    let has_conviction = |n: &net::Node| {
         n.fleet
             .convictions()
             .any(|k| k.fingerprint == c.fingerprint)
     };
-    let told = net.run_until(secs(3), |net| net.up().all(knows));
-    assert_matches!(told, Some(_));
+    let spread = net.run_until(secs(3), |net| net.up().all(has_conviction));
+    assert_matches!(spread, Some(_));
     net.restart(8);
     net.run(secs(5));
-    assert!(knows(&net.nodes[8]), "a restarted one learns it");
+    assert!(
+        has_conviction(&net.nodes[8]),
+        "a restarted member gets the conviction"
+    );
     let recorded = net.recorded.take().unwrap_or_default();
     net.run(secs(70));
     for (from, to, bytes) in recorded {
         net.deliver(net::index(to), Event::Datagram { from, bytes });
     }
     net.run(secs(1));
-    assert!(!net.up().any(knows));
+    assert!(!net.up().any(has_conviction));
     assert!(
         net.up().all(|n| n.convicted.len() <= 1),
-        "each is told once"
+        "each driver is notified once"
     );
 }
 
@@ -380,7 +385,7 @@
     );
     let id = net.nodes[2].fleet.me().id;
     let live = |n: &net::Node| n.fleet.member(id).is_some_and(|m| m.state.is_live());
-    assert!(!net.up().any(live), "and shuts its holder out");
+    assert!(!net.up().any(live), "a member with a wrong key is excluded");
 }
 
 /// Guards against changed tags of a known member not spreading.
@@ -390,8 +395,8 @@
     let id: MemberId = net.nodes[6].fleet.me().id;
     net.nodes[6].fleet.set_tags("weights-8");
     let has = |n: &net::Node| n.fleet.member(id).is_some_and(|m| m.tags == "weights-8");
-    let told = net.run_until(secs(3), |net| net.up().filter(|n| has(n)).count() == 9);
-    assert_matches!(told, Some(_));
+    let spread = net.run_until(secs(3), |net| net.up().filter(|n| has(n)).count() == 9);
+    assert_matches!(spread, Some(_));
 }
 
 /// Guards against two texts in force for good after a restore reuses a version: all members hold
@@ -410,7 +415,7 @@
     let flips = net
         .up()
         .map(|n| n.adopted.iter().filter(|a| a.1 == Version(2)).count());
-    assert!(flips.max() <= Some(2), "nobody flips back");
+    assert!(flips.max() <= Some(2), "no member flips back");
 }
 
 /// Guards against taking the empty list of a just restarted process, pulled under the id of its
@@ -427,7 +432,7 @@
     assert_eq!(net.nodes[4].fleet.counters().pull_failures, 1);
     let first = row(1, "first");
     let took = net.run_until(secs(2), |net| net.all_have(&first) && net.is_complete());
-    assert_matches!(took, Some(_), "it asks another one");
+    assert_matches!(took, Some(_), "pulls from another member");
 }
 
 /// Guards against an `apply` that counts a version reported before a restart: the process is back
@@ -443,7 +448,7 @@
     net.nodes[1].table_reachable = false;
     net.deliver(1, Event::Seeds(vec![net::udp(0)]));
     let lags = net.run_until(secs(1), |net| net.nodes[0].fleet.in_force().current == 1);
-    assert_matches!(lags, Some(_), "it lags until it has the change again");
+    assert_matches!(lags, Some(_), "lags until it has the change again");
     let back = net.run_until(secs(3), |net| net.nodes[0].fleet.in_force().current == 2);
     assert_matches!(back, Some(_));
 }
@@ -459,5 +464,5 @@
     net.deliver(0, Event::Accepted(second));
     net.run(Micros::from_millis(490));
     let lagging = net.nodes[0].fleet.in_force().lagging.len();
-    assert!(lagging < 6, "{lagging} of 60 are left to be asked");
+    assert!(lagging < 6, "{lagging} of 60 members have not reported");
 }
