--- a/crates/fleet/src/detect.rs
+++ b/crates/fleet/src/detect.rs
@@ -76,8 +76,8 @@
     /// When failure detection has work to do next.
     pub(crate) fn due(&self) -> Micros {
         let indirect = self.probe.as_ref().map_or(Micros::MAX, |p| p.indirect_at);
-        let relays = self.indirect_probes.iter().map(|r| r.deadline);
-        let first = relays.min().unwrap_or(Micros::MAX);
+        let deadlines = self.indirect_probes.iter().map(|r| r.deadline);
+        let first = deadlines.min().unwrap_or(Micros::MAX);
         self.probe_at
             .min(self.suspicion_at)
             .min(indirect)
@@ -98,6 +98,7 @@
 }
 
 impl Fleet {
+    /// Runs the timers of failure detection.
     pub(crate) fn run_detect(&mut self, out: &mut Vec<Action>) {
         self.expire_indirect_probes(out);
         if self
@@ -156,17 +157,17 @@
 
     /// Handles an ack to a probe by this process, or to one on behalf of another member.
     ///
-    /// The ack must come from the probed member itself: a later process at the same address acks
-    /// too, and that must not keep the earlier one alive.
+    /// The ack must come from the probed member itself, directly or through a helper: a later
+    /// process at the same address acks too, and that must not keep the earlier one alive.
     pub(crate) fn handle_ack(&mut self, k: Option<MemberKey>, p: &Packet, out: &mut Vec<Action>) {
         let probe = self.detect.probe.as_ref();
         let own = |o: &Probe| o.seq == p.seq && (o.id.0 == p.from || o.id.0 == p.to);
-        let relay = self
+        let indirect = self
             .detect
             .indirect_probes
             .iter()
             .position(|r| r.seq == p.seq && r.id.0 == p.from);
-        match relay {
+        match indirect {
             _ if probe.is_some_and(own) => {
                 self.detect.probe = None;
                 self.detect.recover();
@@ -213,7 +214,7 @@
         self.send(to, ping, out);
     }
 
-    /// Moves the suspicion timer forward if this member's suspicion is the first to expire.
+    /// Moves the suspicion timer to an earlier time if this member's suspicion is the first to expire.
     pub(crate) fn arm_suspicion(&mut self, k: MemberKey) {
         let size = self.size();
         let s = self.view.get(k).and_then(|e| e.suspicion.as_ref());
@@ -223,6 +224,7 @@
         }
     }
 
+    /// Pings the next member and tracks the ack.
     fn start_probe(&mut self, out: &mut Vec<Action>) {
         self.detect.probe_at = self.now + self.detect.scale_by_health(self.settings.probe_period);
         let Some((key, claimed)) = self.next_probe() else {
--- a/crates/fleet/src/in_force.rs
+++ b/crates/fleet/src/in_force.rs
@@ -121,11 +121,11 @@
             true => Micros::MAX,
             false => self.now + POLL_INTERVAL,
         };
-        let some: Vec<_> = behind
+        let to_poll: Vec<_> = behind
             .choose_multiple(&mut self.rng, POLL_BATCH)
             .copied()
             .collect();
-        for k in some {
+        for k in to_poll {
             self.ping(k, None, out);
         }
     }
--- a/crates/fleet/src/join.rs
+++ b/crates/fleet/src/join.rs
@@ -246,8 +246,8 @@
             .filter(|s| !live(s))
             .copied()
             .collect();
-        let some: Vec<_> = unknown.choose_multiple(&mut self.rng, n).copied().collect();
-        for to in some {
+        let to_contact: Vec<_> = unknown.choose_multiple(&mut self.rng, n).copied().collect();
+        for to in to_contact {
             let mut p = Packet::new(Kind::Join, self.next_seq());
             p.updates.push(Update::full(&self.me));
             self.send(to, p, out);
--- a/crates/fleet/src/merge.rs
+++ b/crates/fleet/src/merge.rs
@@ -99,14 +99,14 @@
 
     /// Refutes a claim about this process with a higher incarnation.
     fn refute(&mut self, c: &Claim) {
-        let accused = !matches!(c.state, MemberState::Alive | MemberState::Leaving);
+        let must_refute = !matches!(c.state, MemberState::Alive | MemberState::Leaving);
         match c.incarnation.cmp(&self.me.incarnation) {
             _ if self.me.state == MemberState::Left => return,
             Ordering::Less => return,
-            Ordering::Equal if !accused => return,
+            Ordering::Equal if !must_refute => return,
             _ => {}
         }
-        self.counters.refuted += u64::from(accused);
+        self.counters.refuted += u64::from(must_refute);
         self.me.incarnation = Incarnation(c.incarnation.0.saturating_add(1));
         self.rumors.push(Update::brief(&self.me, MemberId(0)));
     }
@@ -283,11 +283,11 @@
                 }
             }
         }
-        let some: Vec<_> = dead_here
+        let to_ping: Vec<_> = dead_here
             .choose_multiple(&mut self.rng, LIST_PINGS_MAX)
             .copied()
             .collect();
-        for k in some {
+        for k in to_ping {
             let refutable_update = self.refutable_update(k);
             self.ping(k, refutable_update, out);
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -27,8 +27,7 @@
     pub(crate) id: MemberId,
     pub(crate) incarnation: Incarnation,
     pub(crate) state: MemberState,
-    /// The member that suspects it or served the list; zero if the claim comes from the member
-    /// itself.
+    /// The member that suspects it or served the list; zero if none is named.
     pub(crate) by: MemberId,
     /// Description of the member, if the claim carries one.
     pub(crate) detail: Option<Box<Member>>,
@@ -219,14 +218,14 @@
             all.truncate(n);
             return all;
         }
-        let mut some = Vec::with_capacity(n);
+        let mut sampled = Vec::with_capacity(n);
         for _ in 0..4 * n {
             let k = self.probe_order[rng.random_range(0..self.probe_order.len())];
-            if some.len() < n && self.is_live(k) && !some.contains(&k) {
-                some.push(k);
+            if sampled.len() < n && self.is_live(k) && !sampled.contains(&k) {
+                sampled.push(k);
             }
         }
-        some
+        sampled
     }
 
     /// Queues a member for a probe ahead of the regular order, with a claim it may want to refute.
