--- a/crates/gate/src/entry/usable.rs
+++ b/crates/gate/src/entry/usable.rs
@@ -2,7 +2,7 @@
 
 use model::Micros;
 use policy::loading::Left;
-use policy::{outlook, subscription};
+use policy::{engine_load, subscription};
 use site::State;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -103,7 +103,7 @@
 
 /// Factor for what has failed of late.
 pub(super) fn doubt(r: &Replica, now: Micros) -> f64 {
-    outlook::doubt(r.standing.failed, r.standing.on_trial(now))
+    engine_load::failure_factor(r.standing.failed, r.standing.on_trial(now))
 }
 
 /// Where a request begins in a row of equals, so that requests spread over them.
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -5,7 +5,7 @@
 
 use model::Micros;
 use policy::apart;
-use policy::outlook::{self, Load};
+use policy::engine_load::{self, Load};
 use policy::spot::{Candidate, Source, Sources};
 use policy::urgency;
 use policy::versions::Versions;
@@ -62,7 +62,7 @@
             room: self.read * ROOM,
             way: far,
             bias: apart + self.order(r),
-            doubt: doubt(r, self.now) * outlook::weights(outdated),
+            doubt: doubt(r, self.now) * engine_load::outdated_weights_factor(outdated),
         }
     }
 
@@ -70,18 +70,18 @@
     fn load(&self, r: &Replica, tokens: u32) -> Load {
         let Some(h) = r.heard.filter(|h| self.now.since(h.at) < HEARD) else {
             return Load {
-                tokens: f64::from(r.unread),
+                tokens_ahead: f64::from(r.unread),
                 ..Load::default()
             };
         };
         let told = r.unread_since(h.unread_tokens, h.at - TRANSIT);
         Load {
-            tokens: urgency::before(told, urgency::step(tokens)),
+            tokens_ahead: urgency::before(told, urgency::step(tokens)),
             unread: h.unread,
-            begun: h.begun,
-            used: h.used,
-            total: h.total,
-            loading: h
+            running: h.begun,
+            memory_used: h.used,
+            memory_total: h.total,
+            loading_ms: h
                 .load_left(self.now)
                 .map_or(0.0, |left| left.time.as_millis() as f64),
         }
--- a/crates/policy/src/outlook.rs
+++ b/crates/policy/src/engine_load.rs
@@ -35,32 +35,32 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     /// Tokens that it reads before the prompt.
-    pub tokens: f64,
+    pub tokens_ahead: f64,
     /// Requests that it hasn't begun.
     pub unread: u32,
     /// Requests that it answers.
-    pub begun: u32,
+    pub running: u32,
     /// Tokens of memory that can't yield.
-    pub used: u32,
+    pub memory_used: u32,
     /// Tokens of memory in all; 0 if unknown.
-    pub total: u32,
+    pub memory_total: u32,
     /// Milliseconds for which it goes on loading weights.
-    pub loading: f64,
+    pub loading_ms: f64,
 }
 
 impl Load {
     /// Milliseconds before the engine begins to read a prompt that takes some memory, if it takes so
     /// many to read a token.
     pub fn wait(&self, memory: u32, read: f64) -> f64 {
-        let reading = (self.tokens * read).max(f64::from(self.unread) * UNREAD);
-        reading + f64::from(self.begun) * BEGUN + self.crowded(memory) + self.loading
+        let reading = (self.tokens_ahead * read).max(f64::from(self.unread) * UNREAD);
+        reading + f64::from(self.running) * BEGUN + self.crowded(memory) + self.loading_ms
     }
 
     /// Milliseconds until there is memory for a prompt, beside those that wait and will take theirs first.
     fn crowded(&self, memory: u32) -> f64 {
-        let total = f64::from(self.total);
-        let needed = f64::from(self.used) + self.tokens + f64::from(memory);
-        match needed > total && self.total > 0 {
+        let total = f64::from(self.memory_total);
+        let needed = f64::from(self.memory_used) + self.tokens_ahead + f64::from(memory);
+        match needed > total && self.memory_total > 0 {
             true => ((needed - total) / total * TURNOVER).min(CROWDED),
             false => 0.0,
         }
@@ -68,7 +68,7 @@
 }
 
 /// Factor for an engine whose weights have been out of date for a time.
-pub fn weights(outdated: Option<Micros>) -> f64 {
+pub fn outdated_weights_factor(outdated: Option<Micros>) -> f64 {
     match outdated {
         Some(age) if age > OLD => OLD_FACTOR,
         _ => 1.0,
@@ -76,7 +76,7 @@
 }
 
 /// Factor for a target of which a part of the answers has failed.
-pub fn doubt(failed: f64, on_trial: bool) -> f64 {
+pub fn failure_factor(failed: f64, on_trial: bool) -> f64 {
     let trial = if on_trial { TRIAL } else { 1.0 };
     (1.0 + FAILED * failed) * trial
 }
--- a/crates/policy/tests/outlook.rs
+++ b/crates/policy/tests/engine_load.rs
@@ -1,6 +1,6 @@
 //! Engines that are short of memory.
 
-use policy::outlook::Load;
+use policy::engine_load::Load;
 use policy::spot::{choose, Candidate, Sources};
 
 /// Tokens of an engine's memory.
@@ -34,9 +34,9 @@
         let sources = Sources::new([]);
         let candidate = |i: usize| {
             let load = Load {
-                tokens: f64::from(c.waiting[i]),
-                used: c.used[i],
-                total: MEMORY,
+                tokens_ahead: f64::from(c.waiting[i]),
+                memory_used: c.used[i],
+                memory_total: MEMORY,
                 ..Load::default()
             };
             let candidate = Candidate {
--- a/crates/policy/tests/spot.rs
+++ b/crates/policy/tests/spot.rs
@@ -1,6 +1,6 @@
 //! Placing prompts of named parts by milliseconds to the first token.
 
-use policy::outlook::{self, Load};
+use policy::engine_load::{self, Load};
 use policy::spot::{choose, Candidate, Choice, Source, Sources};
 
 /// Milliseconds to read a token.
@@ -221,16 +221,16 @@
         least: f64,
     }
     let idle = Load {
-        total: 100_000,
+        memory_total: 100_000,
         ..Load::default()
     };
     #[rustfmt::skip]
     let cases = [
-        Case { name: "long prompts before it", load: Load { tokens: 9_000.0, ..idle }, least: 179.0 },
+        Case { name: "long prompts before it", load: Load { tokens_ahead: 9_000.0, ..idle }, least: 179.0 },
         Case { name: "prompts whose words are lost", load: Load { unread: 10, ..idle }, least: 80.0 },
-        Case { name: "many streams", load: Load { begun: 40, ..idle }, least: 20.0 },
-        Case { name: "loading", load: Load { loading: 310.0, ..idle }, least: 300.0 },
-        Case { name: "no memory left", load: Load { used: 95_000, ..idle }, least: 300.0 },
+        Case { name: "many streams", load: Load { running: 40, ..idle }, least: 20.0 },
+        Case { name: "loading", load: Load { loading_ms: 310.0, ..idle }, least: 300.0 },
+        Case { name: "no memory left", load: Load { memory_used: 95_000, ..idle }, least: 300.0 },
     ];
     assert!(
         idle.wait(9_000, READ).abs() < 1e-9,
@@ -241,9 +241,9 @@
         assert!(wait >= c.least, "{}: {wait}", c.name);
     }
     let old = Some(model::Micros::from_secs(2));
-    assert!(outlook::weights(old) > outlook::weights(None));
-    assert!(outlook::doubt(0.3, false) > outlook::doubt(0.0, false));
-    assert!(outlook::doubt(0.0, true) > outlook::doubt(0.0, false));
+    assert!(engine_load::outdated_weights_factor(old) > engine_load::outdated_weights_factor(None));
+    assert!(engine_load::failure_factor(0.3, false) > engine_load::failure_factor(0.0, false));
+    assert!(engine_load::failure_factor(0.0, true) > engine_load::failure_factor(0.0, false));
 }
 
 #[test]
