--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -28,7 +28,7 @@
 use std::time::Duration;
 
 use model::Micros;
-use policy::pace::Pace;
+use policy::prefill_rate::PrefillRate;
 use policy::subscription::{self, Sidecar};
 use policy::{apart, shared};
 use tokio::net::UdpSocket;
@@ -80,7 +80,7 @@
     /// The work that prompts have brought of late.
     work: RefCell<apart::Work>,
     /// How fast engines read, by pool.
-    paces: RefCell<HashMap<String, Pace>>,
+    prefill_rates: RefCell<HashMap<String, PrefillRate>>,
     /// Receives and sends updates.
     socket: Rc<UdpSocket>,
     /// Whether it takes no more requests, since it is about to end.
@@ -138,11 +138,11 @@
     }
 
     /// Lets a decision use a pool's pace of reading.
-    fn pace<T>(&self, pool: &str, use_it: impl FnOnce(&mut Pace) -> T) -> T {
-        let mut paces = self.paces.borrow_mut();
-        match paces.get_mut(pool) {
+    fn prefill_rate<T>(&self, pool: &str, use_it: impl FnOnce(&mut PrefillRate) -> T) -> T {
+        let mut prefill_rates = self.prefill_rates.borrow_mut();
+        match prefill_rates.get_mut(pool) {
             Some(p) => use_it(p),
-            None => use_it(paces.entry(pool.to_owned()).or_default()),
+            None => use_it(prefill_rates.entry(pool.to_owned()).or_default()),
         }
     }
 
@@ -183,7 +183,7 @@
         suspects: RefCell::default(),
         delegates: RefCell::default(),
         work: RefCell::default(),
-        paces: RefCell::default(),
+        prefill_rates: RefCell::default(),
         socket: Rc::new(socket),
         closing: Cell::new(false),
         connections: RefCell::default(),
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -114,7 +114,7 @@
     let suffers = plan.routes_to(&job.pool).any(|route| {
         route.mode.streams() && apart::suffers(engine.stride, route.gap.as_secs_f64() * 1e3)
     });
-    let read = ctx.pace(&job.pool, |p| p.read());
+    let read = ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
     let view = View {
         now,
         domain: &domain,
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -228,7 +228,8 @@
         if let Some(tokens) = live.place.alone.take() {
             let took = self.ctx.now().since(live.place.sent);
             let time = took.as_secs_f64() * 1e3;
-            self.ctx.pace(&self.job.pool, |p| p.add(tokens, time));
+            self.ctx
+                .prefill_rate(&self.job.pool, |p| p.record(tokens, time));
         }
         self.ctx.fleet.borrow_mut().good(live.place.key());
     }
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -70,7 +70,7 @@
         }
         drop(fleet);
         if let Some(prompt) = &job.prompt {
-            let reading = f64::from(pick.read) * ctx.pace(&job.pool, |p| p.read());
+            let reading = f64::from(pick.read) * ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
             ctx.work.borrow_mut().add(now, prompt.input, reading);
         }
         if let Some((agent, request)) = told {
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -11,7 +11,7 @@
 //! The speed of each engine isn't learnt: what a slow one has yet to read piles up here and turns
 //! prompts away by itself. Learning it from these words was tried; the estimates then differed more
 //! than the engines, prompts moved from their holders to engines thought faster, and worth at 52 and 56
-//! engines fell from 0.42 and 0.50 to 0.31 and 0.36. What is learnt is one pace for all ([`crate::pace`]).
+//! engines fell from 0.42 and 0.50 to 0.31 and 0.36. What is learnt is one pace for all ([`crate::prefill_rate`]).
 //!
 //! Grounds: an expiry of 3 s is longer than nearly all prompts wait, and short beside the time that
 //! load takes to shift.
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/prefill_rate.rs
@@ -19,7 +19,7 @@
 //! Memory of some 200 prompts follows a change within seconds.
 
 /// Milliseconds to read a token before any has been seen.
-pub const GUESS: f64 = 1.0 / 45.0;
+pub const INITIAL_MS_PER_TOKEN: f64 = 1.0 / 45.0;
 /// What the guess counts for: a number of prompts by their squared difference in tokens.
 const TRUST: f64 = 5.0 * 2_000.0 * 2_000.0;
 /// Part of the earlier prompts' weight that is kept at each new one.
@@ -29,7 +29,7 @@
 
 /// A pool's pace, from a line through what was seen.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct PrefillRate {
     prompts: f64,
     tokens: f64,
     time: f64,
@@ -37,9 +37,9 @@
     products: f64,
 }
 
-impl Pace {
+impl PrefillRate {
     /// Notes a prompt that found its engine idle: the tokens read and the milliseconds to its first token.
-    pub fn add(&mut self, tokens: u32, time: f64) {
+    pub fn record(&mut self, tokens: u32, time: f64) {
         let tokens = f64::from(tokens);
         for sum in [
             &mut self.prompts,
@@ -58,11 +58,11 @@
     }
 
     /// Milliseconds to read a token.
-    pub fn read(&self) -> f64 {
+    pub fn ms_per_token(&self) -> f64 {
         let n = self.prompts.max(1.0);
         let spread = (self.squares - self.tokens * self.tokens / n).max(0.0);
         let common = self.products - self.tokens * self.time / n;
-        let slope = (common + TRUST * GUESS) / (spread + TRUST);
+        let slope = (common + TRUST * INITIAL_MS_PER_TOKEN) / (spread + TRUST);
         slope.clamp(BOUNDS.0, BOUNDS.1)
     }
 }
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -3,7 +3,7 @@
 use model::Micros;
 use policy::lateness::{judge, Prospect, Verdict};
 use policy::ledger::Ledger;
-use policy::pace::{Pace, GUESS};
+use policy::prefill_rate::{PrefillRate, INITIAL_MS_PER_TOKEN};
 use policy::readers::Readers;
 use policy::shared::Need;
 use policy::standing::{self, Standing};
@@ -423,26 +423,26 @@
     let short = |n: u64| 600 + (n % 2) as u32;
     #[rustfmt::skip]
     let cases = [
-        Case { name: "nothing seen", speed: 75.0, tokens: mixed, prompts: 0, want: GUESS, within: 0.0 },
+        Case { name: "nothing seen", speed: 75.0, tokens: mixed, prompts: 0, want: INITIAL_MS_PER_TOKEN, within: 0.0 },
         Case { name: "slow", speed: 10.0, tokens: mixed, prompts: 300, want: 1.0 / 10.0, within: 0.15 },
         Case { name: "middling", speed: 75.0, tokens: mixed, prompts: 300, want: 1.0 / 75.0, within: 0.15 },
         Case { name: "fast", speed: 300.0, tokens: mixed, prompts: 300, want: 1.0 / 300.0, within: 0.5 },
-        Case { name: "all alike, which tells nothing", speed: 75.0, tokens: short, prompts: 300, want: GUESS, within: 0.02 },
+        Case { name: "all alike, which tells nothing", speed: 75.0, tokens: short, prompts: 300, want: INITIAL_MS_PER_TOKEN, within: 0.02 },
     ];
     for c in cases {
-        let mut pace = Pace::default();
+        let mut prefill_rate = PrefillRate::default();
         for n in 0..c.prompts {
             let tokens = (c.tokens)(n);
             // Each first token takes 70 ms and some chance beside what is read.
             let chance = (n * 31 % 17) as f64;
-            pace.add(tokens, 70.0 + chance + f64::from(tokens) / c.speed);
+            prefill_rate.record(tokens, 70.0 + chance + f64::from(tokens) / c.speed);
         }
-        let off = (pace.read() - c.want).abs() / c.want;
+        let off = (prefill_rate.ms_per_token() - c.want).abs() / c.want;
         assert!(
             off <= c.within + 1e-9,
             "{}: {} for {}",
             c.name,
-            pace.read(),
+            prefill_rate.ms_per_token(),
             c.want
         );
     }
