--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -5,7 +5,7 @@
 
 use model::Micros;
 use policy::apart;
-use policy::lateness::{self, Prospect, Verdict};
+use policy::latency_admission::{self, Decision, Estimate};
 use policy::quarantine::Verdict::Suspect;
 use policy::spot::{self, Sources};
 use policy::versions;
@@ -143,15 +143,15 @@
         may_begin(r, wait).then_some((candidate, sources.get(&scope)?))
     });
     let choice = spot::choose(prompt.input, candidates).ok_or(Reason::NoTarget)?;
-    let prospect = Prospect {
+    let estimate = Estimate {
         wait: choice.wait,
-        own: (choice.time - choice.wait).max(0.0),
+        prefill: (choice.time - choice.wait).max(0.0),
         aim: job.route.aim.as_secs_f64() * 1e3,
-        left: job.left(now).as_secs_f64() * 1e3,
+        time_left: job.left(now).as_secs_f64() * 1e3,
     };
     // What has run can't be refused any more: its caller gets the rest now, also late, or never.
     let fresh = job.runs == 0;
-    if let (Verdict::Refuse(over), true) = (lateness::judge(&prospect), fresh) {
+    if let (Decision::Refuse(over), true) = (latency_admission::decide(&estimate), fresh) {
         return Err(Reason::Late {
             wait: Micros::from_millis(choice.wait as u64),
             over: Micros::from_millis(over as u64),
--- a/crates/policy/src/lateness.rs
+++ b/crates/policy/src/latency_admission.rs
@@ -22,20 +22,20 @@
 
 /// What is known of a prompt's time, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Prospect {
+pub struct Estimate {
     /// Until it begins to be read.
     pub wait: f64,
     /// Its own reading and fetching.
-    pub own: f64,
+    pub prefill: f64,
     /// Its aim.
     pub aim: f64,
     /// Until it is given up on.
-    pub left: f64,
+    pub time_left: f64,
 }
 
 /// What is done with a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// It is sent.
     Send,
     /// It is refused; what waits has to fall by so many milliseconds first.
@@ -43,14 +43,14 @@
 }
 
 /// Judges a prompt.
-pub fn judge(p: &Prospect) -> Verdict {
-    let long = p.own > p.aim * LONG;
+pub fn decide(p: &Estimate) -> Decision {
+    let long = p.prefill > p.aim * LONG;
     let over = match long {
-        true => p.wait + p.own - p.left * LEFT,
-        false => p.wait + p.own - p.aim * AIMS,
+        true => p.wait + p.prefill - p.time_left * LEFT,
+        false => p.wait + p.prefill - p.aim * AIMS,
     };
     match over > 0.0 {
-        true => Verdict::Refuse(over + p.aim / 2.0),
-        false => Verdict::Send,
+        true => Decision::Refuse(over + p.aim / 2.0),
+        false => Decision::Send,
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -11,7 +11,7 @@
 //! [`concurrency`] says how many the engine gets, [`liveness`] whether it is alive, [`drain`] ends it all
 //! without cutting a request.
 //! Where targets are reached without a sidecar: [`spot`] places a prompt of named parts by what
-//! [`engine_load`] says of each engine and [`prefill_rate`] of all of them, [`lateness`] refuses what would be
+//! [`engine_load`] says of each engine and [`prefill_rate`] of all of them, [`latency_admission`] refuses what would be
 //! late, [`standing`] says which targets to leave alone, [`lapse`] which to keep though they aren't
 //! listed, [`misdirected`] for how long one isn't used whose address answered for another, [`shared`]
 //! keeps all entries within one budget of retries, [`loading`] says how long a request waits while all
@@ -36,7 +36,7 @@
 pub mod health;
 pub mod holder;
 pub mod lapse;
-pub mod lateness;
+pub mod latency_admission;
 pub mod ledger;
 pub mod limit;
 pub mod liveness;
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -1,7 +1,7 @@
 //! Decisions of an entry that reaches targets without a sidecar, each under the load that it answers.
 
 use model::Micros;
-use policy::lateness::{judge, Prospect, Verdict};
+use policy::latency_admission::{decide, Decision, Estimate};
 use policy::ledger::Ledger;
 use policy::prefill_rate::{PrefillRate, INITIAL_MS_PER_TOKEN};
 use policy::readers::Readers;
@@ -217,51 +217,51 @@
     // on a busy one, and refused only if its caller would have left before its answer.
     struct Case {
         name: &'static str,
-        prospect: Prospect,
+        estimate: Estimate,
         sent: bool,
     }
-    let prospect = |wait, own| Prospect {
+    let estimate = |wait, own| Estimate {
         wait,
-        own,
+        prefill: own,
         aim: 600.0,
-        left: 4_000.0,
+        time_left: 4_000.0,
     };
     let cases = [
         Case {
             name: "short, idle",
-            prospect: prospect(0.0, 50.0),
+            estimate: estimate(0.0, 50.0),
             sent: true,
         },
         Case {
             name: "short, just in time",
-            prospect: prospect(540.0, 50.0),
+            estimate: estimate(540.0, 50.0),
             sent: true,
         },
         Case {
             name: "short, late",
-            prospect: prospect(650.0, 50.0),
+            estimate: estimate(650.0, 50.0),
             sent: false,
         },
         Case {
             name: "long, idle",
-            prospect: prospect(0.0, 900.0),
+            estimate: estimate(0.0, 900.0),
             sent: true,
         },
         Case {
             name: "long, busy",
-            prospect: prospect(1_200.0, 900.0),
+            estimate: estimate(1_200.0, 900.0),
             sent: true,
         },
         Case {
             name: "long, too late for its caller",
-            prospect: prospect(2_000.0, 900.0),
+            estimate: estimate(2_000.0, 900.0),
             sent: false,
         },
     ];
     for c in cases {
-        match judge(&c.prospect) {
-            Verdict::Send => assert!(c.sent, "{}", c.name),
-            Verdict::Refuse(over) => assert!(!c.sent && over > 0.0, "{}", c.name),
+        match decide(&c.estimate) {
+            Decision::Send => assert!(c.sent, "{}", c.name),
+            Decision::Refuse(over) => assert!(!c.sent && over > 0.0, "{}", c.name),
         }
     }
 }
@@ -277,13 +277,13 @@
         let mut good = 0;
         for _ in 0..200 {
             queue = (queue - 50.0).max(0.0);
-            let prospect = Prospect {
+            let estimate = Estimate {
                 wait: queue,
-                own,
+                prefill: own,
                 aim,
-                left,
+                time_left: left,
             };
-            if refuse && judge(&prospect) != Verdict::Send {
+            if refuse && decide(&estimate) != Decision::Send {
                 continue;
             }
             good += usize::from(queue + own <= aim);
