--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -30,7 +30,7 @@
 use model::Micros;
 use policy::prefill_rate::PrefillRate;
 use policy::subscription::{self, Sidecar};
-use policy::{apart, shared};
+use policy::{apart, retry_budget};
 use tokio::net::UdpSocket;
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout_at, Instant};
@@ -70,7 +70,7 @@
     /// What it believes of the targets.
     pub fleet: RefCell<Fleet>,
     /// Its part of each pool's retries.
-    budgets: RefCell<HashMap<String, shared::Budget>>,
+    budgets: RefCell<HashMap<String, retry_budget::Budget>>,
     /// Who reads the platform's list, and what was found.
     list: list::Shared,
     /// Requests that crash targets.
@@ -101,7 +101,7 @@
         let running: u32 = fleet.replicas.values().map(|r| r.inflight).sum();
         meter::set(meter::RUNNING, running.into());
         for (pool, budget) in self.budgets.borrow().iter() {
-            metrics::gauge!(meter::RETRIES, "pool" => pool.clone()).set(budget.left());
+            metrics::gauge!(meter::RETRIES, "pool" => pool.clone()).set(budget.remaining());
         }
         let world = self.node.world.borrow();
         meter::set(meter::MEMBERS, world.members.len() as f64);
@@ -147,17 +147,17 @@
     }
 
     /// Lets a decision use a pool's budget of retries.
-    fn budget<T>(&self, pool: &str, use_it: impl FnOnce(&mut shared::Budget) -> T) -> T {
+    fn budget<T>(&self, pool: &str, use_it: impl FnOnce(&mut retry_budget::Budget) -> T) -> T {
         let mut budgets = self.budgets.borrow_mut();
         if !budgets.contains_key(pool) {
             let bounds = self.node.settings.borrow().bounds;
-            let config = shared::Config {
+            let config = retry_budget::Config {
                 ratio: bounds.retry_ratio,
                 slack: bounds.retry_slack,
                 entries: self.node.world.borrow().entries().count() + 1,
                 window: bounds.retry_window.into(),
             };
-            budgets.insert(pool.to_owned(), shared::Budget::new(config));
+            budgets.insert(pool.to_owned(), retry_budget::Budget::new(config));
         }
         match budgets.get_mut(pool) {
             Some(b) => {
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -15,7 +15,7 @@
 use hyper::Response;
 use platform::replica;
 use policy::quarantine::Verdict;
-use policy::shared::{Budget, Need};
+use policy::retry_budget::{Budget, RetryReason};
 use tokio::time::timeout;
 
 use super::listen::Watch;
@@ -257,7 +257,7 @@
     /// lost answers that were being made, also while a process stopped as planned.
     async fn overtake(&mut self) -> Came {
         self.patient = true;
-        let spend = |b: &mut Budget| b.spend(self.ctx.now(), Need::HasRun);
+        let spend = |b: &mut Budget| b.spend(self.ctx.now(), RetryReason::HasRun);
         let convicted = suspects::verdict(&self.ctx, &self.job) == Verdict::Convicted;
         if convicted || !self.ctx.budget(&self.job.pool, spend) {
             tries::stuck(&self.job, "silent, and no retry left");
@@ -318,7 +318,7 @@
                 tries::stuck(&self.job, "quarantined");
                 return false;
             }
-            let spend = |b: &mut Budget| b.spend(self.ctx.now(), Need::HasRun);
+            let spend = |b: &mut Budget| b.spend(self.ctx.now(), RetryReason::HasRun);
             let spent = self.ctx.budget(&self.job.pool, spend);
             if !spent {
                 tries::stuck(&self.job, "no retry left");
--- a/crates/gate/src/entry/serve.rs
+++ b/crates/gate/src/entry/serve.rs
@@ -156,7 +156,7 @@
 
 /// Sends a job until a target answers it or nothing more can be done.
 async fn answer(ctx: &Ctx, watch: &Rc<Watch>, mut job: Job) -> Response<Answer> {
-    ctx.budget(&job.pool, |b| b.request(ctx.now()));
+    ctx.budget(&job.pool, |b| b.record_request(ctx.now()));
     meter::span(meter::WAITING, ctx.now().since(job.came).into());
     match tries::first_answer(ctx, &mut job).await {
         Ok(Found::Stream(live)) => {
--- a/crates/gate/src/entry/tries.rs
+++ b/crates/gate/src/entry/tries.rs
@@ -11,7 +11,7 @@
 use model::Micros;
 use platform::replica;
 use policy::loading::Left;
-use policy::shared::Need;
+use policy::retry_budget::RetryReason;
 use site::{Boot, Mode};
 use tokio::time::{sleep, timeout};
 
@@ -182,8 +182,8 @@
     }
     // What no target has seen costs the pool nothing.
     let need = match job.runs {
-        0 => Need::NotRun,
-        _ => Need::HasRun,
+        0 => RetryReason::NotRun,
+        _ => RetryReason::HasRun,
     };
     let spent = !seen || ctx.budget(&job.pool, |b| b.spend(ctx.now(), need));
     if !spent {
@@ -196,7 +196,7 @@
 fn patience(ctx: &Ctx, job: &Job, pick: &Pick) -> Duration {
     let end = job.left(ctx.now()) + LAST_WORD;
     // Given up on with no retry left, its answer would be lost however soon it came.
-    let room = ctx.budget(&job.pool, |b| b.left() >= 1.0);
+    let room = ctx.budget(&job.pool, |b| b.remaining() >= 1.0);
     let more = room && job.runs + 1 < job.route.attempts;
     match job.route.mode {
         Mode::Idempotent if more => job.route.aim.mul_f64(PATIENCE).min(end),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -13,7 +13,7 @@
 //! Where targets are reached without a sidecar: [`spot`] places a prompt of named parts by what
 //! [`engine_load`] says of each engine and [`prefill_rate`] of all of them, [`latency_admission`] refuses what would be
 //! late, [`standing`] says which targets to leave alone, [`lapse`] which to keep though they aren't
-//! listed, [`misdirected`] for how long one isn't used whose address answered for another, [`shared`]
+//! listed, [`misdirected`] for how long one isn't used whose address answered for another, [`retry_budget`]
 //! keeps all entries within one budget of retries, [`loading`] says how long a request waits while all
 //! engines load, [`subscription`] says which engines an entry
 //! subscribes to, [`broken`] separates crashes from lost connections for [`quarantine`], [`rollout`] says
@@ -50,8 +50,8 @@
 pub mod recent;
 pub mod reserve;
 pub mod retry;
+pub mod retry_budget;
 pub mod rollout;
-pub mod shared;
 pub mod slots;
 pub mod spot;
 pub mod standing;
--- a/crates/policy/src/shared.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -45,7 +45,7 @@
 
 /// Why a request is to be sent once more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum RetryReason {
     /// It ran nowhere.
     NotRun,
     /// It has run and lost its answer or the rest of it.
@@ -76,19 +76,19 @@
     }
 
     /// Notes a caller's request for the pool.
-    pub fn request(&mut self, now: Micros) {
+    pub fn record_request(&mut self, now: Micros) {
         self.requests.push_back(now);
         self.expire(now);
     }
 
-    /// Spends a retry, if one is left for such a need.
-    pub fn spend(&mut self, now: Micros, need: Need) -> bool {
+    /// Spends a retry, if one is left for such a reason.
+    pub fn spend(&mut self, now: Micros, reason: RetryReason) -> bool {
         self.expire(now);
-        let kept = match need {
-            Need::HasRun => 0.0,
-            Need::NotRun => self.earned() * KEPT,
+        let kept = match reason {
+            RetryReason::HasRun => 0.0,
+            RetryReason::NotRun => self.earned() * KEPT,
         };
-        let room = self.left() >= 1.0 + kept;
+        let room = self.remaining() >= 1.0 + kept;
         if room {
             self.retries.push_back(now);
         }
@@ -96,7 +96,7 @@
     }
 
     /// Retries left.
-    pub fn left(&self) -> f64 {
+    pub fn remaining(&self) -> f64 {
         let slack = self.config.slack * SLACK / self.config.entries.max(1) as f64;
         self.earned() + slack - self.retries.len() as f64
     }
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -5,10 +5,10 @@
 use policy::ledger::Ledger;
 use policy::prefill_rate::{PrefillRate, INITIAL_MS_PER_TOKEN};
 use policy::readers::Readers;
-use policy::shared::Need;
+use policy::retry_budget::RetryReason;
 use policy::standing::{self, Standing};
 use policy::versions::Versions;
-use policy::{apart, shared, urgency};
+use policy::{apart, retry_budget, urgency};
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
@@ -21,13 +21,13 @@
     const RATIO: f64 = 0.2;
     const SLACK: f64 = 56.0;
     let window = Micros::from_secs(10);
-    let config = shared::Config {
+    let config = retry_budget::Config {
         ratio: RATIO,
         slack: SLACK,
         entries: 7,
         window,
     };
-    let mut entries: Vec<_> = (0..7).map(|_| shared::Budget::new(config)).collect();
+    let mut entries: Vec<_> = (0..7).map(|_| retry_budget::Budget::new(config)).collect();
     let mut requests = Vec::new();
     let mut retries = Vec::new();
     for step in 0..4_000u64 {
@@ -35,9 +35,9 @@
         for (i, entry) in entries.iter_mut().enumerate() {
             // The n-th entry has a request every n steps, and all of them fail.
             if step % (i as u64 + 1) == 0 {
-                entry.request(now);
+                entry.record_request(now);
                 requests.push(now);
-                if entry.spend(now, Need::HasRun) {
+                if entry.spend(now, RetryReason::HasRun) {
                     retries.push(now);
                 }
             }
@@ -61,14 +61,14 @@
 #[test]
 fn an_entry_with_little_traffic_may_still_retry() {
     // One request in a minute fails by chance. Its caller shouldn't pay for the entry's being idle.
-    let mut budget = shared::Budget::new(shared::Config {
+    let mut budget = retry_budget::Budget::new(retry_budget::Config {
         ratio: 0.2,
         slack: 56.0,
         entries: 28,
         window: Micros::from_secs(10),
     });
-    budget.request(ms(0));
-    assert!(budget.spend(ms(1), Need::NotRun));
+    budget.record_request(ms(0));
+    assert!(budget.spend(ms(1), RetryReason::NotRun));
 }
 
 #[test]
@@ -76,16 +76,16 @@
     // A third of the engines crash. First come hundreds of tries that were refused at the engines that
     // are left; a moment later the next third crashes, and streams that have begun are cut. The ones
     // refused could be told to come back; a stream that finds no retry left is lost.
-    let mut budget = shared::Budget::new(shared::Config {
+    let mut budget = retry_budget::Budget::new(retry_budget::Config {
         ratio: 0.2,
         slack: 56.0,
         entries: 28,
         window: Micros::from_secs(10),
     });
-    (0..200).for_each(|n| budget.request(ms(n)));
-    let refused = (0..100).filter(|n| budget.spend(ms(200 + n), Need::NotRun));
+    (0..200).for_each(|n| budget.record_request(ms(n)));
+    let refused = (0..100).filter(|n| budget.spend(ms(200 + n), RetryReason::NotRun));
     let refused = refused.count();
-    let cut = (0..100).filter(|n| budget.spend(ms(300 + n), Need::HasRun));
+    let cut = (0..100).filter(|n| budget.spend(ms(300 + n), RetryReason::HasRun));
     let cut = cut.count();
     assert!(refused >= 15, "{refused} tries that were refused went on");
     assert!(cut >= 15, "{cut} streams went on");
