--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -94,7 +94,7 @@
         self.sent = Instant::now();
         self.at = Some(p.target);
         let mut memory = self.cx.memory.lock();
-        memory.recent.used(&self.job.want.chain, p.target);
+        memory.recent.record_use(&self.job.want.chain, p.target);
         if memory.health.usable(clock::now(), p.target) == health::Use::Trial {
             memory.health.tried(clock::now(), p.target);
         }
--- a/crates/daemon/src/entry/memory.rs
+++ b/crates/daemon/src/entry/memory.rs
@@ -9,7 +9,7 @@
 use policy::health::{self, Health};
 use policy::place;
 use policy::quarantine::{self, Quarantine};
-use policy::recent::{self, Recent};
+use policy::recent_replicas::{self, RecentReplicas};
 use policy::retry::{self, Budget};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Memory {
     /// Who got which prefix lately.
-    pub recent: Recent,
+    pub recent: RecentReplicas,
     /// How each target has served.
     pub health: Health,
     /// Retries that may still be made.
@@ -44,7 +44,7 @@
 impl Default for Memory {
     fn default() -> Self {
         Self {
-            recent: Recent::new(recent::Config::default()),
+            recent: RecentReplicas::new(recent_replicas::Config::default()),
             health: Health::new(health::Config::default()),
             budget: Budget::new(retry::Config::default()),
             quarantine: Quarantine::new(quarantine::Config::default()),
--- a/crates/daemon/src/entry/ours.rs
+++ b/crates/daemon/src/entry/ours.rs
@@ -57,7 +57,7 @@
 fn ask(cx: &Context, view: &View, want: &Wanted, marks: &Marks, peers: &[Peer]) -> place::Ask {
     let recent = &mut cx.memory.lock().recent;
     let share = recent.share(&want.chain);
-    recent.seen(&want.chain);
+    recent.record_request(&want.chain);
     place::Ask {
         class: want.class,
         home: place::home(&want.chain, peers),
--- a/crates/policy/examples/decide.rs
+++ b/crates/policy/examples/decide.rs
@@ -5,7 +5,7 @@
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
 use policy::place::{candidates, choose, home, Ask, Config, Offer, Peer, State};
-use policy::recent::{self, Recent};
+use policy::recent_replicas::{self, RecentReplicas};
 use prefix::Marks;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -42,7 +42,7 @@
         .map(|_| (0..PROMPT).map(|_| BlockHash(rng.random())).collect())
         .collect();
     let config = Config::default();
-    let mut recent = Recent::new(recent::Config::default());
+    let mut recent = RecentReplicas::new(recent_replicas::Config::default());
     let start = Instant::now();
     for i in 0..ROUNDS {
         let chain = &chains[i % chains.len()];
@@ -57,8 +57,8 @@
             home: home(chain, &peers),
         };
         let choices = choose(&config, &ask, &offers, |_| Micros(100));
-        recent.seen(chain);
-        recent.used(chain, choices[0].target);
+        recent.record_request(chain);
+        recent.record_use(chain, choices[0].target);
     }
     let us = start.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
     println!("{replicas:>4} replicas: {us:.1} us a decision");
--- a/crates/policy/examples/replay/sim/entry.rs
+++ b/crates/policy/examples/replay/sim/entry.rs
@@ -3,12 +3,12 @@
 use model::{Class, Micros, TargetKey};
 use policy::health::{self, Health};
 use policy::place::Peer;
-use policy::recent::{self, Recent};
+use policy::recent_replicas::{self, RecentReplicas};
 use policy::retry::{self, Budget};
 
 /// One entry.
 pub(crate) struct Entry {
-    pub(crate) recent: Recent,
+    pub(crate) recent: RecentReplicas,
     pub(crate) peers: Vec<Peer>,
     pub(crate) health: Health,
     pub(crate) budget: Budget,
@@ -23,7 +23,7 @@
             wait: Micros::ZERO,
         };
         Self {
-            recent: Recent::new(recent::Config::default()),
+            recent: RecentReplicas::new(recent_replicas::Config::default()),
             peers: targets.iter().enumerate().map(peer).collect(),
             health: Health::new(health::Config::default()),
             budget: Budget::new(retry::Config::default()),
--- a/crates/policy/examples/replay/sim/run.rs
+++ b/crates/policy/examples/replay/sim/run.rs
@@ -259,7 +259,7 @@
             heat: share * self.setup.replicas as f64,
             home: place::home(&prompt.chain, &self.entries[entry].peers),
         };
-        self.entries[entry].recent.seen(&prompt.chain);
+        self.entries[entry].recent.record_request(&prompt.chain);
         let way = |t| self.way(entry, self.replica(t));
         let choices = choose(&self.setup.place, &place, &offers, way);
         let least = offers.iter().map(|o| o.prefill).min().unwrap_or_default();
@@ -268,7 +268,9 @@
             let missing = u64::from((ask.blocks - best.matched).max(1));
             self.live[i].wait = told.map_or(Micros::ZERO, |o| o.wait);
             self.live[i].expected = Micros(least.0 * missing) + WAY[0];
-            self.entries[entry].recent.used(&prompt.chain, best.target);
+            self.entries[entry]
+                .recent
+                .record_use(&prompt.chain, best.target);
             self.entries[entry].health.tried(now, best.target);
         }
         let order: Vec<usize> = choices.iter().map(|c| self.replica(c.target)).collect();
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -20,7 +20,7 @@
 //! which engines take new weights, and [`slots`] when one does, by what its peers answer ([`contact`]).
 //! [`delegate`] says which entry acts for an engine without a sidecar, [`holder`] when an engine's orders
 //! may pass from one process to another.
-//! [`cost`] and [`busy`] measure the engine for them, [`recent`] and [`reserve`] are the short
+//! [`cost`] and [`busy`] measure the engine for them, [`recent_replicas`] and [`reserve`] are the short
 //! memories that placement needs at either side.
 
 pub mod admit;
@@ -47,7 +47,7 @@
 pub mod quarantine;
 pub mod queue;
 pub mod readers;
-pub mod recent;
+pub mod recent_replicas;
 pub mod reserve;
 pub mod retry;
 pub mod retry_budget;
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -29,7 +29,7 @@
 use prefix::{levels, rank};
 use rand::Rng;
 
-use crate::recent::Recent;
+use crate::recent_replicas::RecentReplicas;
 
 /// Replicas of the rendezvous order that may be asked.
 const RANKS: usize = 4;
@@ -146,7 +146,7 @@
     /// Blocks of its prompt.
     pub blocks: u32,
     /// How many replicas' part of the traffic its prefix makes up: its part of the requests,
-    /// [`Recent::share`], times the number of replicas.
+    /// [`RecentReplicas::share`], times the number of replicas.
     pub heat: f64,
     /// The replica at which the prefix is computed if nobody holds it, [`home`].
     pub home: Option<TargetKey>,
@@ -157,7 +157,7 @@
     config: &Config,
     chain: &[BlockHash],
     peers: &[Peer],
-    recent: &Recent,
+    recent: &RecentReplicas,
     rng: &mut impl Rng,
 ) -> Vec<TargetKey> {
     let mut chosen = Vec::with_capacity(config.probes);
--- a/crates/policy/src/recent.rs
+++ b/crates/policy/src/recent_replicas.rs
@@ -43,7 +43,7 @@
 
 /// The prefixes known to an entry.
 #[derive(Debug)]
-pub struct Recent {
+pub struct RecentReplicas {
     config: Config,
     young: Map<BlockHash, Holders>,
     old: Map<BlockHash, Holders>,
@@ -52,7 +52,7 @@
     counts: Map<BlockHash, u32>,
 }
 
-impl Recent {
+impl RecentReplicas {
     /// An empty memory.
     pub fn new(config: Config) -> Self {
         Self {
@@ -73,7 +73,7 @@
     }
 
     /// Remembers that a replica got a prompt.
-    pub fn used(&mut self, chain: &[BlockHash], target: TargetKey) {
+    pub fn record_use(&mut self, chain: &[BlockHash], target: TargetKey) {
         for depth in grid(chain.len() as u32) {
             let hash = at(chain, depth);
             let holders = first(self.get(hash).unwrap_or_default(), target);
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Counts a request for [`Recent::share`].
-    pub fn seen(&mut self, chain: &[BlockHash]) {
+    /// Counts a request for [`RecentReplicas::share`].
+    pub fn record_request(&mut self, chain: &[BlockHash]) {
         let Some(mark) = levels(chain).next() else {
             return;
         };
@@ -103,7 +103,7 @@
     }
 
     /// Forgets a replica for one prefix, which it turned out not to hold.
-    pub fn missed(&mut self, hash: BlockHash, target: TargetKey) {
+    pub fn forget(&mut self, hash: BlockHash, target: TargetKey) {
         if let Some(holders) = self.get(hash) {
             self.put(hash, holders.map(|h| h.filter(|t| *t != target)));
         }
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -2,7 +2,7 @@
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
 use policy::place::{candidates, choose, fallback, Ask, Config, Offer, Peer, State};
-use policy::recent::{self, Recent};
+use policy::recent_replicas::{self, RecentReplicas};
 use prefix::{chain, Seed, BLOCK};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
@@ -38,7 +38,7 @@
 #[test]
 fn entries_without_a_memory_ask_the_same_replicas() {
     let (peers, chain, config) = (peers(200), hashes(1_000, 1), Config::default());
-    let memory = Recent::new(recent::Config::default());
+    let memory = RecentReplicas::new(recent_replicas::Config::default());
     let ask = |seed| {
         let mut rng = SmallRng::seed_from_u64(seed);
         candidates(&config, &chain, &peers, &memory, &mut rng)
@@ -53,9 +53,9 @@
 fn the_replicas_used_lately_are_asked_first_while_they_live() {
     let (peers, long, config) = (peers(50), hashes(1_000, 1), Config::default());
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut memory = Recent::new(recent::Config::default());
-    memory.used(&long, peers[7].target);
-    memory.used(&long[..600], peers[8].target);
+    let mut memory = RecentReplicas::new(recent_replicas::Config::default());
+    memory.record_use(&long, peers[7].target);
+    memory.record_use(&long[..600], peers[8].target);
     let asked = candidates(&config, &long[..520], &peers, &memory, &mut rng);
     assert_eq!(asked[0], peers[8].target);
     let asked = candidates(&config, &long, &peers, &memory, &mut rng);
@@ -70,15 +70,15 @@
 #[test]
 fn the_memory_is_bounded_and_forgets_what_it_is_told_to() {
     let peers = peers(2);
-    let mut memory = Recent::new(recent::Config { prefixes: 100 });
+    let mut memory = RecentReplicas::new(recent_replicas::Config { prefixes: 100 });
     for fill in 0..50 {
-        memory.used(&hashes(40, fill), peers[0].target);
+        memory.record_use(&hashes(40, fill), peers[0].target);
     }
     assert!(memory.len() <= 200, "{}", memory.len());
     let chain = hashes(40, 49);
     let (mark, _) = memory.longest(&chain).expect("the last prefix is known");
     assert_eq!(mark.blocks, 40);
-    memory.missed(mark.hash, peers[0].target);
+    memory.forget(mark.hash, peers[0].target);
     assert_eq!(memory.longest(&chain).map(|(m, _)| m.blocks), Some(32));
     assert!(memory.longest(&hashes(40, 0)).is_none());
 }
@@ -207,7 +207,7 @@
 #[test]
 fn two_rounds_of_probes_reach_one_that_serves() {
     let (all, config) = (peers(4), Config::default());
-    let memory = Recent::new(recent::Config::default());
+    let memory = RecentReplicas::new(recent_replicas::Config::default());
     let loading = [all[0].target, all[1].target];
     for seed in 0..2_000 {
         let mut rng = SmallRng::seed_from_u64(seed);
