--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -8,8 +8,8 @@
 use policy::ledger::Unread;
 use policy::loading::Left;
 use policy::misdirected::Marks;
+use policy::prefill_priority;
 use policy::standing::Standing;
-use policy::urgency;
 use site::{Part, PartId, Target};
 
 use super::idle::Idle;
@@ -186,7 +186,7 @@
     /// Tokens yet to read with those sent after a time, which its sidecar hasn't counted yet.
     pub fn unread_since(&self, mut told: Unread, from: Micros) -> Unread {
         for (_, tokens) in self.recent.iter().rev().take_while(|(at, _)| *at >= from) {
-            told[urgency::step(*tokens)] += tokens;
+            told[prefill_priority::tier(*tokens)] += tokens;
         }
         told
     }
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -11,8 +11,8 @@
 use hyper_util::rt::TokioIo;
 use model::Micros;
 use platform::replica::{self, Terms, Told};
+use policy::prefill_priority;
 use policy::quarantine::Verdict;
-use policy::urgency;
 use site::{Boot, Part};
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64;
@@ -207,7 +207,7 @@
         rank: job
             .prompt
             .is_some()
-            .then_some(urgency::rank(job.rank, pick.read)),
+            .then_some(prefill_priority::rank(job.rank, pick.read)),
         resume: job.resume.as_deref(),
     };
     let mut request = Request::new(Full::new(job.body.clone()));
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -6,8 +6,8 @@
 use model::Micros;
 use policy::apart;
 use policy::engine_load::{self, Load};
+use policy::prefill_priority;
 use policy::spot::{Candidate, Source, Sources};
-use policy::urgency;
 use policy::versions::Versions;
 use site::{Engine, Plan, Prompt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -76,7 +76,7 @@
         };
         let told = r.unread_since(h.unread_tokens, h.at - TRANSIT);
         Load {
-            tokens_ahead: urgency::before(told, urgency::step(tokens)),
+            tokens_ahead: prefill_priority::tokens_ahead(told, prefill_priority::tier(tokens)),
             unread: h.unread,
             running: h.begun,
             memory_used: h.used,
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -20,13 +20,13 @@
 
 use model::Micros;
 
-use crate::urgency::{self, STEPS};
+use crate::prefill_priority::{self, TIERS};
 
 /// How long a prompt counts without a further word.
 const EXPIRY: Micros = Micros::from_secs(3);
 
-/// Tokens to read, by the step of urgency that their prompts have ([`crate::urgency::step`]).
-pub type Unread = [u32; STEPS];
+/// Tokens to read, by the step of urgency that their prompts have ([`crate::prefill_priority::tier`]).
+pub type Unread = [u32; TIERS];
 
 /// A prompt that is yet to be read.
 #[derive(Clone, Copy, Debug)]
@@ -49,7 +49,7 @@
         self.remove(request);
         let open = Open {
             tokens,
-            step: urgency::step(tokens),
+            step: prefill_priority::tier(tokens),
             until: now + EXPIRY,
         };
         self.open.insert(request, open);
--- a/crates/policy/src/urgency.rs
+++ b/crates/policy/src/prefill_priority.rs
@@ -5,9 +5,9 @@
 //! although they are a small part of the work.
 //!
 //! The caller's rank decides first. Among equals the shorter reading goes first, in a few coarse
-//! steps: a mean wait is least that way, and a long prompt loses little by the short ones before it.
+//! tiers: a mean wait is least that way, and a long prompt loses little by the short ones before it.
 //!
-//! Grounds: the steps are those of a follow-up question, an ordinary prompt whose opening is held,
+//! Grounds: the tiers are those of a follow-up question, an ordinary prompt whose opening is held,
 //! and one that is read from its beginning. Measured on 52 engines with a quarter of them dark and
 //! 13,590 short streams in 34 s: 8,912 were in time, and 4,467 some changes before, when the caller's
 //! rank alone decided and kept prompts weren't chosen by their own part.
@@ -15,7 +15,7 @@
 /// Most ranks that engines tell apart.
 const RANKS: u8 = 10;
 /// Ranks for each of the callers' ranks.
-pub const STEPS: usize = 3;
+pub const TIERS: usize = 3;
 /// Part of less urgent reading that a prompt finds under way.
 const UNDER_WAY: f64 = 0.3;
 /// Tokens to read up to which a request is short.
@@ -23,8 +23,8 @@
 /// Tokens to read up to which it is ordinary.
 const ORDINARY: u32 = 6_000;
 
-/// The step of a prompt with some tokens to read; shorter ones go first.
-pub fn step(read: u32) -> usize {
+/// The tier of a prompt with some tokens to read; shorter ones go first.
+pub fn tier(read: u32) -> usize {
     match read {
         0..SHORT => 0,
         SHORT..ORDINARY => 1,
@@ -32,17 +32,17 @@
     }
 }
 
-/// Tokens that are read before a prompt of a step: all of its own step and of those before it, and a
+/// Tokens that are read before a prompt of a tier: all of its own tier and of those before it, and a
 /// part of the others, which may be under way already.
-pub fn before(unread: [u32; STEPS], step: usize) -> f64 {
-    let part = |i: usize| if i <= step { 1.0 } else { UNDER_WAY };
+pub fn tokens_ahead(unread: [u32; TIERS], tier: usize) -> f64 {
+    let part = |i: usize| if i <= tier { 1.0 } else { UNDER_WAY };
     let tokens = unread.iter().enumerate();
     tokens.map(|(i, n)| f64::from(*n) * part(i)).sum()
 }
 
 /// The rank of a request with a caller's rank and some tokens to read.
 pub fn rank(caller: u8, read: u32) -> u8 {
-    let steps = STEPS as u8;
-    let rank = caller.saturating_mul(steps);
-    rank.saturating_add(step(read) as u8).min(RANKS - 1)
+    let tiers = TIERS as u8;
+    let rank = caller.saturating_mul(tiers);
+    rank.saturating_add(tier(read) as u8).min(RANKS - 1)
 }
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -8,7 +8,7 @@
 use policy::retry_budget::RetryReason;
 use policy::standing::{self, Standing};
 use policy::versions::Versions;
-use policy::{apart, retry_budget, urgency};
+use policy::{apart, prefill_priority, retry_budget};
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
@@ -171,14 +171,16 @@
     // Engines read what is most urgent first. A caller's rank decides; among equals, a short prompt
     // isn't kept waiting by long ones, and counts only a part of them as being before it.
     let ranks = [(0, 100), (0, 3_000), (0, 20_000), (1, 100), (1, 20_000)];
-    let ranks = ranks.map(|(caller, read)| urgency::rank(caller, read));
+    let ranks = ranks.map(|(caller, read)| prefill_priority::rank(caller, read));
     assert!(
         ranks.is_sorted() && ranks.windows(2).all(|w| w[0] < w[1]),
         "{ranks:?}"
     );
-    assert!(urgency::rank(200, 20_000) <= 9);
+    assert!(prefill_priority::rank(200, 20_000) <= 9);
     let unread = [1_000, 10_000, 40_000];
-    let before: Vec<_> = [0, 1, 2].map(|s| urgency::before(unread, s)).to_vec();
+    let before: Vec<_> = [0, 1, 2]
+        .map(|s| prefill_priority::tokens_ahead(unread, s))
+        .to_vec();
     assert!(before[0] < 17_000.0, "{before:?}");
     assert_eq!(before[2], 51_000.0);
 }
@@ -203,7 +205,7 @@
         short.count()
     };
     let mut urgent = reads.clone();
-    urgent.sort_by_key(|read| urgency::rank(0, *read));
+    urgent.sort_by_key(|read| prefill_priority::rank(0, *read));
     let (arrival, urgent) = (in_time(&reads), in_time(&urgent));
     assert!(
         urgent >= arrival * 2,
