--- a/crates/daemon/src/sidecar/decide/mod.rs
+++ b/crates/daemon/src/sidecar/decide/mod.rs
@@ -19,13 +19,13 @@
 
 use model::{Class, Code, Incarnation, MemberId, Micros, TeamKey};
 use policy::admit;
-use policy::busy::Busy;
 use policy::concurrency::{self, Limit};
 use policy::cost::{self, Cost};
 use policy::quarantine::{self, Fingerprint, Quarantine};
 use policy::queue::{self, Job, Queue};
 use policy::reserve::{self, Reserve};
 use policy::trial::Trials;
+use policy::utilization::Utilization;
 use prefix::{Index, Marks};
 use rand::Rng;
 use slab::Slab;
@@ -75,7 +75,7 @@
     reserve: Reserve<u64>,
     prefills: Limit,
     runs: Limit,
-    busy: Busy,
+    busy: Utilization,
     /// When the prefills handed over should be done.
     until: Micros,
     /// When the engine last sent a first token.
@@ -140,7 +140,7 @@
             reserve: Reserve::new(reserve::Config::default()),
             prefills: Limit::new(concurrency::Config::prefill()),
             runs: Limit::new(concurrency::Config::running()),
-            busy: Busy::default(),
+            busy: Utilization::default(),
             until: Micros::ZERO,
             last: Micros::ZERO,
             teams: HashMap::new(),
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -2,12 +2,12 @@
 
 use model::{BlockHash, Class, Micros, TargetKey, TeamKey};
 use policy::admit::{self, admit, Arrival, Drain, Refusal};
-use policy::busy::Busy;
 use policy::concurrency::{self, Limit, Sample};
 use policy::cost::{self, Cost};
 use policy::place::{Offer, State};
 use policy::queue::{self, Job, Queue};
 use policy::reserve::{self, Reserve};
+use policy::utilization::Utilization;
 use prefix::{Index, Marks};
 
 /// What a sidecar knows of a request.
@@ -45,7 +45,7 @@
     reserve: Reserve<usize>,
     drain: Drain,
     prefills: Limit,
-    busy: Busy,
+    busy: Utilization,
     prefilling: u32,
     /// When the prefills handed over should be done.
     until: Micros,
@@ -69,7 +69,7 @@
             prefills: Limit::new(concurrency::Config::prefill()),
             prefilling: 0,
             until: Micros::ZERO,
-            busy: Busy::default(),
+            busy: Utilization::default(),
         }
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -20,13 +20,12 @@
 //! which engines take new weights, and [`slots`] when one does, by what its peers answer ([`contact`]).
 //! [`delegate`] says which entry acts for an engine without a sidecar, [`holder`] when an engine's orders
 //! may pass from one process to another.
-//! [`cost`] and [`busy`] measure the engine for them, [`recent_replicas`] and [`reserve`] are the short
+//! [`cost`] and [`utilization`] measure the engine for them, [`recent_replicas`] and [`reserve`] are the short
 //! memories that placement needs at either side.
 
 pub mod admit;
 pub mod apart;
 pub mod broken;
-pub mod busy;
 pub mod concurrency;
 pub mod contact;
 pub mod cost;
@@ -58,4 +57,5 @@
 pub mod standing;
 pub mod subscription;
 pub mod trial;
+pub mod utilization;
 pub mod versions;
--- a/crates/policy/src/busy.rs
+++ b/crates/policy/src/utilization.rs
@@ -14,13 +14,13 @@
 
 /// An average of an engine's use, by the class that it worked for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Busy {
+pub struct Utilization {
     average: [f64; 3],
     at: Micros,
     now: Option<Class>,
 }
 
-impl Busy {
+impl Utilization {
     /// Notes for which class the engine computes from now on, if for any.
     pub fn set(&mut self, now: Micros, class: Option<Class>) {
         self.average = Class::ALL.map(|c| self.of(now, c));
