--- a/crates/daemon/src/sidecar/decide/mod.rs
+++ b/crates/daemon/src/sidecar/decide/mod.rs
@@ -71,7 +71,7 @@
     /// Mean time that a request is at the target; its first guess counts for plain services only.
     call: Micros,
     admit: admit::Config,
-    rate: admit::Drain,
+    rate: admit::DrainRate,
     reserve: Reserve<u64>,
     prefills: Limit,
     runs: Limit,
@@ -136,7 +136,7 @@
             cost: Cost::new(cost::Config::default()),
             call: CALL,
             admit: admit::Config::default(),
-            rate: admit::Drain::default(),
+            rate: admit::DrainRate::default(),
             reserve: Reserve::new(reserve::Config::default()),
             prefills: Limit::new(concurrency::Config::prefill()),
             runs: Limit::new(concurrency::Config::running()),
@@ -178,7 +178,7 @@
             .queue
             .review(now, wait, |job| today(kind, index, cost, job));
         back.extend(hopeless.into_iter().map(|(job, wait)| {
-            let r = admit::returned(&self.admit, job.class, wait, rng.random());
+            let r = admit::refuse_queued(&self.admit, job.class, wait, rng.random());
             (job.payload.grant, refusal(r))
         }));
         back
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -1,7 +1,7 @@
 //! A sidecar as the replay drives it: the decision modules wired together as in the daemon.
 
 use model::{BlockHash, Class, Micros, TargetKey, TeamKey};
-use policy::admit::{self, admit, Arrival, Drain, Refusal};
+use policy::admit::{self, admit, Arrival, DrainRate, Refusal};
 use policy::concurrency::{self, Limit, Sample};
 use policy::cost::{self, Cost};
 use policy::place::{Offer, State};
@@ -43,7 +43,7 @@
     pub(crate) cost: Cost,
     admit: admit::Config,
     reserve: Reserve<usize>,
-    drain: Drain,
+    drain: DrainRate,
     prefills: Limit,
     busy: Utilization,
     prefilling: u32,
@@ -65,7 +65,7 @@
             cost: Cost::new(cost),
             admit: admit::Config::default(),
             reserve: Reserve::new(reserve::Config::default()),
-            drain: Drain::default(),
+            drain: DrainRate::default(),
             prefills: Limit::new(concurrency::Config::prefill()),
             prefilling: 0,
             until: Micros::ZERO,
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -8,7 +8,7 @@
 //! A request is refused when the wait that it would have exceeds its class's limit or its own
 //! deadline. A refusal is final and given on arrival, while the caller can still try elsewhere.
 //! A wait that turns out longer than was told is noticed by [`crate::queue::Queue::review`], and the
-//! request is given back with [`returned`] before its deadline. The refusal tells when to
+//! request is given back with [`refuse_queued`] before its deadline. The refusal tells when to
 //! come back, from the rate at which the queue has been draining, spread a little so that the
 //! refused don't come back together.
 //!
@@ -94,7 +94,7 @@
 }
 
 /// The refusal for a request that was taken and won't have its turn in time.
-pub fn returned(config: &Config, class: Class, wait: Micros, spread: f64) -> Refusal {
+pub fn refuse_queued(config: &Config, class: Class, wait: Micros, spread: f64) -> Refusal {
     let after = after(config, wait, config.wait[class.index()], spread);
     let code = Code::Overloaded;
     Refusal { code, after }
@@ -118,7 +118,7 @@
 /// time little else is finished, no more than a short one: in the replay at twice the load it read
 /// 1.0, while in the time that calls waited 0.65 was done.
 #[derive(Clone, Copy, Debug)]
-pub struct Drain {
+pub struct DrainRate {
     done: f64,
     time: f64,
     since: Option<Micros>,
@@ -129,7 +129,7 @@
 /// Bounds of the rate.
 const RATE: [f64; 2] = [0.05, 64.0];
 
-impl Default for Drain {
+impl Default for DrainRate {
     fn default() -> Self {
         // The first guess, a rate of 1, counts for as long as half a span.
         let guess = SPAN.0 as f64 / 2.0;
@@ -141,7 +141,7 @@
     }
 }
 
-impl Drain {
+impl DrainRate {
     /// Notes that work was finished while requests were waiting or not.
     pub fn finished(&mut self, now: Micros, work: Micros, waiting: bool) {
         let since = self.since.replace(now);
--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admit.rs
@@ -2,7 +2,7 @@
 
 use assert_matches::assert_matches;
 use model::{Class, Code, Micros};
-use policy::admit::{admit, Arrival, Config, Drain, Refusal};
+use policy::admit::{admit, Arrival, Config, DrainRate, Refusal};
 use policy::reserve::{self, Reserve};
 
 const NOW: Micros = Micros::from_secs(100);
@@ -96,7 +96,7 @@
 #[test]
 fn the_drain_rate_is_measured_only_while_requests_wait() {
     let run = |waiting: bool| {
-        let mut drain = Drain::default();
+        let mut drain = DrainRate::default();
         for i in 0..200u64 {
             drain.finished(
                 Micros::from_millis(i * 100),
