--- a/crates/daemon/src/sidecar/decide/admission.rs
+++ b/crates/daemon/src/sidecar/decide/admission.rs
@@ -63,7 +63,7 @@
         grant: G,
         rng: &mut impl Rng,
     ) -> Result<JobKey, (G, Refusal)> {
-        self.reserve.settle(work.probe);
+        self.reserve.release(work.probe);
         let place = match self.place(now, &work, rng) {
             Ok(p) => p,
             Err(r) => return Err((grant, r)),
@@ -123,7 +123,7 @@
         work: Micros,
     ) -> Micros {
         let queued = self.queue.ahead(class, team, share, work);
-        let ahead = self.rate.wait(queued + self.reserve.sum(now));
+        let ahead = self.rate.wait(queued + self.reserve.total(now));
         match self.kind {
             Kind::Model => ahead + self.until.since(now) + self.turnover(),
             Kind::Plain => ahead,
--- a/crates/daemon/src/sidecar/decide/mod.rs
+++ b/crates/daemon/src/sidecar/decide/mod.rs
@@ -23,7 +23,7 @@
 use policy::cost::{self, Cost};
 use policy::quarantine::{self, Fingerprint, Quarantine};
 use policy::queue::{self, Job, Queue};
-use policy::reserve::{self, Reserve};
+use policy::reserve::{self, Reservations};
 use policy::trial::Trials;
 use policy::utilization::Utilization;
 use prefix::{Index, Marks};
@@ -72,7 +72,7 @@
     call: Micros,
     admit: admit::Config,
     rate: admit::DrainRate,
-    reserve: Reserve<u64>,
+    reserve: Reservations<u64>,
     prefills: Limit,
     runs: Limit,
     busy: Utilization,
@@ -137,7 +137,7 @@
             call: CALL,
             admit: admit::Config::default(),
             rate: admit::DrainRate::default(),
-            reserve: Reserve::new(reserve::Config::default()),
+            reserve: Reservations::new(reserve::Config::default()),
             prefills: Limit::new(concurrency::Config::prefill()),
             runs: Limit::new(concurrency::Config::running()),
             busy: Utilization::default(),
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -6,7 +6,7 @@
 use policy::cost::{self, Cost};
 use policy::place::{Offer, State};
 use policy::queue::{self, Job, Queue};
-use policy::reserve::{self, Reserve};
+use policy::reserve::{self, Reservations};
 use policy::utilization::Utilization;
 use prefix::{Index, Marks};
 
@@ -42,7 +42,7 @@
     pub(crate) queue: Queue<Waiting>,
     pub(crate) cost: Cost,
     admit: admit::Config,
-    reserve: Reserve<usize>,
+    reserve: Reservations<usize>,
     drain: DrainRate,
     prefills: Limit,
     busy: Utilization,
@@ -64,7 +64,7 @@
             queue: Queue::new(queue::Config::default()),
             cost: Cost::new(cost),
             admit: admit::Config::default(),
-            reserve: Reserve::new(reserve::Config::default()),
+            reserve: Reservations::new(reserve::Config::default()),
             drain: DrainRate::default(),
             prefills: Limit::new(concurrency::Config::prefill()),
             prefilling: 0,
@@ -105,7 +105,7 @@
         ask: Ask,
         chain: &[BlockHash],
     ) -> Result<(), Refusal> {
-        self.reserve.settle(ask.request);
+        self.reserve.release(ask.request);
         let _ = self.index.tick(now);
         let matched = self.index.matched_chain(chain);
         let work = self.work(&ask, matched);
@@ -202,7 +202,7 @@
     /// The wait that the least urgent request would have.
     pub(crate) fn wait(&mut self, now: Micros, ask: &Ask, work: Micros) -> Micros {
         let queued = self.queue.ahead(ask.class, ask.team, 1, work);
-        let ahead = queued + self.reserve.sum(now);
+        let ahead = queued + self.reserve.total(now);
         self.drain.wait(ahead) + self.until.since(now)
     }
 
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -34,14 +34,14 @@
 
 /// The places held at one sidecar, named by the probes' keys.
 #[derive(Debug)]
-pub struct Reserve<K> {
+pub struct Reservations<K> {
     config: Config,
     held: HashMap<K, (Micros, Micros)>,
     order: VecDeque<(Micros, K)>,
     sum: Micros,
 }
 
-impl<K: Copy + Eq + Hash> Reserve<K> {
+impl<K: Copy + Eq + Hash> Reservations<K> {
     /// No places held.
     pub fn new(config: Config) -> Self {
         Self {
@@ -59,7 +59,7 @@
 
     /// Holds a place for a request that has asked; asking again renews it.
     pub fn hold(&mut self, now: Micros, key: K, work: Micros) {
-        self.settle(key);
+        self.release(key);
         let until = now + self.config.hold;
         let part = Micros((work.0 as f64 * self.config.part) as u64);
         self.held.insert(key, (until, part));
@@ -68,19 +68,19 @@
     }
 
     /// Ends a hold because the request has come or been placed elsewhere.
-    pub fn settle(&mut self, key: K) {
+    pub fn release(&mut self, key: K) {
         if let Some((_, part)) = self.held.remove(&key) {
             self.sum = self.sum - part;
         }
     }
 
     /// The work held for at this time.
-    pub fn sum(&mut self, now: Micros) -> Micros {
+    pub fn total(&mut self, now: Micros) -> Micros {
         while let Some((until, key)) = self.order.front().copied().filter(|(t, _)| *t <= now) {
             self.order.pop_front();
             // A renewed hold has a later time than the one that ends here.
             if self.held.get(&key).is_some_and(|(t, _)| *t == until) {
-                self.settle(key);
+                self.release(key);
             }
         }
         self.sum
--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admit.rs
@@ -3,7 +3,7 @@
 use assert_matches::assert_matches;
 use model::{Class, Code, Micros};
 use policy::admit::{admit, Arrival, Config, DrainRate, Refusal};
-use policy::reserve::{self, Reserve};
+use policy::reserve::{self, Reservations};
 
 const NOW: Micros = Micros::from_secs(100);
 
@@ -117,19 +117,19 @@
 /// request that never comes must not count for long.
 #[test]
 fn a_held_place_counts_until_it_is_taken_or_over() {
-    let mut held = Reserve::new(reserve::Config::default());
+    let mut held = Reservations::new(reserve::Config::default());
     let work = Micros::from_millis(400);
     for key in 0..3 {
         held.hold(NOW, key, work);
     }
-    assert_eq!(held.sum(NOW), Micros::from_millis(300));
-    held.settle(0);
-    held.settle(9);
-    assert_eq!(held.sum(NOW), Micros::from_millis(200));
+    assert_eq!(held.total(NOW), Micros::from_millis(300));
+    held.release(0);
+    held.release(9);
+    assert_eq!(held.total(NOW), Micros::from_millis(200));
     held.hold(NOW + Micros::from_millis(30), 1, work);
     assert_eq!(
-        held.sum(NOW + Micros::from_millis(50)),
+        held.total(NOW + Micros::from_millis(50)),
         Micros::from_millis(100)
     );
-    assert_eq!(held.sum(NOW + Micros::from_millis(80)), Micros::ZERO);
+    assert_eq!(held.total(NOW + Micros::from_millis(80)), Micros::ZERO);
 }
