--- a/crates/daemon/src/entry/drive.rs
+++ b/crates/daemon/src/entry/drive.rs
@@ -143,7 +143,7 @@
     /// Counts the request; a convicted one ends here.
     fn begin(&mut self) -> Option<Failure> {
         let mut memory = self.cx.memory.lock();
-        memory.budget.sent();
+        memory.budget.record_first_attempt();
         let verdict = memory.verdict(clock::now(), self.job.want.fingerprint);
         self.suspect = verdict == Verdict::Suspect;
         (verdict == Verdict::Convicted).then_some(Failure {
@@ -188,7 +188,7 @@
             least: Micros::ZERO,
         };
         let mut memory = self.cx.memory.lock();
-        memory.budget.again(now, &f).is_ok()
+        memory.budget.allow_retry(now, &f).is_ok()
     }
 
     /// When an attempt is of no more use. The deadline is for the beginning of the answer; whoever
--- a/crates/daemon/src/sidecar/decide/admission.rs
+++ b/crates/daemon/src/sidecar/decide/admission.rs
@@ -122,7 +122,7 @@
         share: u32,
         work: Micros,
     ) -> Micros {
-        let queued = self.queue.ahead(class, team, share, work);
+        let queued = self.queue.work_ahead(class, team, share, work);
         let ahead = self.rate.wait(queued + self.reserve.total(now));
         match self.kind {
             Kind::Model => ahead + self.until.since(now) + self.turnover(),
--- a/crates/daemon/src/sidecar/decide/mod.rs
+++ b/crates/daemon/src/sidecar/decide/mod.rs
@@ -214,7 +214,7 @@
         let all = self.running.iter().map(|(_, r)| r);
         let unseen = all.filter(|r| r.prefilling && !r.stream);
         let soonest = unseen.map(|r| r.handed + r.prefill).min();
-        let wakes = [self.queue.wake(), soonest, self.trials.wake()];
+        let wakes = [self.queue.next_expiry(), soonest, self.trials.wake()];
         wakes.into_iter().flatten().min()
     }
 }
--- a/crates/policy/examples/replay/sim/run.rs
+++ b/crates/policy/examples/replay/sim/run.rs
@@ -176,7 +176,7 @@
     fn arrive(&mut self, now: Micros, i: usize) {
         let entry = self.live[i].entry;
         if self.live[i].attempt == 0 {
-            self.entries[entry].budget.sent();
+            self.entries[entry].budget.record_first_attempt();
         }
         match self.setup.policy {
             Policy::Ours => {
@@ -299,7 +299,7 @@
             Order::Fifo => self.hand(now, i, r),
             Order::Ours => match self.sidecars[r].open(now, ask, &prompt.chain) {
                 Ok(()) => {
-                    if let Some(at) = self.sidecars[r].queue.wake() {
+                    if let Some(at) = self.sidecars[r].queue.next_expiry() {
                         self.push(at, Step::Pump(r));
                     }
                 }
--- a/crates/policy/examples/replay/sim/run/faults.rs
+++ b/crates/policy/examples/replay/sim/run/faults.rs
@@ -43,7 +43,7 @@
             least: Micros::ZERO,
         };
         let entry = self.live[i].entry;
-        match self.entries[entry].budget.again(now, &failure) {
+        match self.entries[entry].budget.allow_retry(now, &failure) {
             Ok(()) => {
                 self.live[i].attempt += 1;
                 self.push(now + WAY[0], Step::Arrive(i));
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -201,7 +201,7 @@
 
     /// The wait that the least urgent request would have.
     pub(crate) fn wait(&mut self, now: Micros, ask: &Ask, work: Micros) -> Micros {
-        let queued = self.queue.ahead(ask.class, ask.team, 1, work);
+        let queued = self.queue.work_ahead(ask.class, ask.team, 1, work);
         let ahead = queued + self.reserve.total(now);
         self.drain.wait(ahead) + self.until.since(now)
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -218,7 +218,7 @@
     }
 
     /// When [`Queue::expire`] next has something to do.
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn next_expiry(&self) -> Option<Micros> {
         self.latest.first().map(|(t, _)| *t + Micros(1))
     }
 
@@ -226,7 +226,7 @@
     ///
     /// It counts the more urgent classes in full, the assured part of the less urgent ones, and
     /// in its own class of each team only what fairness lets go first.
-    pub fn ahead(&self, class: Class, team: TeamKey, weight: u32, work: Micros) -> Micros {
+    pub fn work_ahead(&self, class: Class, team: TeamKey, weight: u32, work: Micros) -> Micros {
         let lane = self.bands[class.index()].lanes.get(&team);
         // The team's own requests go before this one if they are shorter; half of them, say.
         let before = lane.map_or(0, |l| l.work.0 / 2);
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -90,12 +90,12 @@
     }
 
     /// Notes a request's first attempt.
-    pub fn sent(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.saved = (self.saved + self.config.share).min(self.config.saved);
     }
 
     /// Allows one more attempt, or says why not.
-    pub fn again(&mut self, now: Micros, failure: &Failure) -> Result<(), Denied> {
+    pub fn allow_retry(&mut self, now: Micros, failure: &Failure) -> Result<(), Denied> {
         match failure {
             f if f.outcome != Outcome::NotRun && !f.idempotent => Err(Denied::Unsafe),
             f if f.attempt.0 + 1 >= self.config.attempts => Err(Denied::Attempts),
--- a/crates/policy/tests/control.rs
+++ b/crates/policy/tests/control.rs
@@ -76,7 +76,7 @@
     for case in cases {
         let mut budget = Budget::new(retry::Config::default());
         assert_eq!(
-            budget.again(Micros::ZERO, &case.failure),
+            budget.allow_retry(Micros::ZERO, &case.failure),
             case.verdict,
             "{}",
             case.name
@@ -85,8 +85,8 @@
     let mut budget = Budget::new(retry::Config::default());
     let mut again = 0;
     for _ in 0..10_000 {
-        budget.sent();
-        again += u32::from(budget.again(Micros::ZERO, &base).is_ok());
+        budget.record_first_attempt();
+        again += u32::from(budget.allow_retry(Micros::ZERO, &base).is_ok());
     }
     assert!((1_000..=1_010).contains(&again), "{again}");
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -152,7 +152,10 @@
     assert_eq!(late(50), []);
     assert_eq!(late(51), [2]);
     assert_eq!(late(901), [1]);
-    assert_eq!(queue.wake(), Some(Micros::from_millis(4_990) + Micros(1)));
+    assert_eq!(
+        queue.next_expiry(),
+        Some(Micros::from_millis(4_990) + Micros(1))
+    );
     assert_eq!(order(&mut queue), [3]);
 }
 
@@ -281,7 +284,7 @@
     ];
     for case in cases {
         let work = Micros::from_millis(100);
-        let ahead = queue.ahead(case.class, teams[case.team], 1, work);
+        let ahead = queue.work_ahead(case.class, teams[case.team], 1, work);
         assert_eq!(ahead.as_millis(), case.ahead, "{}", case.name);
     }
 }
