--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -146,7 +146,7 @@
     let estimate = Estimate {
         wait: choice.wait,
         prefill: (choice.time - choice.wait).max(0.0),
-        aim: job.route.aim.as_secs_f64() * 1e3,
+        latency_goal: job.route.aim.as_secs_f64() * 1e3,
         time_left: job.left(now).as_secs_f64() * 1e3,
     };
     // What has run can't be refused any more: its caller gets the rest now, also late, or never.
--- a/crates/policy/src/latency_admission.rs
+++ b/crates/policy/src/latency_admission.rs
@@ -28,7 +28,7 @@
     /// Its own reading and fetching.
     pub prefill: f64,
     /// Its aim.
-    pub aim: f64,
+    pub latency_goal: f64,
     /// Until it is given up on.
     pub time_left: f64,
 }
@@ -44,13 +44,13 @@
 
 /// Judges a prompt.
 pub fn decide(p: &Estimate) -> Decision {
-    let long = p.prefill > p.aim * LONG;
+    let long = p.prefill > p.latency_goal * LONG;
     let over = match long {
         true => p.wait + p.prefill - p.time_left * LEFT,
-        false => p.wait + p.prefill - p.aim * AIMS,
+        false => p.wait + p.prefill - p.latency_goal * AIMS,
     };
     match over > 0.0 {
-        true => Decision::Refuse(over + p.aim / 2.0),
+        true => Decision::Refuse(over + p.latency_goal / 2.0),
         false => Decision::Send,
     }
 }
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -225,7 +225,7 @@
     let estimate = |wait, own| Estimate {
         wait,
         prefill: own,
-        aim: 600.0,
+        latency_goal: 600.0,
         time_left: 4_000.0,
     };
     let cases = [
@@ -282,7 +282,7 @@
             let estimate = Estimate {
                 wait: queue,
                 prefill: own,
-                aim,
+                latency_goal: aim,
                 time_left: left,
             };
             if refuse && decide(&estimate) != Decision::Send {
