--- a/crates/policy/src/queue/review.rs
+++ b/crates/policy/src/queue/review.rs
@@ -1,78 +1,79 @@
-//! Which waiting requests will not have their turn in time.
+//! Early return of waiting requests that will not start in time.
 //!
-//! Load pattern: twice the load for minutes. The wait told on arrival turns out too short: the
-//! engine slows down, prefixes are evicted while requests wait for them, and others that go first
-//! come later. Without a second look such a request is kept until its deadline and then refused,
-//! when its caller can do nothing more, and those behind it are told a wait that counts it.
+//! Load pattern: twice the load for minutes. The wait estimated on arrival turns out too short: the
+//! engine slows down, prefixes are evicted while requests wait for them, and requests that go first
+//! arrive later. Without a review, such a request is kept until its deadline and then refused, when
+//! its caller can do nothing more, and it lengthens the estimated wait of those behind it.
 
 use std::ops::Bound;
 
 use model::Micros;
 
-use super::{Job, JobKey, Kept, Queue};
+use super::{Job, JobKey, Queue, Waiting};
 
-/// Requests looked at in a call. At twice the load some 55 wait at an engine, which are thus seen
-/// in four calls; with 4 in place of 16, 12 calls of the replay reached their deadline in place of 10.
-const REVIEWED: usize = 16;
-/// By how much a wait is taken to be longer than expected in a review. Under overload it is, up to
-/// twice, by evicted prefixes and later arrivals. With 1, calls at twice the load are given back
-/// after 8 s of their 10 in the median, with 1.25 after 5 s, and as many are served. With 1.5 it is
-/// 3 s, but calls wait longer at 0.9 of the load.
+/// Requests examined in one call. At twice the load some 55 wait at an engine, so that four calls
+/// examine all; with 4 instead of 16, 12 instead of 10 calls of the replay reached their deadline.
+const REVIEW_BATCH: usize = 16;
+/// Factor by which waits are assumed to exceed their estimate. Under overload they do, by up to 2,
+/// because of evicted prefixes and later arrivals. At twice the load the median call is returned
+/// after 8 s of its 10 s with a factor of 1 and after 5 s with 1.25, and as many are served. With
+/// 1.5 it is returned after 3 s, but calls wait longer at 0.9 of the load.
 const MARGIN: f64 = 1.25;
-/// Least time between two calls that look. A look sums up what its team has waiting, and the driver
-/// may call at each packet.
-const PAUSE: Micros = Micros::from_millis(10);
+/// Least time between two reviews. A review sums up the waiting work of each request's team, and
+/// the caller may call it for each packet.
+const REVIEW_INTERVAL: Micros = Micros::from_millis(10);
 
 impl<T> Queue<T> {
-    /// Takes out requests that will not have their turn in time, before their deadline.
+    /// Removes requests that will not start in time, before their deadline, and returns each with its
+    /// estimated wait.
     ///
-    /// `wait` tells how long work takes from now, and `work` what a request would take now; each
-    /// is returned with its wait.
+    /// `wait` converts an amount of engine time into the time that it will take from now; `work`
+    /// returns the engine time that a request would take now.
     ///
-    /// Only a few are looked at in a call, the earliest deadline first, and the next ones in the
-    /// next call, 10 ms later at the soonest, so that the cost grows neither with the number that
-    /// waits nor with that of the events.
+    /// A call examines only a few requests, the earliest latest start first, and the next call, at
+    /// least 10 ms later, continues after them. The cost therefore grows neither with the number of
+    /// waiting requests nor with the number of events.
     pub fn review(
         &mut self,
         now: Micros,
         wait: impl Fn(Micros) -> Micros,
         work: impl Fn(&Job<T>) -> Micros,
     ) -> Vec<(Job<T>, Micros)> {
-        let mut hopeless = Vec::new();
-        if now < self.again {
-            return hopeless;
+        let mut overdue = Vec::new();
+        if now < self.next_review {
+            return overdue;
         }
-        self.again = now + PAUSE;
-        for _ in 0..REVIEWED.min(self.latest.len()) {
-            let Some((latest, key)) = self.following() else {
+        self.next_review = now + REVIEW_INTERVAL;
+        for _ in 0..REVIEW_BATCH.min(self.by_latest_start.len()) {
+            let Some((latest, key)) = self.next_to_review() else {
                 break;
             };
-            self.seen = Some((latest, key));
-            let Some(before) = self.before(key) else {
+            self.last_reviewed = Some((latest, key));
+            let Some(before) = self.work_before_job(key) else {
                 break;
             };
             let (wait, job) = (wait(before), &self.jobs[key.0].job);
             let likely = Micros((wait.0 as f64 * MARGIN) as u64);
             if now + likely + work(job) > job.deadline {
-                hopeless.extend(self.remove(key).map(|job| (job, wait)));
+                overdue.extend(self.remove(key).map(|job| (job, wait)));
             }
         }
-        hopeless
+        overdue
     }
 
-    /// The request after the last one looked at, by latest start; after the last the first.
-    fn following(&self) -> Option<(Micros, JobKey)> {
-        let after = self.seen.map_or(Bound::Unbounded, Bound::Excluded);
-        let next = self.latest.range((after, Bound::Unbounded)).next();
-        next.or_else(|| self.latest.first()).copied()
+    /// The next request to examine, by latest start; starts over after the last.
+    fn next_to_review(&self) -> Option<(Micros, JobKey)> {
+        let after = self.last_reviewed.map_or(Bound::Unbounded, Bound::Excluded);
+        let next = self.by_latest_start.range((after, Bound::Unbounded)).next();
+        next.or_else(|| self.by_latest_start.first()).copied()
     }
 
-    /// The engine time that a waiting request still waits for.
-    fn before(&self, key: JobKey) -> Option<Micros> {
-        let Kept { job, order } = self.jobs.get(key.0)?;
-        let lane = self.bands[job.class.index()].lanes.get(&job.team)?;
-        let first = lane.order.range(..(*order, key));
+    /// Engine time of the work that goes before a waiting request.
+    fn work_before_job(&self, key: JobKey) -> Option<Micros> {
+        let Waiting { job, sort_key } = self.jobs.get(key.0)?;
+        let team_queue = self.classes[job.class.index()].teams.get(&job.team)?;
+        let first = team_queue.order.range(..(*sort_key, key));
         let before: u64 = first.map(|(_, k)| self.jobs[k.0].job.work.0).sum();
-        Some(self.slowed(job.class, job.team, job.weight, before, job.work))
+        Some(self.work_before(job.class, job.team, job.weight, before, job.work))
     }
 }
