--- a/crates/policy/src/prefill_priority.rs
+++ b/crates/policy/src/prefill_priority.rs
@@ -1,29 +1,30 @@
-//! The rank that an engine gets with a request: who goes first among those that wait there.
+//! The rank that an engine receives with a request, which orders the requests waiting there.
 //!
-//! Load pattern: a part of the engines is gone, and the rest have as much to read as they can. Short
-//! questions wait behind prompts that take ten times as long to read, so that all of them are late,
-//! although they are a small part of the work.
+//! Load pattern: some of the engines are gone, and the rest have as many prompts to compute as they
+//! can. Short questions wait behind prompts with ten times their prefill, so that all of them are
+//! late, although they are a small part of the work.
 //!
-//! The caller's rank decides first. Among equals the shorter reading goes first, in a few coarse
-//! tiers: a mean wait is least that way, and a long prompt loses little by the short ones before it.
+//! The caller's rank decides first. Among requests of equal rank the shorter prefill goes first, in
+//! a few coarse tiers: this order has the shortest mean wait, and a long prompt loses little through
+//! the short ones before it.
 //!
-//! Grounds: the tiers are those of a follow-up question, an ordinary prompt whose opening is held,
-//! and one that is read from its beginning. Measured on 52 engines with a quarter of them dark and
-//! 13,590 short streams in 34 s: 8,912 were in time, and 4,467 some changes before, when the caller's
-//! rank alone decided and kept prompts weren't chosen by their own part.
+//! The tiers separate a follow-up question, an ordinary prompt whose opening is cached, and a prompt
+//! that is computed from its beginning. On 52 engines, a quarter of them unreachable, with 13,590 short
+//! streams in 34 s, 8,912 streams were in time. When the caller's rank alone decided and the choice of
+//! an engine with a cached opening ignored the prompt's own part, 4,467 were.
 
-/// Most ranks that engines tell apart.
+/// Number of ranks that engines distinguish.
 const RANKS: u8 = 10;
-/// Ranks for each of the callers' ranks.
+/// Tiers within each caller's rank.
 pub const TIERS: usize = 3;
-/// Part of less urgent reading that a prompt finds under way.
-const UNDER_WAY: f64 = 0.3;
-/// Tokens to read up to which a request is short.
+/// Share of the longer tiers' prefill that goes before a prompt because it is already running.
+const RUNNING_SHARE: f64 = 0.3;
+/// Least prefill in tokens of the second tier.
 const SHORT: u32 = 1_500;
-/// Tokens to read up to which it is ordinary.
+/// Least prefill in tokens of the third tier.
 const ORDINARY: u32 = 6_000;
 
-/// The tier of a prompt with some tokens to read; shorter ones go first.
+/// The tier of a prompt with `read` tokens to compute; shorter prefill goes first.
 pub fn tier(read: u32) -> usize {
     match read {
         0..SHORT => 0,
@@ -32,15 +33,15 @@
     }
 }
 
-/// Tokens that are read before a prompt of a tier: all of its own tier and of those before it, and a
-/// part of the others, which may be under way already.
+/// Tokens computed before a prompt of a tier: all of that tier and of the shorter ones, and the part
+/// of the longer ones that may already be running.
 pub fn tokens_ahead(unread: [u32; TIERS], tier: usize) -> f64 {
-    let part = |i: usize| if i <= tier { 1.0 } else { UNDER_WAY };
+    let part = |i: usize| if i <= tier { 1.0 } else { RUNNING_SHARE };
     let tokens = unread.iter().enumerate();
     tokens.map(|(i, n)| f64::from(*n) * part(i)).sum()
 }
 
-/// The rank of a request with a caller's rank and some tokens to read.
+/// The rank of a request with a caller's rank and `read` tokens to compute.
 pub fn rank(caller: u8, read: u32) -> u8 {
     let tiers = TIERS as u8;
     let rank = caller.saturating_mul(tiers);
