--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -1,82 +1,85 @@
-//! What waits for a prompt at one engine, and how much an engine is doubted.
+//! The wait of a prompt at one engine, and factors for engines that are less reliable.
 //!
-//! Load pattern: engines differ in what they have to read, in what they generate, in memory, and some
-//! have just failed or still serve old weights. A prompt that is sent by
-//! one of these alone meets the others: the engine with least to read is the one that loads weights,
-//! the one with the opening has no memory left. With a quarter of the engines gone nearly all of the rest
-//! are short of some memory. If any shortage counts alike, prompts leave the engines that hold their
-//! openings for others that are short by more, and read them anew there.
-//!
-//! What costs time is told in milliseconds and added up; what makes an answer worth less or less sure
-//! is a factor on the whole.
+//! Load pattern: engines differ in waiting prefill, in running generation and in memory, and some have
+//! just failed or still serve outdated weights. A choice by one of these alone runs into the others:
+//! the engine with the least waiting prefill is loading weights, or the one that holds the prompt's
+//! opening has no memory left. With a quarter of the engines gone, nearly all of the rest are short of
+//! some memory. If every shortage cost the same, prompts would leave the engines that hold their
+//! openings for engines that are shorter still, and compute the openings again there.
 //!
+//! Whatever costs time is added up in milliseconds; whatever makes an answer less valuable or less
+//! certain multiplies the sum by a factor.
+
 use model::Micros;
 
-/// Milliseconds that each request being answered at an engine costs a new one: its part of a step.
-const BEGUN: f64 = 0.5;
-/// Milliseconds that each unread request costs a new one at least, should the words that tell its
-/// tokens be lost; a short prompt's reading.
-const UNREAD: f64 = 8.0;
+/// Milliseconds that each running request costs a new one: its part of a step.
+const MS_PER_RUNNING: f64 = 0.5;
+/// Least milliseconds that each request with pending prefill costs a new one, in case the messages with
+/// its tokens are lost; the prefill of a short prompt.
+const MS_PER_UNREAD: f64 = 8.0;
 /// Milliseconds in which an engine's requests release as much memory as it has.
-const TURNOVER: f64 = 7_500.0;
-/// Most milliseconds that are expected until enough memory is released.
-const CROWDED: f64 = 400.0;
-/// Age of newer weights from which older ones count as worse; before it nearly no engine can have
-/// the newer ones.
-const OLD: Micros = Micros::from_millis(900);
-/// Factor for older weights then.
-const OLD_FACTOR: f64 = 1.5;
-/// Factor for targets on trial after failures: one request in some goes there.
-const TRIAL: f64 = 2.0;
-/// Weight of a target's failures; one that fails a quarter of the time counts twice.
-const FAILED: f64 = 4.0;
+const MEMORY_TURNOVER_MS: f64 = 7_500.0;
+/// Upper bound on the milliseconds until enough memory is released.
+const MAX_MEMORY_WAIT_MS: f64 = 400.0;
+/// Age of newer weights after which older ones count as worse; hardly any engine can have the newer
+/// ones before that.
+const OUTDATED_AFTER: Micros = Micros::from_millis(900);
+/// Factor for outdated weights after that age.
+const OUTDATED_FACTOR: f64 = 1.5;
+/// Factor for targets on trial after failures, which still receive an occasional request.
+const TRIAL_FACTOR: f64 = 2.0;
+/// Weight of a target's failure rate; a target that fails a quarter of the time counts twice.
+const FAILURE_WEIGHT: f64 = 4.0;
 
-/// What is known of an engine's load.
+/// Load of an engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Tokens that it reads before the prompt.
+    /// Prompt tokens that the engine computes before the new prompt.
     pub tokens_ahead: f64,
-    /// Requests that it hasn't begun.
+    /// Requests whose prefill hasn't started.
     pub unread: u32,
-    /// Requests that it answers.
+    /// Requests that it is answering.
     pub running: u32,
-    /// Tokens of memory that can't yield.
+    /// Tokens of memory that can't be released for other requests.
     pub memory_used: u32,
     /// Tokens of memory in all; 0 if unknown.
     pub memory_total: u32,
-    /// Milliseconds for which it goes on loading weights.
+    /// Milliseconds until the engine has loaded its new weights.
     pub loading_ms: f64,
 }
 
 impl Load {
-    /// Milliseconds before the engine begins to read a prompt that takes some memory, if it takes so
-    /// many to read a token.
+    /// Milliseconds until the prefill of a prompt starts that needs `memory` tokens of memory, when a
+    /// token takes `read` milliseconds to compute.
     pub fn wait(&self, memory: u32, read: f64) -> f64 {
-        let reading = (self.tokens_ahead * read).max(f64::from(self.unread) * UNREAD);
-        reading + f64::from(self.running) * BEGUN + self.crowded(memory) + self.loading_ms
+        let reading = (self.tokens_ahead * read).max(f64::from(self.unread) * MS_PER_UNREAD);
+        reading
+            + f64::from(self.running) * MS_PER_RUNNING
+            + self.memory_wait(memory)
+            + self.loading_ms
     }
 
-    /// Milliseconds until there is memory for a prompt, beside those that wait and will take theirs first.
-    fn crowded(&self, memory: u32) -> f64 {
+    /// Milliseconds until there is memory for a prompt in addition to those that wait before it.
+    fn memory_wait(&self, memory: u32) -> f64 {
         let total = f64::from(self.memory_total);
         let needed = f64::from(self.memory_used) + self.tokens_ahead + f64::from(memory);
         match needed > total && self.memory_total > 0 {
-            true => ((needed - total) / total * TURNOVER).min(CROWDED),
+            true => ((needed - total) / total * MEMORY_TURNOVER_MS).min(MAX_MEMORY_WAIT_MS),
             false => 0.0,
         }
     }
 }
 
-/// Factor for an engine whose weights have been out of date for a time.
+/// Factor for an engine whose weights have been out of date for this long.
 pub fn outdated_weights_factor(outdated: Option<Micros>) -> f64 {
     match outdated {
-        Some(age) if age > OLD => OLD_FACTOR,
+        Some(age) if age > OUTDATED_AFTER => OUTDATED_FACTOR,
         _ => 1.0,
     }
 }
 
-/// Factor for a target of which a part of the answers has failed.
+/// Factor for a target with this share of failed answers.
 pub fn failure_factor(failed: f64, on_trial: bool) -> f64 {
-    let trial = if on_trial { TRIAL } else { 1.0 };
-    (1.0 + FAILED * failed) * trial
+    let trial = if on_trial { TRIAL_FACTOR } else { 1.0 };
+    (1.0 + FAILURE_WEIGHT * failed) * trial
 }
--- a/crates/policy/src/prefill_rate.rs
+++ b/crates/policy/src/prefill_rate.rs
@@ -1,33 +1,34 @@
-//! How long a pool's engines take to read a token, as seen in first tokens.
+//! The prefill time per token of a pool's engines, estimated from times to the first token.
 //!
-//! Load pattern: prompts of a hundred to forty thousand tokens, at engines that read ten or three
-//! hundred tokens in a millisecond. Too slow a guess refuses long prompts that would be in time and
-//! fetches what is sooner read; too fast a one sends everything to the holder of an opening, however
-//! much waits there. Measured on nine engines that read 75, five days of faults: 0.016 less worth with
-//! a guess of 22, 0.007 less with 90, against one of 45.
+//! Load pattern: prompts of a hundred to forty thousand tokens, at engines that compute ten or three
+//! hundred tokens in a millisecond. An estimate that is too slow refuses long prompts that would be in
+//! time, and fetches blocks that are sooner computed; one that is too fast sends every prompt to the
+//! engine that holds its opening, however much waits there. On nine engines that compute 75 tokens in a
+//! millisecond, with five days of faults, an initial estimate of 22 tokens in a millisecond gave 0.016 less
+//! value than one of 45, and one of 90 gave 0.007 less.
 //!
-//! The time to the first token is put against the tokens that were read for it, for prompts that found
-//! their engine idle and fetched nothing; the slope of the line through them is the pace. What every
-//! first token takes, whatever is read, drops out. All engines of a pool share one pace: what a slow
-//! one has yet to read piles up at its sidecar and turns prompts away by itself, and a pace for each
-//! engine moves openings away from their holders for differences that are noise.
+//! The estimate is the slope of a line through the time to the first token over the tokens computed for
+//! it, for prompts that found their engine idle and fetched nothing. The constant part of the time to
+//! the first token is the line's intercept and doesn't affect the slope. All engines of a pool share one
+//! estimate: pending prefill of a slow engine accumulates at its sidecar and diverts prompts anyway, and
+//! an estimate for each engine would move openings away from their holders because of noise.
 //!
-//! Until enough was seen, a guess counts as a few prompts would.
+//! The initial estimate has the weight of a few prompts until enough have been observed.
 //!
-//! Grounds: 45 tokens in a millisecond is what an engine of eight accelerators reads of a middling
-//! model; it counts as five prompts that differ by 2,000 tokens, the first second of traffic.
-//! Memory of some 200 prompts follows a change within seconds.
+//! 45 tokens in a millisecond is what an engine of eight accelerators computes with a model of medium
+//! size. It weighs as much as five prompts that differ by 2,000 tokens, about the first second of
+//! traffic. A memory of some 200 prompts follows a change within seconds.
 
-/// Milliseconds to read a token before any has been seen.
+/// Initial estimate in milliseconds per token.
 pub const INITIAL_MS_PER_TOKEN: f64 = 1.0 / 45.0;
-/// What the guess counts for: a number of prompts by their squared difference in tokens.
-const TRUST: f64 = 5.0 * 2_000.0 * 2_000.0;
-/// Part of the earlier prompts' weight that is kept at each new one.
-const KEEP: f64 = 0.995;
-/// Fastest and slowest pace that is believed, in milliseconds for a token.
+/// Weight of the initial estimate: a number of prompts by the square of their difference in tokens.
+const INITIAL_WEIGHT: f64 = 5.0 * 2_000.0 * 2_000.0;
+/// Factor on the weight of earlier prompts at each new one.
+const DECAY: f64 = 0.995;
+/// Least and greatest estimate, in milliseconds per token.
 const BOUNDS: (f64, f64) = (0.000_5, 1.0);
 
-/// A pool's pace, from a line through what was seen.
+/// Prefill time per token of one pool: exponentially weighted sums for a linear regression.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrefillRate {
     prompts: f64,
@@ -38,7 +39,7 @@
 }
 
 impl PrefillRate {
-    /// Notes a prompt that found its engine idle: the tokens read and the milliseconds to its first token.
+    /// Records a prompt that found its engine idle: tokens computed and milliseconds to the first token.
     pub fn record(&mut self, tokens: u32, time: f64) {
         let tokens = f64::from(tokens);
         for sum in [
@@ -48,7 +49,7 @@
             &mut self.squares,
             &mut self.products,
         ] {
-            *sum *= KEEP;
+            *sum *= DECAY;
         }
         self.prompts += 1.0;
         self.tokens += tokens;
@@ -57,12 +58,12 @@
         self.products += tokens * time;
     }
 
-    /// Milliseconds to read a token.
+    /// Milliseconds to compute a token.
     pub fn ms_per_token(&self) -> f64 {
         let n = self.prompts.max(1.0);
         let spread = (self.squares - self.tokens * self.tokens / n).max(0.0);
         let common = self.products - self.tokens * self.time / n;
-        let slope = (common + TRUST * INITIAL_MS_PER_TOKEN) / (spread + TRUST);
+        let slope = (common + INITIAL_WEIGHT * INITIAL_MS_PER_TOKEN) / (spread + INITIAL_WEIGHT);
         slope.clamp(BOUNDS.0, BOUNDS.1)
     }
 }
