--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -1,25 +1,25 @@
-//! Places held for requests that have asked and not yet come.
+//! Short reservations for requests whose probe has been answered and that haven't arrived yet.
 //!
 //! Load pattern: a burst reaches many entries within the few milliseconds that a probe and its
-//! answer take. Without reservations all of them see the same idle replica, all choose it, and
-//! the last of the herd waits for the whole burst while other replicas stay idle.
+//! answer take. Without reservations all entries see the same idle replica and choose it, and the
+//! last request of the burst waits for all others while other replicas stay idle.
 //!
-//! Each answered probe adds a part of the request's work to the wait that later probes are told,
-//! until the request comes or the time is over. Grounds: with up to four replicas asked, one of
-//! them gets the request, hence a quarter of its work at each; 50 ms are ten round trips between
-//! failure domains, so that a lost message blocks a place only briefly.
+//! Each answered probe adds a share of the request's work to the wait reported to later probes, until
+//! the request arrives or the reservation expires. With up to four replicas probed, one of them gets
+//! the request, hence a quarter of its work at each. The 50 ms are ten round trips between failure
+//! domains, so that a lost message blocks capacity only briefly.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
 use model::Micros;
 
-/// How places are held.
+/// How work is reserved.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// How long a place is held for a request that doesn't come; 50 ms.
+    /// How long a reservation lasts if its request doesn't arrive; 50 ms.
     pub hold: Micros,
-    /// The part of the work that is counted; 0.25, one in four replicas asked.
+    /// Share of the work that is reserved; 0.25, since one in four probed replicas gets the request.
     pub part: f64,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// The places held at one sidecar, named by the probes' keys.
+/// The reservations at one sidecar, by probe key.
 #[derive(Debug)]
 pub struct Reservations<K> {
     config: Config,
@@ -42,7 +42,7 @@
 }
 
 impl<K: Copy + Eq + Hash> Reservations<K> {
-    /// No places held.
+    /// Creates an empty set of reservations.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Follows other settings from now on.
+    /// Applies new settings to later reservations.
     pub fn set_config(&mut self, config: Config) {
         self.config = config;
     }
 
-    /// Holds a place for a request that has asked; asking again renews it.
+    /// Reserves work for a probed request; another probe with the same key renews the reservation.
     pub fn hold(&mut self, now: Micros, key: K, work: Micros) {
         self.release(key);
         let until = now + self.config.hold;
@@ -67,18 +67,18 @@
         self.sum = self.sum + part;
     }
 
-    /// Ends a hold because the request has come or been placed elsewhere.
+    /// Ends a reservation because its request has arrived or been placed elsewhere.
     pub fn release(&mut self, key: K) {
         if let Some((_, part)) = self.held.remove(&key) {
             self.sum = self.sum - part;
         }
     }
 
-    /// The work held for at this time.
+    /// The work reserved at this time.
     pub fn total(&mut self, now: Micros) -> Micros {
         while let Some((until, key)) = self.order.front().copied().filter(|(t, _)| *t <= now) {
             self.order.pop_front();
-            // A renewed hold has a later time than the one that ends here.
+            // A renewed reservation has a later expiry than this one.
             if self.held.get(&key).is_some_and(|(t, _)| *t == until) {
                 self.release(key);
             }
