--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,26 +1,28 @@
-//! Whether an entry sends a failed request again.
+//! Whether an entry retries a failed request.
 //!
 //! Load pattern: part of the fleet fails or is full, so that many requests fail at once. If each is
-//! sent again, the rest of the fleet gets a multiple of its load just when it has none to spare,
-//! and if several layers do so, a multiple of a multiple. The failure spreads and stays after its
-//! cause is gone.
+//! retried, the rest of the fleet gets a multiple of its load when it has no spare capacity, and if
+//! several layers retry, a multiple of a multiple. The failure spreads and persists after its cause
+//! is gone.
 //!
 //! Only the entry retries. Each request earns a tenth of a retry, so that retries add at most
-//! 10% to the load however much fails; a few are always there, for an entry with little traffic.
-//! A request is sent again only if that can't do harm: if it never ran, or if it is idempotent.
+//! 10% to the load however many requests fail. A few retries are available from the start, for an
+//! entry with little traffic. A request is retried only if that is safe: if it never ran, or if it
+//! is idempotent.
 //!
-//! Grounds: 10% is the loss of one replica in ten, above what an ordinary day's failures need;
-//! three attempts, since what fails on three replicas will fail on a fourth.
+//! 10% covers the loss of one replica in ten, which is more than the failures of an ordinary day
+//! need. There are three attempts, since a request that fails on three replicas will fail on a
+//! fourth.
 
 use model::{Attempt, Micros, Outcome};
 use thiserror::Error;
 
-/// How retries are bounded.
+/// Limits on retries.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Retries earned by each request; 0.1.
     pub share: f64,
-    /// Most retries saved up, and those there at the start; 10.
+    /// Most retries that can be saved up, which is also the initial number; 10.
     pub saved: f64,
     /// Most attempts for one request; 3.
     pub attempts: u32,
@@ -36,35 +38,35 @@
     }
 }
 
-/// How an attempt ended.
+/// A failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Failure {
-    /// Which attempt, from 0.
+    /// Index of the attempt, from 0.
     pub attempt: Attempt,
-    /// What is known of its effect.
+    /// Whether the request has run, as far as is known.
     pub outcome: Outcome,
-    /// Whether the request may run twice.
+    /// Whether the request may safely run twice.
     pub idempotent: bool,
     /// When the caller gives up.
     pub deadline: Micros,
-    /// The least time that another attempt takes.
+    /// Least duration of another attempt.
     pub least: Micros,
 }
 
-/// Why a request isn't sent again.
+/// Why a request isn't retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Denied {
-    /// It may have run and must not run twice.
-    #[error("it may have run and must not run twice")]
+    /// The request may have run and isn't idempotent.
+    #[error("the request may have run and is not idempotent")]
     Unsafe,
-    /// It has been tried often enough.
-    #[error("it has been tried often enough")]
+    /// The request has reached its maximum number of attempts.
+    #[error("the request has reached its maximum number of attempts")]
     Attempts,
-    /// It could not be answered in time.
-    #[error("it could not be answered in time")]
+    /// Another attempt would miss the deadline.
+    #[error("another attempt would miss the deadline")]
     Deadline,
-    /// Too many others are sent again already.
-    #[error("too many others are sent again already")]
+    /// The retry budget is spent.
+    #[error("the retry budget is spent")]
     Budget,
 }
 
@@ -76,7 +78,7 @@
 }
 
 impl Budget {
-    /// A budget with some retries in it.
+    /// Creates a budget with the initial number of retries.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -84,17 +86,17 @@
         }
     }
 
-    /// Follows other settings from now on.
+    /// Applies new settings; the retries saved up stay as they are.
     pub fn set_config(&mut self, config: Config) {
         self.config = config;
     }
 
-    /// Notes a request's first attempt.
+    /// Records a request's first attempt, which earns a share of a retry.
     pub fn record_first_attempt(&mut self) {
         self.saved = (self.saved + self.config.share).min(self.config.saved);
     }
 
-    /// Allows one more attempt, or says why not.
+    /// Spends one retry on another attempt, or returns why there is none.
     pub fn allow_retry(&mut self, now: Micros, failure: &Failure) -> Result<(), Denied> {
         match failure {
             f if f.outcome != Outcome::NotRun && !f.idempotent => Err(Denied::Unsafe),
