--- a/crates/policy/src/recent_replicas.rs
+++ b/crates/policy/src/recent_replicas.rs
@@ -1,15 +1,16 @@
-//! The replicas that an entry used lately for each known prefix.
+//! The replicas that an entry recently used for each known prefix.
 //!
-//! Load pattern: the same few prefixes come again within seconds, and hot ones have spread over
-//! more replicas than rendezvous hashing names. Without this memory an entry probes only the
-//! hashed replicas, never finds the other copies, and has one more made for each request that
-//! the hashed ones are too busy for.
+//! Load pattern: the same few prefixes recur within seconds, and hot prefixes have spread over
+//! more replicas than rendezvous hashing selects. Without this memory an entry probes only the
+//! hashed replicas, never finds the other copies, and causes another copy for each request that
+//! the hashed replicas are too busy for.
 //!
-//! The memory is a hint: it says whom to ask, never that a block is there. It is kept by two
-//! generations of a fixed size; when the young one is full, it replaces the old one. That bounds
-//! the memory and forgets what has not been used, at the cost of one move per entry in use.
+//! The memory is a hint: it selects replicas to probe and doesn't prove that a block is cached. It
+//! consists of two generations of a fixed size; when the young one is full, it replaces the old one.
+//! This bounds the memory and drops prefixes that are no longer used, at the cost of one move per
+//! prefix in use.
 //!
-//! Grounds: an entry of the target size sees 8 requests a second with some 40 grid depths each;
+//! An entry of the intended size receives 8 requests a second with some 40 grid depths each, so that
 //! 32,768 prefixes in a generation cover at least 100 s, longer than engines keep their blocks.
 
 use std::collections::VecDeque;
@@ -17,10 +18,10 @@
 use model::{BlockHash, TargetKey};
 use prefix::{grid, levels, Map, Mark};
 
-/// How much an entry remembers.
+/// Size of an entry's memory.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Prefixes in one of the two generations; 32,768, some 2 MB.
+    /// Prefixes in each of the two generations; 32,768, some 2 MB.
     pub prefixes: usize,
 }
 
@@ -30,62 +31,65 @@
     }
 }
 
-/// Requests over which the share of a prefix is taken. At 8 requests a second these are the last
-/// half minute, and a prefix of one replica's part in nine is among them 28 times.
-const LAST: usize = 256;
-/// Requests before a share is told at all.
-const FEW: usize = 32;
+/// Requests over which the share of a prefix is computed. At 8 requests a second these are the last
+/// half minute, and a prefix with one replica's share of nine is among them 28 times.
+const SHARE_WINDOW: usize = 256;
+/// Requests needed before a share is reported.
+const MIN_REQUESTS: usize = 32;
 
 /// Replicas remembered for one prefix.
-const HOLDERS: usize = 3;
+const REPLICAS_PER_PREFIX: usize = 3;
 
-type Holders = [Option<TargetKey>; HOLDERS];
+type Holders = [Option<TargetKey>; REPLICAS_PER_PREFIX];
 
-/// The prefixes known to an entry.
+/// Recently used replicas by prefix.
 #[derive(Debug)]
 pub struct RecentReplicas {
     config: Config,
     young: Map<BlockHash, Holders>,
     old: Map<BlockHash, Holders>,
-    /// The deep levels of the last requests, and how often each is among them.
-    last: VecDeque<BlockHash>,
+    /// Deepest levels of the last requests, and how often each occurs among them.
+    last_requests: VecDeque<BlockHash>,
     counts: Map<BlockHash, u32>,
 }
 
 impl RecentReplicas {
-    /// An empty memory.
+    /// Creates an empty memory.
     pub fn new(config: Config) -> Self {
         Self {
             config,
             young: Map::default(),
             old: Map::default(),
-            last: VecDeque::new(),
+            last_requests: VecDeque::new(),
             counts: Map::default(),
         }
     }
 
-    /// The longest known prefix of a chain and the replicas used for it, the last one first.
+    /// The longest known prefix of a chain and the replicas used for it, the latest first.
     pub fn longest(&self, chain: &[BlockHash]) -> Option<(Mark, impl Iterator<Item = TargetKey>)> {
-        let blocks = grid(chain.len() as u32).find(|d| self.get(at(chain, *d)).is_some())?;
-        let hash = at(chain, blocks);
+        let blocks =
+            grid(chain.len() as u32).find(|d| self.get(prefix_hash(chain, *d)).is_some())?;
+        let hash = prefix_hash(chain, blocks);
         let holders = self.get(hash)?;
         Some((Mark { blocks, hash }, holders.into_iter().flatten()))
     }
 
-    /// Remembers that a replica got a prompt.
+    /// Records that a replica received a prompt.
     pub fn record_use(&mut self, chain: &[BlockHash], target: TargetKey) {
         for depth in grid(chain.len() as u32) {
-            let hash = at(chain, depth);
-            let holders = first(self.get(hash).unwrap_or_default(), target);
+            let hash = prefix_hash(chain, depth);
+            let holders = move_to_front(self.get(hash).unwrap_or_default(), target);
             self.put(hash, holders);
         }
     }
 
-    /// The part of this entry's last requests that had the same deep level.
+    /// Share of this entry's last requests that had the same deepest level.
     pub fn share(&self, chain: &[BlockHash]) -> f64 {
         let count = levels(chain).next().and_then(|m| self.counts.get(&m.hash));
         match count {
-            Some(n) if self.last.len() >= FEW => f64::from(*n) / self.last.len() as f64,
+            Some(n) if self.last_requests.len() >= MIN_REQUESTS => {
+                f64::from(*n) / self.last_requests.len() as f64
+            }
             _ => 0.0,
         }
     }
@@ -95,32 +99,32 @@
         let Some(mark) = levels(chain).next() else {
             return;
         };
-        self.last.push_back(mark.hash);
+        self.last_requests.push_back(mark.hash);
         *self.counts.entry(mark.hash).or_default() += 1;
-        if self.last.len() > LAST {
+        if self.last_requests.len() > SHARE_WINDOW {
             self.forget_oldest();
         }
     }
 
-    /// Forgets a replica for one prefix, which it turned out not to hold.
+    /// Removes a replica that turned out not to hold a prefix.
     pub fn forget(&mut self, hash: BlockHash, target: TargetKey) {
         if let Some(holders) = self.get(hash) {
             self.put(hash, holders.map(|h| h.filter(|t| *t != target)));
         }
     }
 
-    /// Prefixes remembered.
+    /// Number of remembered prefixes.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no prefix is remembered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
     fn forget_oldest(&mut self) {
-        let Some(hash) = self.last.pop_front() else {
+        let Some(hash) = self.last_requests.pop_front() else {
             return;
         };
         match self.counts.get_mut(&hash) {
@@ -144,12 +148,13 @@
     }
 }
 
-fn at(chain: &[BlockHash], blocks: u32) -> BlockHash {
+/// Hash of the prefix of a chain that is `blocks` long.
+fn prefix_hash(chain: &[BlockHash], blocks: u32) -> BlockHash {
     chain[blocks as usize - 1]
 }
 
 /// The holders with `target` moved to the front.
-fn first(holders: Holders, target: TargetKey) -> Holders {
+fn move_to_front(holders: Holders, target: TargetKey) -> Holders {
     let mut rest = holders.into_iter().flatten().filter(|t| *t != target);
     std::array::from_fn(|i| match i {
         0 => Some(target),
