--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,25 +1,25 @@
-//! How much each team may send.
+//! Rate limits of teams.
 //!
-//! Load pattern: one team's client goes wrong, or its night run starts at noon, and sends many
-//! times its usual load. Fair queueing keeps the others' waits short, but the engine's cache and
-//! the queue's places are shared all the same. Without a limit the hot team evicts everyone's
-//! prefixes.
+//! Load pattern: a team's client misbehaves, or its nightly run starts at noon, and sends many
+//! times the team's usual load. Fair queueing keeps the waits of other teams short, but the engine's
+//! cache and the places in the queue are shared all the same. Without a limit the hot team evicts
+//! the prefixes of all others.
 //!
-//! Each team has a rate and a burst, in requests and in tokens, for the whole fleet. No counter is
-//! shared: an entry enforces its part, which [`share`] works out from what the entries tell each
-//! other of the team's use. An entry that is lost drops out of the division at the next message,
-//! and one without any news takes an equal part, so that a loss of messages makes the limit
-//! stricter or looser by little and never lifts it.
+//! Each team has a rate and a burst, in requests and in tokens, for the whole fleet. There is no
+//! shared counter: an entry enforces its part, which [`share`] computes from the team's use that
+//! the entries report to each other. An entry that is lost drops out of the division at the next
+//! message, and an entry without any reports uses an equal part, so that lost messages make the
+//! limit slightly stricter or looser and never lift it.
 //!
-//! Grounds: a tenth of the rate is divided equally, so that a team's first request at an entry
-//! that it hasn't used passes; a burst of two seconds covers the unevenness of a balancer.
+//! A tenth of the rate is divided equally, so that a team's first request passes at an entry that the
+//! team hasn't used. A burst of two seconds covers the unevenness of a load balancer.
 
 use model::Micros;
 
 /// A team's limit over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
     /// Most units at once.
     pub burst: f64,
@@ -28,7 +28,7 @@
 /// How a rate is divided.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// The part divided equally among all live entries; 0.1.
+    /// Share divided equally among all live entries; 0.1.
     pub equal: f64,
 }
 
@@ -40,7 +40,7 @@
 
 /// The part of a rate that one entry enforces.
 ///
-/// `own` is the team's use at this entry, `others` that at each other live entry.
+/// `own` is the team's use at this entry, and `others` is its use at each other live entry.
 pub fn share(config: &Config, rate: Rate, own: f64, others: impl IntoIterator<Item = f64>) -> Rate {
     let (count, sum) = others
         .into_iter()
@@ -52,12 +52,12 @@
     };
     Rate {
         rate: rate.rate * part,
-        // Below one unit nothing would ever pass.
+        // With a burst below one unit, no request would ever pass.
         burst: (rate.burst * part).max(1.0),
     }
 }
 
-/// What a team may still send at one entry.
+/// Token bucket of a team at one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     rate: Rate,
@@ -66,11 +66,11 @@
     used: f64,
 }
 
-/// Time over which use is averaged.
-const USED: f64 = 10.0;
+/// Time in seconds over which use is averaged.
+const AVERAGING_SECS: f64 = 10.0;
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(now: Micros, rate: Rate) -> Self {
         Self {
             rate,
@@ -80,20 +80,20 @@
         }
     }
 
-    /// Changes the rate; what is left stays, up to the new burst.
+    /// Changes the rate; units left are kept, up to the new burst.
     pub fn set(&mut self, now: Micros, rate: Rate) {
         self.refill(now);
         self.rate = rate;
         self.left = self.left.min(rate.burst);
     }
 
-    /// Takes units, or says how long until there are enough.
+    /// Takes units, or returns how long until there are enough.
     ///
-    /// More than the burst at once is taken from a full bucket, as a debt: refused for its size
-    /// alone, a long request could never pass.
+    /// A request for more than the burst is served from a full bucket and leaves a debt: refused for
+    /// its size alone, a long request could never pass.
     pub fn take(&mut self, now: Micros, units: f64) -> Result<(), Micros> {
         self.refill(now);
-        self.used += units / USED;
+        self.used += units / AVERAGING_SECS;
         let wanted = units.min(self.rate.burst);
         if self.left >= wanted {
             self.left -= units;
@@ -103,21 +103,22 @@
         Err(Micros((missing * 1e6) as u64 + 1))
     }
 
-    /// Gives units back, of a request that was not run.
+    /// Returns the units of a request that was not run.
     pub fn give_back(&mut self, units: f64) {
         self.left = (self.left + units).min(self.rate.burst);
     }
 
-    /// Units a second wanted of late, refused ones included, for [`share`].
+    /// Units per second requested recently, including refused ones, for [`share`].
     pub fn used(&mut self, now: Micros) -> f64 {
         self.refill(now);
         self.used
     }
 
+    /// Adds the units earned since the last call and decays the average use.
     fn refill(&mut self, now: Micros) {
         let span = now.since(self.at).as_secs_f64();
         self.at = self.at.max(now);
         self.left = (self.left + self.rate.rate * span).min(self.rate.burst);
-        self.used *= (-span / USED).exp();
+        self.used *= (-span / AVERAGING_SECS).exp();
     }
 }
