--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,27 +1,38 @@
-//! Decisions under load: whom the system serves, where, who waits and who is refused.
+//! Decisions under load: which requests are served, where, in which order, and which are refused.
 //!
-//! Nothing here reads a clock, opens a socket or spawns a task: time, random numbers and what was
-//! measured come in as arguments, decisions go out as values. The daemon, the table tests and the
-//! replay of traces run the same code. Each module heads with the load pattern it answers, what
-//! happens without it, and the grounds of its figures.
+//! Nothing in this crate reads a clock, opens a socket or spawns a task: time, random numbers and
+//! measurements are arguments, and decisions are return values. The daemon, the table tests and the
+//! replay of traces run the same code. The head of each module describes the load pattern that it
+//! handles, what happens without it, and the reasons for its constants.
 //!
 //! At an entry: [`limit`] and [`quarantine`] may refuse a request, [`place`] chooses the replicas
-//! to ask and the one to use, [`health`] leaves slow ones out, [`retry`] allows a second attempt.
-//! At a sidecar: [`admit`] takes or refuses a request at once, [`queue`] orders those taken,
-//! [`concurrency`] says how many the engine gets, [`liveness`] whether it is alive, [`drain`] ends it all
-//! without cutting a request.
-//! Where targets are reached without a sidecar: [`spot`] places a prompt of named parts by what
-//! [`engine_load`] says of each engine and [`prefill_rate`] of all of them, [`latency_admission`] refuses what would be
-//! late, [`standing`] says which targets to leave alone, [`lapse`] which to keep though they aren't
-//! listed, [`misdirected`] for how long one isn't used whose address answered for another, [`retry_budget`]
-//! keeps all entries within one budget of retries, [`loading`] says how long a request waits while all
-//! engines load, [`subscription`] says which engines an entry
-//! subscribes to, [`broken`] separates crashes from lost connections for [`quarantine`], [`rollout`] says
-//! which engines take new weights, and [`slots`] when one does, by what its peers answer ([`contact`]).
-//! [`delegate`] says which entry acts for an engine without a sidecar, [`holder`] when an engine's orders
-//! may pass from one process to another.
-//! [`cost`] and [`utilization`] measure the engine for them, [`recent_replicas`] and [`reserve`] are the short
-//! memories that placement needs at either side.
+//! to probe and the one to use, [`recent_replicas`] remembers the replicas used for each prefix,
+//! [`health`] ejects slow replicas, and [`retry`] allows further attempts.
+//!
+//! At a sidecar: [`admit`] admits or refuses a request on arrival, [`reserve`] holds capacity for
+//! probed requests, [`queue`] orders the admitted ones, [`concurrency`] limits how many the engine
+//! runs, [`liveness`] detects a dead engine, and [`drain`] stops the process without cutting a
+//! request. [`cost`] and [`utilization`] measure the engine for these decisions.
+//!
+//! Where targets are reached without a sidecar:
+//! - Choice of a target: [`spot`] places a prompt of named parts by the load of each engine
+//!   ([`engine_load`]) and the prefill rate of the pool ([`prefill_rate`]). [`prefill_priority`] ranks
+//!   requests at an engine, [`ledger`] counts the prefill that an engine has pending, and [`apart`]
+//!   keeps long prompts on engines of their own.
+//! - Admission: [`latency_admission`] refuses prompts that would be late, and [`loading`] bounds how
+//!   long a request waits while all engines load weights.
+//! - Retries: [`retry_budget`] keeps all entries together within one budget.
+//! - Targets to avoid or keep: [`standing`] ejects targets that fail, [`misdirected`] decides how long
+//!   a target isn't used whose address answered for another, and [`lapse`] which targets are retained
+//!   although the list lacks them.
+//! - Sources of state: [`subscription`] selects the engines that an entry subscribes to, and [`readers`]
+//!   the processes that read a list for all.
+//! - Weights: [`rollout`] decides which engines load new weights, [`slots`] when an engine does so, by
+//!   the answers of its peers ([`contact`]), and [`versions`] how long weights have been out of date.
+//! - Crashes: [`broken`] separates crashes from lost connections for [`quarantine`], and [`trial`]
+//!   decides when a suspect request runs.
+//! - Ownership: [`delegate`] selects the entry that acts for an engine without a sidecar, and
+//!   [`holder`] decides when an engine's orders may pass from one process to another.
 
 pub mod admit;
 pub mod apart;
