--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Taking and refusing on arrival.
+//! Admission on arrival, drain rate and reservations.
 
 use assert_matches::assert_matches;
 use model::{Class, Code, Micros};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_would_wait_too_long_is_refused_with_a_time_to_come_back() {
+fn requests_that_would_wait_too_long_are_refused_with_a_retry_delay() {
     struct Case {
         name: &'static str,
         arrival: Arrival,
@@ -58,30 +58,30 @@
             refusal: Some((Code::Deadline, 250)),
         },
         Case {
-            name: "the last places are for calls",
+            name: "the last places are reserved for calls",
             arrival: arrival(Class::Normal, 10, 896),
             refusal: Some((Code::Overloaded, 250)),
         },
         Case {
-            name: "a call takes one",
+            name: "a call takes a reserved place",
             arrival: arrival(Class::Call, 10, 896),
             refusal: None,
         },
         Case {
-            name: "no place at all",
+            name: "no place left",
             arrival: arrival(Class::Call, 10, 1_024),
             refusal: Some((Code::Overloaded, 250)),
         },
         Case {
-            name: "far behind",
+            name: "retry delay is bounded",
             arrival: arrival(Class::Call, 600_000, 9),
             refusal: Some((Code::Overloaded, 30_000)),
         },
     ];
     for case in cases {
         let got = admit(&Config::default(), NOW, &case.arrival, 0.0);
-        let told = got.err().map(|r: Refusal| (r.code, r.after.as_millis()));
-        assert_eq!(told, case.refusal, "{}", case.name);
+        let refusal = got.err().map(|r: Refusal| (r.code, r.after.as_millis()));
+        assert_eq!(refusal, case.refusal, "{}", case.name);
     }
     let spread = admit(
         &Config::default(),
@@ -92,9 +92,10 @@
     assert_matches!(spread, Err(Refusal { after, .. }) if after.as_millis() == 10_500);
 }
 
-/// An engine that runs at half of its expected speed drains its queue in twice the time.
+/// If an engine that isn't fully loaded counted as slow, waits would be overestimated.
+/// An engine that runs at half of its expected speed needs twice the time for its queue.
 #[test]
-fn the_drain_rate_is_measured_only_while_requests_wait() {
+fn drain_rate_is_measured_only_while_requests_wait() {
     let run = |waiting: bool| {
         let mut drain = DrainRate::default();
         for i in 0..200u64 {
@@ -113,10 +114,10 @@
     assert!(wait > Micros::from_millis(1_600), "{wait:?}");
 }
 
-/// Many entries ask the same idle sidecar at once. Each must be told of those before it, and a
-/// request that never comes must not count for long.
+/// Many entries probe the same idle sidecar at once. Each answer must include the earlier probes,
+/// and a request that never arrives must not count for long.
 #[test]
-fn a_held_place_counts_until_it_is_taken_or_over() {
+fn reservation_counts_until_it_is_released_or_expires() {
     let mut held = Reservations::new(reserve::Config::default());
     let work = Micros::from_millis(400);
     for key in 0..3 {
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The order of waiting requests.
+//! Order, expiry and review of waiting requests.
 
 use model::{Class, Micros, TeamKey};
 use policy::queue::{Config, Job, Queue};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_order_is_class_then_team_then_length() {
+fn order_is_class_then_team_then_length() {
     struct Case {
         name: &'static str,
         jobs: Vec<Job<u32>>,
@@ -41,7 +41,7 @@
     };
     let cases = [
         Case {
-            name: "a call overtakes all",
+            name: "a call overtakes all other classes",
             jobs: vec![
                 job(a, Class::Batch, 1, 1),
                 job(a, Class::Normal, 1, 2),
@@ -50,7 +50,7 @@
             order: vec![3, 2, 1],
         },
         Case {
-            name: "a team's many don't shut out another's one",
+            name: "a team's many requests don't delay another team's single one",
             jobs: vec![
                 job(a, Class::Call, 10, 1),
                 job(a, Class::Call, 10, 2),
@@ -88,7 +88,7 @@
             order: vec![2, 1],
         },
         Case {
-            name: "a long one is overtaken only for a while",
+            name: "a long request is overtaken only for a limited time",
             jobs: vec![
                 job(a, Class::Call, 1_000, 1),
                 later(job(a, Class::Call, 10, 2), 6_000),
@@ -111,10 +111,10 @@
     }
 }
 
-/// Calls alone could fill the engine for hours. Without an assured share nobody of the other
-/// classes would be served in that time, however small the request.
+/// Calls alone could fill the engine for hours. Without assured shares, the other classes would get
+/// nothing in that time.
 #[test]
-fn under_a_flood_of_calls_the_rest_still_moves() {
+fn calls_dont_starve_other_classes() {
     let [a] = teams();
     let mut queue = Queue::new(Config::default());
     for _ in 0..400 {
@@ -132,10 +132,10 @@
     assert!((12..=17).contains(&served[2]), "{served:?}");
 }
 
-/// A request waits until its caller's deadline can't be met. Run all the same, it would take the
-/// engine from others for an answer that nobody receives.
+/// A request that can no longer meet its deadline would take engine time from others for an answer
+/// that its caller doesn't receive.
 #[test]
-fn what_comes_too_late_is_given_back_at_once() {
+fn requests_past_their_latest_start_are_expired_at_once() {
     let [a] = teams();
     let mut queue = Queue::new(Config::default());
     let due = |work, deadline, payload| Job {
@@ -159,18 +159,18 @@
     assert_eq!(order(&mut queue), [3]);
 }
 
-/// The wait told on arrival can turn out too short. Without a second look, the caller would hear
-/// nothing until the deadline and then be refused, when it can't ask anyone else.
+/// The wait estimated on arrival can turn out too short. Without a review, the caller would be
+/// refused only at its deadline, when it can't try another replica.
 #[test]
-fn what_will_not_have_its_turn_in_time_is_given_back_long_before() {
+fn requests_that_will_not_start_in_time_are_returned_early() {
     struct Case {
         name: &'static str,
-        /// Team, work in ms, and number.
+        /// Index of the team, work in ms, and number of requests.
         jobs: Vec<(usize, u64, u32)>,
         /// How many times slower than expected the engine is.
         slow: u64,
-        /// What a request of the first team would take now, in ms, if not what was expected.
-        grown: Option<u64>,
+        /// Current work of each request in ms, if it differs from the expected work.
+        current_work: Option<u64>,
         kept: [usize; 2],
     }
     let teams: [TeamKey; 2] = teams();
@@ -179,35 +179,35 @@
             name: "in time",
             jobs: vec![(0, 100, 50)],
             slow: 1,
-            grown: None,
+            current_work: None,
             kept: [50, 0],
         },
         Case {
             name: "burst: as many as can be served stay",
             jobs: vec![(0, 100, 300)],
             slow: 1,
-            grown: None,
+            current_work: None,
             kept: [69, 0],
         },
         Case {
-            name: "hot caller: another's few overtake and stay",
+            name: "hot caller: another team's few requests overtake and stay",
             jobs: vec![(0, 100, 300), (1, 100, 10)],
             slow: 1,
-            grown: None,
+            current_work: None,
             kept: [34, 10],
         },
         Case {
             name: "slow engine",
             jobs: vec![(0, 100, 50)],
             slow: 5,
-            grown: None,
+            current_work: None,
             kept: [14, 0],
         },
         Case {
-            name: "prefix evicted: what would itself take too long",
+            name: "prefix evicted: the request itself takes too long",
             jobs: vec![(0, 100, 5)],
             slow: 1,
-            grown: Some(9_500),
+            current_work: Some(9_500),
             kept: [0, 0],
         },
     ];
@@ -223,17 +223,25 @@
             }
         }
         let wait = |work: Micros| Micros(work.0 * case.slow);
-        let grown = |job: &Job<u32>| case.grown.map_or(job.work, Micros::from_millis);
-        // Each call looks at a few; after these, at 1.39 s, all have been seen. Of a team alone the
-        // 69th then has 6.8 s before it, a quarter more is 8.5 s, and 8.61 s are left. Beside
-        // another team as much again goes first, up to four times what that one has sent, so that
-        // the 34th is the last.
+        let current_work = |job: &Job<u32>| case.current_work.map_or(job.work, Micros::from_millis);
+        // Each review examines 16 requests; by 1.39 s all have been examined. With one team, the 69th
+        // then has 6.8 s before it, a quarter more is 8.5 s, and 8.61 s are left. Beside another team,
+        // as much again goes first, up to four times what that team has waiting, so that the 34th is
+        // the last.
         for i in 0..40 {
             let most = queue.len().min(16);
-            let back = queue.review(now + Micros::from_millis(10 * i) - Micros(1), wait, grown);
-            assert!(back.len() <= most, "{}: {}", case.name, back.len());
-            let again = queue.review(now + Micros::from_millis(10 * i), wait, grown);
-            assert!(again.is_empty(), "{}: the cost isn't bounded", case.name);
+            let returned = queue.review(
+                now + Micros::from_millis(10 * i) - Micros(1),
+                wait,
+                current_work,
+            );
+            assert!(returned.len() <= most, "{}: {}", case.name, returned.len());
+            let repeated = queue.review(now + Micros::from_millis(10 * i), wait, current_work);
+            assert!(
+                repeated.is_empty(),
+                "{}: a second review follows too soon",
+                case.name
+            );
         }
         let kept = queue.drain();
         let of = |team| kept.iter().filter(|j| j.team == teams[team]).count();
@@ -241,9 +249,10 @@
     }
 }
 
-/// What a probe is told must agree with what then happens, or entries choose by a fiction.
+/// If the wait reported to a probe differs from the actual one, entries choose replicas by wrong
+/// figures.
 #[test]
-fn the_wait_told_is_the_work_that_goes_before() {
+fn estimated_wait_is_the_work_that_goes_before() {
     struct Case {
         name: &'static str,
         class: Class,
@@ -290,7 +299,7 @@
 }
 
 #[test]
-fn a_cancelled_request_leaves_no_trace() {
+fn cancelled_request_leaves_no_trace() {
     let [a] = teams();
     let mut queue = Queue::new(Config::default());
     let key = queue.push(job(a, Class::Call, 10, 1));
