--- a/crates/policy/tests/control.rs
+++ b/crates/policy/tests/control.rs
@@ -1,4 +1,4 @@
-//! Limits, retries, ejection, quarantine, concurrency and planned stops.
+//! Retries, ejection, quarantine, concurrency limits, planned stops and rate limits.
 
 use model::{Attempt, Incarnation, MemberId, Micros, Outcome, TargetKey};
 use policy::concurrency::{self, Limit};
@@ -17,8 +17,8 @@
     Micros::from_secs(n)
 }
 
-/// Half of the fleet fails. If every failure were tried again, the other half would get twice its
-/// load; and a payment tried again after it may have run would be made twice.
+/// If half of the fleet fails and every failure is retried, the other half gets twice its load.
+/// A payment retried after it may have run would be made twice.
 #[test]
 fn retries_are_bounded_and_never_unsafe() {
     struct Case {
@@ -48,7 +48,7 @@
             verdict: Err(Denied::Unsafe),
         },
         Case {
-            name: "truly not run",
+            name: "known not to have run",
             failure: Failure {
                 idempotent: false,
                 outcome: Outcome::NotRun,
@@ -83,12 +83,12 @@
         );
     }
     let mut budget = Budget::new(retry::Config::default());
-    let mut again = 0;
+    let mut retries = 0;
     for _ in 0..10_000 {
         budget.record_first_attempt();
-        again += u32::from(budget.allow_retry(Micros::ZERO, &base).is_ok());
+        retries += u32::from(budget.allow_retry(Micros::ZERO, &base).is_ok());
     }
-    assert!((1_000..=1_010).contains(&again), "{again}");
+    assert!((1_000..=1_010).contains(&retries), "{retries}");
 }
 
 fn targets(n: usize) -> Vec<TargetKey> {
@@ -104,9 +104,9 @@
     }
 }
 
-/// One target runs at a tenth of its speed, and a ninth of all callers wait ten times as long.
+/// A target that runs at a tenth of its speed keeps its share of the callers waiting ten times as long.
 #[test]
-fn a_slow_target_is_out_until_it_has_shown_that_it_recovered() {
+fn slow_target_is_ejected_until_its_trials_succeed() {
     let all = targets(9);
     let mut health = Health::new(health::Config::default());
     for _ in 0..20 {
@@ -119,7 +119,7 @@
     assert_eq!(health.usable(secs(5), all[4]), Use::Trial);
     health.tried(secs(5), all[4]);
     assert_eq!(health.usable(secs(5), all[4]), Use::Out);
-    // Still slow: out for twice the time.
+    // Still slow: ejected for twice the time.
     health.measured(secs(6), all[4], answered(10));
     assert_eq!(health.usable(secs(15), all[4]), Use::Out);
     for _ in 0..3 {
@@ -130,10 +130,10 @@
     assert_eq!(health.usable(secs(16), all[4]), Use::Normal);
 }
 
-/// Everything is slow under overload, or most of the pool fails. Leaving all of it out would turn
-/// a slow service into none.
+/// Under overload all targets are slow, or most of a pool fails. Ejecting all of them would turn a
+/// slow service into none.
 #[test]
-fn ejection_is_bounded_and_by_comparison() {
+fn ejection_is_bounded_and_relative_to_other_targets() {
     struct Case {
         name: &'static str,
         slow: usize,
@@ -178,10 +178,10 @@
     }
 }
 
-/// A request crashes each engine that runs it and is sent again. Its neighbours at the first crash
-/// are suspects as well and must not be refused for it.
+/// A request crashes each engine that runs it and is retried. Requests that ran beside it at the first
+/// crash are suspects as well and must not be refused for it.
 #[test]
-fn the_second_crash_convicts_the_culprit_only() {
+fn second_crash_convicts_only_the_request_that_caused_it() {
     let mut quarantine = Quarantine::new(quarantine::Config::default());
     let print = |body| Fingerprint { body, weights: 1 };
     let crash = |member, life| Crash {
@@ -229,9 +229,9 @@
     assert_eq!(quarantine.len(), 10);
 }
 
-/// The engine queues what it is given beyond its capacity, out of reach of class and deadline.
+/// An engine queues requests beyond its capacity itself, regardless of class and deadline.
 #[test]
-fn the_limit_settles_near_the_engines_capacity() {
+fn limit_settles_near_the_engines_capacity() {
     struct Case {
         name: &'static str,
         capacity: u32,
@@ -280,10 +280,10 @@
     }
 }
 
-/// Processes are replaced under load, all day. Each must leave without cutting a stream, and
-/// without refusing what the balancer still sends.
+/// Processes are replaced under load. A stop must neither cut a stream nor refuse requests that the
+/// load balancer still sends.
 #[test]
-fn a_planned_stop_finishes_what_runs() {
+fn planned_stop_finishes_running_requests() {
     use Action::{Announce, Close, Exit, GiveBack};
     struct Case {
         name: &'static str,
@@ -294,7 +294,7 @@
     }
     let cases = [
         Case {
-            name: "an entry takes late arrivals and finishes them",
+            name: "an entry accepts late arrivals and finishes them",
             role: Role::Entry,
             events: vec![
                 (0, Event::Taken),
@@ -307,14 +307,14 @@
             accepts: true,
         },
         Case {
-            name: "a sidecar refuses them",
+            name: "a sidecar refuses late arrivals",
             role: Role::Sidecar,
             events: vec![(0, Event::Taken), (1_000, Event::Stop)],
             actions: vec![Announce, GiveBack],
             accepts: false,
         },
         Case {
-            name: "a long stream holds the exit up",
+            name: "a long stream delays the exit",
             role: Role::Sidecar,
             events: vec![
                 (0, Event::Taken),
@@ -325,7 +325,7 @@
             accepts: false,
         },
         Case {
-            name: "then it exits, once",
+            name: "the process exits once after the last stream",
             role: Role::Sidecar,
             events: vec![
                 (0, Event::Taken),
@@ -349,9 +349,9 @@
     }
 }
 
-/// A team's client goes wrong and sends many times its rate through some of the entries.
+/// A team's client misbehaves and sends many times its rate through some of the entries.
 #[test]
-fn a_team_gets_its_rate_over_all_entries() {
+fn team_gets_its_rate_over_all_entries() {
     let rate = Rate {
         rate: 100.0,
         burst: 20.0,
