--- a/crates/policy/tests/patterns.rs
+++ b/crates/policy/tests/patterns.rs
@@ -1,4 +1,4 @@
-//! Load patterns, judged by what callers receive, each with a baseline that fails it.
+//! Load patterns in simulation, checked by what callers receive, each with a baseline that fails.
 
 #[path = "../examples/replay/sim/mod.rs"]
 mod sim;
@@ -9,7 +9,7 @@
 use sim::report::Report;
 use sim::{generate, parse, run, Fault, Order, Policy, Request, Setup, Workload};
 
-/// A pattern, and what its callers should receive.
+/// A load pattern, and the condition that its report must meet.
 struct Case {
     name: &'static str,
     workload: Workload,
@@ -46,7 +46,7 @@
     let plain = run(&setup(case, policy, order), &case.trace);
     assert!(
         !(case.holds)(&case.trace, &plain),
-        "{} doesn't tell: {}",
+        "{}: the baseline passes too: {}",
         case.name,
         json(&plain)
     );
@@ -69,7 +69,7 @@
     }
 }
 
-/// Requests at even times, some a second for a while.
+/// Requests at regular intervals, `rate` per second for `secs` seconds.
 fn steady(rate: u64, secs: u64, mut make: impl FnMut(u64, u64) -> Request) -> Vec<Request> {
     (0..rate * secs)
         .map(|i| make(i, i * 1_000 / rate))
@@ -82,7 +82,7 @@
     all
 }
 
-/// Calls of four teams, each with a few books that nine engines can hold.
+/// Calls of four teams, each with a few books that fit into the caches of nine engines.
 fn calls(rate: u64, secs: u64) -> Vec<Request> {
     let mut rng = SmallRng::seed_from_u64(3);
     steady(rate, secs, |_, at| {
@@ -105,8 +105,8 @@
     })
 }
 
-/// A night's batch is let go at once while calls go on. In order of arrival every call waits for
-/// the whole of it, and respondents hang up.
+/// A nightly batch starts at once while calls go on. In order of arrival every call waits for the
+/// whole batch, and the people on the phone hang up.
 #[test]
 fn burst() {
     let burst = (0..400).map(|i| {
@@ -124,8 +124,8 @@
     });
 }
 
-/// One team's client goes wrong and sends ten times what the others send. They share its queue,
-/// and without fairness their calls wait behind thousands of its own.
+/// One team's client misbehaves and sends ten times what the others send. Without fairness the other
+/// teams' calls wait behind thousands of its requests.
 #[test]
 fn hot_caller() {
     let hot = steady(40, 40, |i, at| {
@@ -143,8 +143,8 @@
     });
 }
 
-/// One prefix becomes so hot that its replica can't serve it alone. Pinned to it, its callers
-/// queue there while eight replicas idle.
+/// One prefix becomes so hot that its replica can't serve it alone. Pinned to that replica, its
+/// callers queue there while eight replicas idle.
 #[test]
 fn hot_key() {
     let hot = steady(90, 30, |_, at| {
@@ -161,8 +161,8 @@
     });
 }
 
-/// One replica runs at a tenth of its speed and still answers. Every ninth caller waits ten times
-/// as long, and heartbeats show nothing.
+/// One replica runs at a tenth of its speed and still answers, so that heartbeats show nothing while
+/// every ninth caller waits ten times as long.
 #[test]
 fn slow_target() {
     check(&Case {
@@ -182,8 +182,8 @@
     });
 }
 
-/// A few reports with prompts of 60,000 tokens come among short questions. In order of arrival
-/// each report holds up all questions behind it for eight seconds.
+/// A few reports with prompts of 60,000 tokens arrive among short questions. In order of arrival
+/// each report delays all questions behind it by eight seconds.
 #[test]
 fn long_among_short() {
     let reports = steady(1, 20, |i, at| {
@@ -201,8 +201,8 @@
     });
 }
 
-/// The books that everyone asks for change every twenty seconds. Copies of the old ones must go
-/// and those of the new ones be made once, not at every replica.
+/// The books in demand change every twenty seconds. Copies of the old ones must be evicted, and
+/// those of the new ones computed once, not at every replica.
 #[test]
 fn shifting_hot_set() {
     let trace = steady(30, 80, |i, at| {
@@ -220,8 +220,8 @@
     });
 }
 
-/// A replica crashes under high load and comes back empty. What it ran is sent again elsewhere,
-/// and its prefixes are computed once more, without a wave of misses through the others.
+/// A replica crashes under high load and returns empty. Its requests are retried elsewhere, and its
+/// prefixes recomputed, without a wave of misses at the other replicas.
 #[test]
 fn replica_lost_when_full() {
     check(&Case {
@@ -239,8 +239,8 @@
     });
 }
 
-/// All entries restart at once and remember nothing. If they placed by their memory alone, every
-/// prefix would be computed anew at a replica of chance.
+/// All entries restart at once and lose their memory. If they placed by memory alone, every prefix
+/// would be recomputed at a random replica.
 #[test]
 fn herd_restart_of_entries() {
     check(&Case {
@@ -256,9 +256,8 @@
     });
 }
 
-/// Twice the load that the engines can serve, for minutes. Unbounded queues answer everyone after
-/// they have left; what is wanted is the goodput of full load, calls within their bound, refusals
-/// at once, and some of the rest all the time.
+/// At twice the load, unbounded queues answer after callers have given up. Required are the goodput of
+/// full load, bounded waits of calls, immediate refusals and some service for each class throughout.
 #[test]
 fn overload_for_minutes() {
     let trace = generate(Workload::Association, 9_000, 6);
@@ -281,7 +280,7 @@
     );
     assert!(twice.classes[0].p99_ms < 12_000, "{}", json(&twice));
     assert!(hash.classes[0].p99_ms > 60_000, "{}", json(&hash));
-    // Every twentieth of the trace has some of each class that were served.
+    // In every twentieth of the trace some requests of each class must be served.
     let part = trace.len() / 20;
     for class in Class::ALL {
         for slice in 0..20 {
@@ -293,9 +292,9 @@
     }
 }
 
-/// The same trace gives the same figures each time, or no figure could be compared.
+/// If the same trace gave different figures each time, figures could not be compared.
 #[test]
-fn a_replay_is_deterministic() {
+fn replay_is_deterministic() {
     let text: Vec<String> = generate(Workload::Alpen, 300, 9)
         .iter()
         .map(|r| serde_json::to_string(r).expect("a request can be written"))
--- a/crates/policy/tests/traces.rs
+++ b/crates/policy/tests/traces.rs
@@ -1,4 +1,4 @@
-//! The traces of both users against their stated outcomes, in virtual time.
+//! Replays of the traces of both users against their required outcomes, in virtual time.
 
 #[path = "../examples/replay/sim/mod.rs"]
 mod sim;
@@ -25,7 +25,7 @@
     hit_of_oracle: f64,
 }
 
-/// The file beside a trace.
+/// Contents of the outcome file beside a trace.
 #[derive(Deserialize)]
 struct Outcome {
     workload: String,
@@ -35,8 +35,8 @@
     goodput_200_of_100: f64,
 }
 
-/// Each bound is on the mean of runs at loads near to the stated one: near full load, one replay
-/// differs by a tenth from the next at a hardly different speed.
+/// Multiples of a stated load over whose replays each bound is averaged: near full load, single
+/// replays differ by a tenth at hardly different speeds.
 const NEAR: [f64; 5] = [0.94, 0.97, 1.0, 1.03, 1.06];
 
 const BASELINES: [Policy; 3] = [
@@ -131,9 +131,9 @@
     );
 }
 
-/// A trace can be drawn again from its seed, so that a longer one like it can be had.
+/// A trace can be regenerated from its seed, so that a longer one like it can be made.
 #[test]
-fn the_traces_come_from_the_generator() {
+fn traces_match_their_generator() {
     let texts = [
         include_str!("../../../traces/association.jsonl"),
         include_str!("../../../traces/alpen.jsonl"),
@@ -150,8 +150,8 @@
     }
 }
 
-/// A crash, a slow replica or a restart of all entries in the middle of a trace costs little and loses only what
-/// may not be sent again.
+/// A crash, a slow replica or a restart of all entries in the middle of a trace must cost little and
+/// lose only requests that may not be retried.
 #[test]
 fn faults_cost_little() {
     let trace = parse(include_str!("../../../traces/alpen.jsonl")).expect("the trace can be read");
