--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -77,7 +77,7 @@
         let told = r.unread_since(h.unread_tokens, h.at - TRANSIT);
         Load {
             tokens_ahead: prefill_priority::tokens_ahead(told, prefill_priority::tier(tokens)),
-            unread: h.unread,
+            unread_prompts: h.unread,
             running: h.begun,
             memory_used: h.used,
             memory_total: h.total,
--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -37,7 +37,7 @@
     /// Prompt tokens that the engine computes before the new prompt.
     pub tokens_ahead: f64,
     /// Requests whose prefill hasn't started.
-    pub unread: u32,
+    pub unread_prompts: u32,
     /// Requests that it is answering.
     pub running: u32,
     /// Tokens of memory that can't be released for other requests.
@@ -52,7 +52,8 @@
     /// Milliseconds until the prefill of a prompt starts that needs `memory` tokens of memory, when a
     /// token takes `read` milliseconds to compute.
     pub fn wait(&self, memory: u32, read: f64) -> f64 {
-        let reading = (self.tokens_ahead * read).max(f64::from(self.unread) * MS_PER_UNREAD);
+        let reading =
+            (self.tokens_ahead * read).max(f64::from(self.unread_prompts) * MS_PER_UNREAD);
         reading
             + f64::from(self.running) * MS_PER_RUNNING
             + self.memory_wait(memory)
--- a/crates/policy/tests/spot.rs
+++ b/crates/policy/tests/spot.rs
@@ -227,7 +227,7 @@
     #[rustfmt::skip]
     let cases = [
         Case { name: "long prompts before it", load: Load { tokens_ahead: 9_000.0, ..idle }, least: 179.0 },
-        Case { name: "prompts whose words are lost", load: Load { unread: 10, ..idle }, least: 80.0 },
+        Case { name: "prompts whose words are lost", load: Load { unread_prompts: 10, ..idle }, least: 80.0 },
         Case { name: "many streams", load: Load { running: 40, ..idle }, least: 20.0 },
         Case { name: "loading", load: Load { loading_ms: 310.0, ..idle }, least: 300.0 },
         Case { name: "no memory left", load: Load { memory_used: 95_000, ..idle }, least: 300.0 },
