--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -54,8 +54,8 @@
 ///
 /// With only the waiting work counted, the estimated wait of a busy team's request is a third of the
 /// actual one, and the request is returned at its deadline: work that lighter teams send in the
-/// meantime goes first too. In the replay at twice the load, 4 instead of 1 halves the number of such requests. Without
-/// a bound, calls are refused because of work that never arrives.
+/// meantime goes first too. In the replay at twice the load, 4 instead of 1 halves the number of such
+/// requests. Without a bound, calls are refused because of work that never arrives.
 const REFILL_FACTOR: f64 = 4.0;
 
 /// Requests of a team whose current work [`Queue::pop_by`] compares.
@@ -185,7 +185,7 @@
         let top = self.most_urgent()?;
         let class = self.next_class()?;
         let team = self.classes[class].next()?.0;
-        let first = self.classes[class]
+        let candidates = self.classes[class]
             .teams
             .get(&team)?
             .order
@@ -195,7 +195,9 @@
             let job = &self.jobs[key.0].job;
             job.arrived.0 + self.config.ageing * work(job).0
         };
-        let key = first.map(|(_, key)| *key).min_by_key(current_sort_key)?;
+        let key = candidates
+            .map(|(_, key)| *key)
+            .min_by_key(current_sort_key)?;
         let job = self.remove(key)?;
         self.classes[class].charge(team, job.work, job.weight);
         self.update_credit(top, class, job.work);
@@ -241,7 +243,7 @@
     pub fn work_ahead(&self, class: Class, team: TeamKey, weight: u32, work: Micros) -> Micros {
         let team_queue = self.classes[class.index()].teams.get(&team);
         // Shorter requests of the same team go first; assume half of the team's work.
-        let before = team_queue.map_or(0, |l| l.work.0 / 2);
+        let before = team_queue.map_or(0, |q| q.work.0 / 2);
         self.work_before(class, team, weight, before, work)
     }
 
@@ -324,7 +326,7 @@
 
     /// The team with the earliest virtual start, and its next request.
     fn next(&self) -> Option<(TeamKey, JobKey)> {
-        let waiting = self.teams.iter().filter(|(_, l)| !l.order.is_empty());
+        let waiting = self.teams.iter().filter(|(_, q)| !q.order.is_empty());
         let (team, team_queue) = waiting.min_by(|(a, x), (b, y)| {
             // Equal starts go by the older request, then by team key, so that the order is deterministic.
             let by_start = x.virtual_start.total_cmp(&y.virtual_start);
@@ -360,15 +362,15 @@
     /// Work of this class that goes before a request, given the work `before` of its own team.
     fn work_ahead(&self, team: TeamKey, weight: u32, before: u64, work: Micros) -> u64 {
         let own = self.teams.get(&team);
-        let start = own.map_or(self.virtual_time, |l| {
-            l.virtual_start.max(self.virtual_time)
+        let start = own.map_or(self.virtual_time, |q| {
+            q.virtual_start.max(self.virtual_time)
         });
         let finish = start + (before + work.0) as f64 / f64::from(weight);
         let others = self.teams.iter().filter(|(t, _)| **t != team);
         let sum: f64 = others
-            .map(|(_, l)| {
-                let until = (finish - l.virtual_start) * f64::from(l.weight.max(1));
-                until.clamp(0.0, REFILL_FACTOR * l.work.0 as f64)
+            .map(|(_, q)| {
+                let until = (finish - q.virtual_start) * f64::from(q.weight.max(1));
+                until.clamp(0.0, REFILL_FACTOR * q.work.0 as f64)
             })
             .sum();
         before + sum as u64
--- a/crates/policy/src/queue/review.rs
+++ b/crates/policy/src/queue/review.rs
@@ -30,7 +30,7 @@
     /// `wait` converts an amount of engine time into the time that it will take from now; `work`
     /// returns the engine time that a request would take now.
     ///
-    /// A call examines only a few requests, the earliest latest start first, and the next call, at
+    /// A call examines only a few requests, in the order of their latest start, and the next call, at
     /// least 10 ms later, continues after them. The cost therefore grows neither with the number of
     /// waiting requests nor with the number of events.
     pub fn review(
