--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -36,7 +36,7 @@
 pub struct Load {
     /// Prompt tokens that the engine computes before the new prompt.
     pub tokens_ahead: f64,
-    /// Requests whose prefill hasn't started.
+    /// Requests whose prefill is pending.
     pub unread_prompts: u32,
     /// Requests that it is answering.
     pub running: u32,
@@ -50,11 +50,11 @@
 
 impl Load {
     /// Milliseconds until the prefill of a prompt starts that needs `memory` tokens of memory, when a
-    /// token takes `read` milliseconds to compute.
-    pub fn wait(&self, memory: u32, read: f64) -> f64 {
-        let reading =
-            (self.tokens_ahead * read).max(f64::from(self.unread_prompts) * MS_PER_UNREAD);
-        reading
+    /// token takes `prefill_per_token` milliseconds to compute.
+    pub fn wait(&self, memory: u32, prefill_per_token: f64) -> f64 {
+        let prefill = (self.tokens_ahead * prefill_per_token)
+            .max(f64::from(self.unread_prompts) * MS_PER_UNREAD);
+        prefill
             + f64::from(self.running) * MS_PER_RUNNING
             + self.memory_wait(memory)
             + self.loading_ms
--- a/crates/policy/src/prefill_priority.rs
+++ b/crates/policy/src/prefill_priority.rs
@@ -24,9 +24,9 @@
 /// Least prefill in tokens of the third tier.
 const ORDINARY: u32 = 6_000;
 
-/// The tier of a prompt with `read` tokens to compute; shorter prefill goes first.
-pub fn tier(read: u32) -> usize {
-    match read {
+/// The tier of a prompt with `prefill_tokens` tokens to compute; shorter prefill goes first.
+pub fn tier(prefill_tokens: u32) -> usize {
+    match prefill_tokens {
         0..SHORT => 0,
         SHORT..ORDINARY => 1,
         _ => 2,
@@ -41,9 +41,10 @@
     tokens.map(|(i, n)| f64::from(*n) * part(i)).sum()
 }
 
-/// The rank of a request with a caller's rank and `read` tokens to compute.
-pub fn rank(caller: u8, read: u32) -> u8 {
+/// The rank of a request with a caller's rank and `prefill_tokens` tokens to compute.
+pub fn rank(caller: u8, prefill_tokens: u32) -> u8 {
     let tiers = TIERS as u8;
     let rank = caller.saturating_mul(tiers);
-    rank.saturating_add(tier(read) as u8).min(RANKS - 1)
+    rank.saturating_add(tier(prefill_tokens) as u8)
+        .min(RANKS - 1)
 }
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -37,8 +37,8 @@
 pub struct Reservations<K> {
     config: Config,
     held: HashMap<K, (Micros, Micros)>,
-    order: VecDeque<(Micros, K)>,
-    sum: Micros,
+    by_expiry: VecDeque<(Micros, K)>,
+    total: Micros,
 }
 
 impl<K: Copy + Eq + Hash> Reservations<K> {
@@ -47,8 +47,8 @@
         Self {
             config,
             held: HashMap::new(),
-            order: VecDeque::new(),
-            sum: Micros::ZERO,
+            by_expiry: VecDeque::new(),
+            total: Micros::ZERO,
         }
     }
 
@@ -63,26 +63,26 @@
         let until = now + self.config.hold;
         let part = Micros((work.0 as f64 * self.config.part) as u64);
         self.held.insert(key, (until, part));
-        self.order.push_back((until, key));
-        self.sum = self.sum + part;
+        self.by_expiry.push_back((until, key));
+        self.total = self.total + part;
     }
 
     /// Ends a reservation because its request has arrived or been placed elsewhere.
     pub fn release(&mut self, key: K) {
         if let Some((_, part)) = self.held.remove(&key) {
-            self.sum = self.sum - part;
+            self.total = self.total - part;
         }
     }
 
     /// The work reserved at this time.
     pub fn total(&mut self, now: Micros) -> Micros {
-        while let Some((until, key)) = self.order.front().copied().filter(|(t, _)| *t <= now) {
-            self.order.pop_front();
+        while let Some((until, key)) = self.by_expiry.front().copied().filter(|(t, _)| *t <= now) {
+            self.by_expiry.pop_front();
             // A renewed reservation has a later expiry than this one.
             if self.held.get(&key).is_some_and(|(t, _)| *t == until) {
                 self.release(key);
             }
         }
-        self.sum
+        self.total
     }
 }
