--- a/crates/policy/tests/patterns.rs
+++ b/crates/policy/tests/patterns.rs
@@ -43,12 +43,12 @@
     );
     assert_eq!(ours.unended, 0, "{}", case.name);
     let (policy, order) = case.baseline;
-    let plain = run(&setup(case, policy, order), &case.trace);
+    let baseline = run(&setup(case, policy, order), &case.trace);
     assert!(
-        !(case.holds)(&case.trace, &plain),
+        !(case.holds)(&case.trace, &baseline),
         "{}: the baseline passes too: {}",
         case.name,
-        json(&plain)
+        json(&baseline)
     );
 }
 
--- a/crates/policy/tests/traces.rs
+++ b/crates/policy/tests/traces.rs
@@ -89,15 +89,19 @@
     }
 
     let ours = at(Policy::Ours, 0.9);
-    let plain = BASELINES.map(|policy| at(policy, 0.9));
+    let baselines = BASELINES.map(|policy| at(policy, 0.9));
     let oracle = at(Policy::Oracle, 0.9);
     let ratios = &outcome.at_90;
     assert!(
-        ours.wasted <= ratios.wasted_of_least_loaded * plain[1].wasted,
+        ours.wasted <= ratios.wasted_of_least_loaded * baselines[1].wasted,
         "{name}"
     );
     assert!(ours.hit >= ratios.hit_of_oracle * oracle.hit, "{name}");
-    let best = plain.iter().map(|r| r.classes[0].p99_ms).min().unwrap_or(0);
+    let best = baselines
+        .iter()
+        .map(|r| r.classes[0].p99_ms)
+        .min()
+        .unwrap_or(0);
     let p99 = ours.classes[0].p99_ms as f64;
     assert!(
         p99 <= ratios.call_p99_of_best * best as f64,
@@ -164,17 +168,21 @@
         };
         run(&setup, &trace)
     };
-    let half = model::Micros::from_secs(60);
-    let calm = at(vec![]);
+    let midpoint = model::Micros::from_secs(60);
+    let undisturbed = at(vec![]);
     let slow = Fault::Slow {
         replica: 1,
         factor: 5.0,
     };
     for fault in [Fault::Crash { replica: 1 }, Fault::Entries, slow] {
-        let hurt = at(vec![(half, fault)]);
-        assert!(hurt.hit > 0.93 * calm.hit, "{fault:?}: {}", json(&hurt));
-        assert!(hurt.quick_calls > 0.85, "{fault:?}: {}", json(&hurt));
-        let lost: u32 = hurt.classes.iter().map(|c| c.lost).sum();
-        assert!(lost <= 4, "{fault:?}: {}", json(&hurt));
+        let faulty = at(vec![(midpoint, fault)]);
+        assert!(
+            faulty.hit > 0.93 * undisturbed.hit,
+            "{fault:?}: {}",
+            json(&faulty)
+        );
+        assert!(faulty.quick_calls > 0.85, "{fault:?}: {}", json(&faulty));
+        let lost: u32 = faulty.classes.iter().map(|c| c.lost).sum();
+        assert!(lost <= 4, "{fault:?}: {}", json(&faulty));
     }
 }
