--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -179,7 +179,7 @@
     /// request would take now.
     ///
     /// While a request waits, others bring its prefix into the cache or evict it. Of the first
-    /// [`CANDIDATES`] requests of the next team, the one with the least sort key by its current work goes
+    /// `CANDIDATES` requests of the next team, the one with the least sort key by its current work goes
     /// first, so that requests with a common prefix run in succession while it is cached.
     pub fn pop_by(&mut self, work: impl Fn(&Job<T>) -> Micros) -> Option<Job<T>> {
         let top = self.most_urgent()?;
