--- a/crates/daemon/src/sidecar/decide/running.rs
+++ b/crates/daemon/src/sidecar/decide/running.rs
@@ -31,7 +31,7 @@
             took: now.since(handed),
             running: self.prefilling() + 1,
         };
-        self.prefills.measured(now, sample);
+        self.prefills.record(now, sample);
         self.rest(now);
     }
 
@@ -49,7 +49,7 @@
             took: now.since(last),
             running,
         };
-        self.runs.measured(now, sample);
+        self.runs.record(now, sample);
     }
 
     /// A request that had its turn has ended, in whatever way, after so many more events of its
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -174,7 +174,7 @@
             took: now.since(handed),
             running: self.prefilling + 1,
         };
-        self.prefills.measured(now, sample);
+        self.prefills.record(now, sample);
         if self.prefilling == 0 {
             self.until = now;
             self.busy.set(now, None);
--- a/crates/policy/src/concurrency.rs
+++ b/crates/policy/src/concurrency.rs
@@ -39,7 +39,7 @@
     /// Stretch, as a multiple of the best one, up to which the limit grows; 2.
     pub tolerance: f64,
     /// Weight of a new sample; 0.2.
-    pub smooth: f64,
+    pub smoothing: f64,
     /// Share of the distance to the new limit that each sample covers; 0.04, slower than the average
     /// follows, or the limit would oscillate.
     pub step: f64,
@@ -58,7 +58,7 @@
             most: 256,
             first: 16,
             tolerance: 2.0,
-            smooth: 0.2,
+            smoothing: 0.2,
             step: 0.04,
             window: Micros::from_secs(10),
             probe: 3.0,
@@ -128,11 +128,11 @@
     }
 
     /// Records a sample and adjusts the limit.
-    pub fn measured(&mut self, now: Micros, sample: Sample) {
+    pub fn record(&mut self, now: Micros, sample: Sample) {
         self.start_due_window(now);
         let new = [sample.expected, sample.took].map(|t| t.0.max(1) as f64);
         let last = self.average.unwrap_or(new);
-        let average = [0, 1].map(|i| last[i] + (new[i] - last[i]) * self.config.smooth);
+        let average = [0, 1].map(|i| last[i] + (new[i] - last[i]) * self.config.smoothing);
         self.average = Some(average);
         let stretch = average[1] / average[0];
         self.best[0] = self.best[0].min(stretch);
--- a/crates/policy/tests/control.rs
+++ b/crates/policy/tests/control.rs
@@ -269,7 +269,7 @@
                 took,
                 running,
             };
-            limit.measured(ms(i * 10), sample);
+            limit.record(ms(i * 10), sample);
         }
         assert!(
             case.settles.contains(&limit.get()),
