--- a/crates/daemon/src/sidecar/decide/mod.rs
+++ b/crates/daemon/src/sidecar/decide/mod.rs
@@ -19,13 +19,13 @@
 
 use model::{Class, Code, Incarnation, MemberId, Micros, TeamKey};
 use policy::admit;
-use policy::busy::Busy;
 use policy::concurrency::{self, Limit};
 use policy::cost::{self, Cost};
 use policy::quarantine::{self, Fingerprint, Quarantine};
 use policy::queue::{self, Job, Queue};
-use policy::reserve::{self, Reserve};
+use policy::reserve::{self, Reservations};
 use policy::trial::Trials;
+use policy::utilization::Utilization;
 use prefix::{Index, Marks};
 use rand::Rng;
 use slab::Slab;
@@ -71,11 +71,11 @@
     /// Mean time that a request is at the target; its first guess counts for plain services only.
     call: Micros,
     admit: admit::Config,
-    rate: admit::Drain,
-    reserve: Reserve<u64>,
+    rate: admit::DrainRate,
+    reserve: Reservations<u64>,
     prefills: Limit,
     runs: Limit,
-    busy: Busy,
+    busy: Utilization,
     /// When the prefills handed over should be done.
     until: Micros,
     /// When the engine last sent a first token.
@@ -136,11 +136,11 @@
             cost: Cost::new(cost::Config::default()),
             call: CALL,
             admit: admit::Config::default(),
-            rate: admit::Drain::default(),
-            reserve: Reserve::new(reserve::Config::default()),
+            rate: admit::DrainRate::default(),
+            reserve: Reservations::new(reserve::Config::default()),
             prefills: Limit::new(concurrency::Config::prefill()),
             runs: Limit::new(concurrency::Config::running()),
-            busy: Busy::default(),
+            busy: Utilization::default(),
             until: Micros::ZERO,
             last: Micros::ZERO,
             teams: HashMap::new(),
@@ -178,7 +178,7 @@
             .queue
             .review(now, wait, |job| today(kind, index, cost, job));
         back.extend(hopeless.into_iter().map(|(job, wait)| {
-            let r = admit::returned(&self.admit, job.class, wait, rng.random());
+            let r = admit::refuse_queued(&self.admit, job.class, wait, rng.random());
             (job.payload.grant, refusal(r))
         }));
         back
@@ -214,7 +214,7 @@
         let all = self.running.iter().map(|(_, r)| r);
         let unseen = all.filter(|r| r.prefilling && !r.stream);
         let soonest = unseen.map(|r| r.handed + r.prefill).min();
-        let wakes = [self.queue.wake(), soonest, self.trials.wake()];
+        let wakes = [self.queue.next_expiry(), soonest, self.trials.wake()];
         wakes.into_iter().flatten().min()
     }
 }
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -28,9 +28,9 @@
 use std::time::Duration;
 
 use model::Micros;
-use policy::pace::Pace;
+use policy::prefill_rate::PrefillRate;
 use policy::subscription::{self, Sidecar};
-use policy::{apart, shared};
+use policy::{apart, retry_budget};
 use tokio::net::UdpSocket;
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout_at, Instant};
@@ -70,7 +70,7 @@
     /// What it believes of the targets.
     pub fleet: RefCell<Fleet>,
     /// Its part of each pool's retries.
-    budgets: RefCell<HashMap<String, shared::Budget>>,
+    budgets: RefCell<HashMap<String, retry_budget::Budget>>,
     /// Who reads the platform's list, and what was found.
     list: list::Shared,
     /// Requests that crash targets.
@@ -80,7 +80,7 @@
     /// The work that prompts have brought of late.
     work: RefCell<apart::Work>,
     /// How fast engines read, by pool.
-    paces: RefCell<HashMap<String, Pace>>,
+    prefill_rates: RefCell<HashMap<String, PrefillRate>>,
     /// Receives and sends updates.
     socket: Rc<UdpSocket>,
     /// Whether it takes no more requests, since it is about to end.
@@ -101,7 +101,7 @@
         let running: u32 = fleet.replicas.values().map(|r| r.inflight).sum();
         meter::set(meter::RUNNING, running.into());
         for (pool, budget) in self.budgets.borrow().iter() {
-            metrics::gauge!(meter::RETRIES, "pool" => pool.clone()).set(budget.left());
+            metrics::gauge!(meter::RETRIES, "pool" => pool.clone()).set(budget.remaining());
         }
         let world = self.node.world.borrow();
         meter::set(meter::MEMBERS, world.members.len() as f64);
@@ -138,26 +138,26 @@
     }
 
     /// Lets a decision use a pool's pace of reading.
-    fn pace<T>(&self, pool: &str, use_it: impl FnOnce(&mut Pace) -> T) -> T {
-        let mut paces = self.paces.borrow_mut();
-        match paces.get_mut(pool) {
+    fn prefill_rate<T>(&self, pool: &str, use_it: impl FnOnce(&mut PrefillRate) -> T) -> T {
+        let mut prefill_rates = self.prefill_rates.borrow_mut();
+        match prefill_rates.get_mut(pool) {
             Some(p) => use_it(p),
-            None => use_it(paces.entry(pool.to_owned()).or_default()),
+            None => use_it(prefill_rates.entry(pool.to_owned()).or_default()),
         }
     }
 
     /// Lets a decision use a pool's budget of retries.
-    fn budget<T>(&self, pool: &str, use_it: impl FnOnce(&mut shared::Budget) -> T) -> T {
+    fn budget<T>(&self, pool: &str, use_it: impl FnOnce(&mut retry_budget::Budget) -> T) -> T {
         let mut budgets = self.budgets.borrow_mut();
         if !budgets.contains_key(pool) {
             let bounds = self.node.settings.borrow().bounds;
-            let config = shared::Config {
+            let config = retry_budget::Config {
                 ratio: bounds.retry_ratio,
                 slack: bounds.retry_slack,
                 entries: self.node.world.borrow().entries().count() + 1,
                 window: bounds.retry_window.into(),
             };
-            budgets.insert(pool.to_owned(), shared::Budget::new(config));
+            budgets.insert(pool.to_owned(), retry_budget::Budget::new(config));
         }
         match budgets.get_mut(pool) {
             Some(b) => {
@@ -183,7 +183,7 @@
         suspects: RefCell::default(),
         delegates: RefCell::default(),
         work: RefCell::default(),
-        paces: RefCell::default(),
+        prefill_rates: RefCell::default(),
         socket: Rc::new(socket),
         closing: Cell::new(false),
         connections: RefCell::default(),
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -11,8 +11,8 @@
 use hyper_util::rt::TokioIo;
 use model::Micros;
 use platform::replica::{self, Terms, Told};
+use policy::prefill_priority;
 use policy::quarantine::Verdict;
-use policy::urgency;
 use site::{Boot, Part};
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64;
@@ -70,7 +70,7 @@
         }
         drop(fleet);
         if let Some(prompt) = &job.prompt {
-            let reading = f64::from(pick.read) * ctx.pace(&job.pool, |p| p.read());
+            let reading = f64::from(pick.read) * ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
             ctx.work.borrow_mut().add(now, prompt.input, reading);
         }
         if let Some((agent, request)) = told {
@@ -207,7 +207,7 @@
         rank: job
             .prompt
             .is_some()
-            .then_some(urgency::rank(job.rank, pick.read)),
+            .then_some(prefill_priority::rank(job.rank, pick.read)),
         resume: job.resume.as_deref(),
     };
     let mut request = Request::new(Full::new(job.body.clone()));
--- a/crates/policy/examples/replay/sim/run.rs
+++ b/crates/policy/examples/replay/sim/run.rs
@@ -176,7 +176,7 @@
     fn arrive(&mut self, now: Micros, i: usize) {
         let entry = self.live[i].entry;
         if self.live[i].attempt == 0 {
-            self.entries[entry].budget.sent();
+            self.entries[entry].budget.record_first_attempt();
         }
         match self.setup.policy {
             Policy::Ours => {
@@ -259,7 +259,7 @@
             heat: share * self.setup.replicas as f64,
             home: place::home(&prompt.chain, &self.entries[entry].peers),
         };
-        self.entries[entry].recent.seen(&prompt.chain);
+        self.entries[entry].recent.record_request(&prompt.chain);
         let way = |t| self.way(entry, self.replica(t));
         let choices = choose(&self.setup.place, &place, &offers, way);
         let least = offers.iter().map(|o| o.prefill).min().unwrap_or_default();
@@ -268,7 +268,9 @@
             let missing = u64::from((ask.blocks - best.matched).max(1));
             self.live[i].wait = told.map_or(Micros::ZERO, |o| o.wait);
             self.live[i].expected = Micros(least.0 * missing) + WAY[0];
-            self.entries[entry].recent.used(&prompt.chain, best.target);
+            self.entries[entry]
+                .recent
+                .record_use(&prompt.chain, best.target);
             self.entries[entry].health.tried(now, best.target);
         }
         let order: Vec<usize> = choices.iter().map(|c| self.replica(c.target)).collect();
@@ -297,7 +299,7 @@
             Order::Fifo => self.hand(now, i, r),
             Order::Ours => match self.sidecars[r].open(now, ask, &prompt.chain) {
                 Ok(()) => {
-                    if let Some(at) = self.sidecars[r].queue.wake() {
+                    if let Some(at) = self.sidecars[r].queue.next_expiry() {
                         self.push(at, Step::Pump(r));
                     }
                 }
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -1,13 +1,13 @@
 //! A sidecar as the replay drives it: the decision modules wired together as in the daemon.
 
 use model::{BlockHash, Class, Micros, TargetKey, TeamKey};
-use policy::admit::{self, admit, Arrival, Drain, Refusal};
-use policy::busy::Busy;
+use policy::admit::{self, admit, Arrival, DrainRate, Refusal};
 use policy::concurrency::{self, Limit, Sample};
 use policy::cost::{self, Cost};
 use policy::place::{Offer, State};
 use policy::queue::{self, Job, Queue};
-use policy::reserve::{self, Reserve};
+use policy::reserve::{self, Reservations};
+use policy::utilization::Utilization;
 use prefix::{Index, Marks};
 
 /// What a sidecar knows of a request.
@@ -42,10 +42,10 @@
     pub(crate) queue: Queue<Waiting>,
     pub(crate) cost: Cost,
     admit: admit::Config,
-    reserve: Reserve<usize>,
-    drain: Drain,
+    reserve: Reservations<usize>,
+    drain: DrainRate,
     prefills: Limit,
-    busy: Busy,
+    busy: Utilization,
     prefilling: u32,
     /// When the prefills handed over should be done.
     until: Micros,
@@ -64,12 +64,12 @@
             queue: Queue::new(queue::Config::default()),
             cost: Cost::new(cost),
             admit: admit::Config::default(),
-            reserve: Reserve::new(reserve::Config::default()),
-            drain: Drain::default(),
+            reserve: Reservations::new(reserve::Config::default()),
+            drain: DrainRate::default(),
             prefills: Limit::new(concurrency::Config::prefill()),
             prefilling: 0,
             until: Micros::ZERO,
-            busy: Busy::default(),
+            busy: Utilization::default(),
         }
     }
 
@@ -105,7 +105,7 @@
         ask: Ask,
         chain: &[BlockHash],
     ) -> Result<(), Refusal> {
-        self.reserve.settle(ask.request);
+        self.reserve.release(ask.request);
         let _ = self.index.tick(now);
         let matched = self.index.matched_chain(chain);
         let work = self.work(&ask, matched);
@@ -174,7 +174,7 @@
             took: now.since(handed),
             running: self.prefilling + 1,
         };
-        self.prefills.measured(now, sample);
+        self.prefills.record(now, sample);
         if self.prefilling == 0 {
             self.until = now;
             self.busy.set(now, None);
@@ -201,8 +201,8 @@
 
     /// The wait that the least urgent request would have.
     pub(crate) fn wait(&mut self, now: Micros, ask: &Ask, work: Micros) -> Micros {
-        let queued = self.queue.ahead(ask.class, ask.team, 1, work);
-        let ahead = queued + self.reserve.sum(now);
+        let queued = self.queue.work_ahead(ask.class, ask.team, 1, work);
+        let ahead = queued + self.reserve.total(now);
         self.drain.wait(ahead) + self.until.since(now)
     }
 
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -11,7 +11,7 @@
 //! The speed of each engine isn't learnt: what a slow one has yet to read piles up here and turns
 //! prompts away by itself. Learning it from these words was tried; the estimates then differed more
 //! than the engines, prompts moved from their holders to engines thought faster, and worth at 52 and 56
-//! engines fell from 0.42 and 0.50 to 0.31 and 0.36. What is learnt is one pace for all ([`crate::pace`]).
+//! engines fell from 0.42 and 0.50 to 0.31 and 0.36. What is learnt is one pace for all ([`crate::prefill_rate`]).
 //!
 //! Grounds: an expiry of 3 s is longer than nearly all prompts wait, and short beside the time that
 //! load takes to shift.
@@ -20,13 +20,13 @@
 
 use model::Micros;
 
-use crate::urgency::{self, STEPS};
+use crate::prefill_priority::{self, TIERS};
 
 /// How long a prompt counts without a further word.
 const EXPIRY: Micros = Micros::from_secs(3);
 
-/// Tokens to read, by the step of urgency that their prompts have ([`crate::urgency::step`]).
-pub type Unread = [u32; STEPS];
+/// Tokens to read, by the step of urgency that their prompts have ([`crate::prefill_priority::tier`]).
+pub type Unread = [u32; TIERS];
 
 /// A prompt that is yet to be read.
 #[derive(Clone, Copy, Debug)]
@@ -49,7 +49,7 @@
         self.remove(request);
         let open = Open {
             tokens,
-            step: urgency::step(tokens),
+            step: prefill_priority::tier(tokens),
             until: now + EXPIRY,
         };
         self.open.insert(request, open);
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -1,14 +1,14 @@
 //! Decisions of an entry that reaches targets without a sidecar, each under the load that it answers.
 
 use model::Micros;
-use policy::lateness::{judge, Prospect, Verdict};
+use policy::latency_admission::{decide, Decision, Estimate};
 use policy::ledger::Ledger;
-use policy::pace::{Pace, GUESS};
+use policy::prefill_rate::{PrefillRate, INITIAL_MS_PER_TOKEN};
 use policy::readers::Readers;
-use policy::shared::Need;
+use policy::retry_budget::RetryReason;
 use policy::standing::{self, Standing};
 use policy::versions::Versions;
-use policy::{apart, shared, urgency};
+use policy::{apart, prefill_priority, retry_budget};
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
@@ -21,13 +21,13 @@
     const RATIO: f64 = 0.2;
     const SLACK: f64 = 56.0;
     let window = Micros::from_secs(10);
-    let config = shared::Config {
+    let config = retry_budget::Config {
         ratio: RATIO,
         slack: SLACK,
         entries: 7,
         window,
     };
-    let mut entries: Vec<_> = (0..7).map(|_| shared::Budget::new(config)).collect();
+    let mut entries: Vec<_> = (0..7).map(|_| retry_budget::Budget::new(config)).collect();
     let mut requests = Vec::new();
     let mut retries = Vec::new();
     for step in 0..4_000u64 {
@@ -35,9 +35,9 @@
         for (i, entry) in entries.iter_mut().enumerate() {
             // The n-th entry has a request every n steps, and all of them fail.
             if step % (i as u64 + 1) == 0 {
-                entry.request(now);
+                entry.record_request(now);
                 requests.push(now);
-                if entry.spend(now, Need::HasRun) {
+                if entry.spend(now, RetryReason::HasRun) {
                     retries.push(now);
                 }
             }
@@ -61,14 +61,14 @@
 #[test]
 fn an_entry_with_little_traffic_may_still_retry() {
     // One request in a minute fails by chance. Its caller shouldn't pay for the entry's being idle.
-    let mut budget = shared::Budget::new(shared::Config {
+    let mut budget = retry_budget::Budget::new(retry_budget::Config {
         ratio: 0.2,
         slack: 56.0,
         entries: 28,
         window: Micros::from_secs(10),
     });
-    budget.request(ms(0));
-    assert!(budget.spend(ms(1), Need::NotRun));
+    budget.record_request(ms(0));
+    assert!(budget.spend(ms(1), RetryReason::NotRun));
 }
 
 #[test]
@@ -76,16 +76,16 @@
     // A third of the engines crash. First come hundreds of tries that were refused at the engines that
     // are left; a moment later the next third crashes, and streams that have begun are cut. The ones
     // refused could be told to come back; a stream that finds no retry left is lost.
-    let mut budget = shared::Budget::new(shared::Config {
+    let mut budget = retry_budget::Budget::new(retry_budget::Config {
         ratio: 0.2,
         slack: 56.0,
         entries: 28,
         window: Micros::from_secs(10),
     });
-    (0..200).for_each(|n| budget.request(ms(n)));
-    let refused = (0..100).filter(|n| budget.spend(ms(200 + n), Need::NotRun));
+    (0..200).for_each(|n| budget.record_request(ms(n)));
+    let refused = (0..100).filter(|n| budget.spend(ms(200 + n), RetryReason::NotRun));
     let refused = refused.count();
-    let cut = (0..100).filter(|n| budget.spend(ms(300 + n), Need::HasRun));
+    let cut = (0..100).filter(|n| budget.spend(ms(300 + n), RetryReason::HasRun));
     let cut = cut.count();
     assert!(refused >= 15, "{refused} tries that were refused went on");
     assert!(cut >= 15, "{cut} streams went on");
@@ -171,14 +171,16 @@
     // Engines read what is most urgent first. A caller's rank decides; among equals, a short prompt
     // isn't kept waiting by long ones, and counts only a part of them as being before it.
     let ranks = [(0, 100), (0, 3_000), (0, 20_000), (1, 100), (1, 20_000)];
-    let ranks = ranks.map(|(caller, read)| urgency::rank(caller, read));
+    let ranks = ranks.map(|(caller, read)| prefill_priority::rank(caller, read));
     assert!(
         ranks.is_sorted() && ranks.windows(2).all(|w| w[0] < w[1]),
         "{ranks:?}"
     );
-    assert!(urgency::rank(200, 20_000) <= 9);
+    assert!(prefill_priority::rank(200, 20_000) <= 9);
     let unread = [1_000, 10_000, 40_000];
-    let before: Vec<_> = [0, 1, 2].map(|s| urgency::before(unread, s)).to_vec();
+    let before: Vec<_> = [0, 1, 2]
+        .map(|s| prefill_priority::tokens_ahead(unread, s))
+        .to_vec();
     assert!(before[0] < 17_000.0, "{before:?}");
     assert_eq!(before[2], 51_000.0);
 }
@@ -203,7 +205,7 @@
         short.count()
     };
     let mut urgent = reads.clone();
-    urgent.sort_by_key(|read| urgency::rank(0, *read));
+    urgent.sort_by_key(|read| prefill_priority::rank(0, *read));
     let (arrival, urgent) = (in_time(&reads), in_time(&urgent));
     assert!(
         urgent >= arrival * 2,
@@ -217,51 +219,51 @@
     // on a busy one, and refused only if its caller would have left before its answer.
     struct Case {
         name: &'static str,
-        prospect: Prospect,
+        estimate: Estimate,
         sent: bool,
     }
-    let prospect = |wait, own| Prospect {
+    let estimate = |wait, own| Estimate {
         wait,
-        own,
-        aim: 600.0,
-        left: 4_000.0,
+        prefill: own,
+        latency_goal: 600.0,
+        time_left: 4_000.0,
     };
     let cases = [
         Case {
             name: "short, idle",
-            prospect: prospect(0.0, 50.0),
+            estimate: estimate(0.0, 50.0),
             sent: true,
         },
         Case {
             name: "short, just in time",
-            prospect: prospect(540.0, 50.0),
+            estimate: estimate(540.0, 50.0),
             sent: true,
         },
         Case {
             name: "short, late",
-            prospect: prospect(650.0, 50.0),
+            estimate: estimate(650.0, 50.0),
             sent: false,
         },
         Case {
             name: "long, idle",
-            prospect: prospect(0.0, 900.0),
+            estimate: estimate(0.0, 900.0),
             sent: true,
         },
         Case {
             name: "long, busy",
-            prospect: prospect(1_200.0, 900.0),
+            estimate: estimate(1_200.0, 900.0),
             sent: true,
         },
         Case {
             name: "long, too late for its caller",
-            prospect: prospect(2_000.0, 900.0),
+            estimate: estimate(2_000.0, 900.0),
             sent: false,
         },
     ];
     for c in cases {
-        match judge(&c.prospect) {
-            Verdict::Send => assert!(c.sent, "{}", c.name),
-            Verdict::Refuse(over) => assert!(!c.sent && over > 0.0, "{}", c.name),
+        match decide(&c.estimate) {
+            Decision::Send => assert!(c.sent, "{}", c.name),
+            Decision::Refuse(over) => assert!(!c.sent && over > 0.0, "{}", c.name),
         }
     }
 }
@@ -277,13 +279,13 @@
         let mut good = 0;
         for _ in 0..200 {
             queue = (queue - 50.0).max(0.0);
-            let prospect = Prospect {
+            let estimate = Estimate {
                 wait: queue,
-                own,
-                aim,
-                left,
+                prefill: own,
+                latency_goal: aim,
+                time_left: left,
             };
-            if refuse && judge(&prospect) != Verdict::Send {
+            if refuse && decide(&estimate) != Decision::Send {
                 continue;
             }
             good += usize::from(queue + own <= aim);
@@ -423,26 +425,26 @@
     let short = |n: u64| 600 + (n % 2) as u32;
     #[rustfmt::skip]
     let cases = [
-        Case { name: "nothing seen", speed: 75.0, tokens: mixed, prompts: 0, want: GUESS, within: 0.0 },
+        Case { name: "nothing seen", speed: 75.0, tokens: mixed, prompts: 0, want: INITIAL_MS_PER_TOKEN, within: 0.0 },
         Case { name: "slow", speed: 10.0, tokens: mixed, prompts: 300, want: 1.0 / 10.0, within: 0.15 },
         Case { name: "middling", speed: 75.0, tokens: mixed, prompts: 300, want: 1.0 / 75.0, within: 0.15 },
         Case { name: "fast", speed: 300.0, tokens: mixed, prompts: 300, want: 1.0 / 300.0, within: 0.5 },
-        Case { name: "all alike, which tells nothing", speed: 75.0, tokens: short, prompts: 300, want: GUESS, within: 0.02 },
+        Case { name: "all alike, which tells nothing", speed: 75.0, tokens: short, prompts: 300, want: INITIAL_MS_PER_TOKEN, within: 0.02 },
     ];
     for c in cases {
-        let mut pace = Pace::default();
+        let mut prefill_rate = PrefillRate::default();
         for n in 0..c.prompts {
             let tokens = (c.tokens)(n);
             // Each first token takes 70 ms and some chance beside what is read.
             let chance = (n * 31 % 17) as f64;
-            pace.add(tokens, 70.0 + chance + f64::from(tokens) / c.speed);
+            prefill_rate.record(tokens, 70.0 + chance + f64::from(tokens) / c.speed);
         }
-        let off = (pace.read() - c.want).abs() / c.want;
+        let off = (prefill_rate.ms_per_token() - c.want).abs() / c.want;
         assert!(
             off <= c.within + 1e-9,
             "{}: {} for {}",
             c.name,
-            pace.read(),
+            prefill_rate.ms_per_token(),
             c.want
         );
     }
--- a/crates/policy/tests/traces.rs
+++ b/crates/policy/tests/traces.rs
@@ -1,4 +1,4 @@
-//! The traces of both users against their stated outcomes, in virtual time.
+//! Replays of the traces of both users against their required outcomes, in virtual time.
 
 #[path = "../examples/replay/sim/mod.rs"]
 mod sim;
@@ -25,7 +25,7 @@
     hit_of_oracle: f64,
 }
 
-/// The file beside a trace.
+/// Contents of the outcome file beside a trace.
 #[derive(Deserialize)]
 struct Outcome {
     workload: String,
@@ -35,8 +35,8 @@
     goodput_200_of_100: f64,
 }
 
-/// Each bound is on the mean of runs at loads near to the stated one: near full load, one replay
-/// differs by a tenth from the next at a hardly different speed.
+/// Multiples of a stated load over whose replays each bound is averaged: near full load, single
+/// replays differ by a tenth at hardly different speeds.
 const NEAR: [f64; 5] = [0.94, 0.97, 1.0, 1.03, 1.06];
 
 const BASELINES: [Policy; 3] = [
@@ -89,15 +89,19 @@
     }
 
     let ours = at(Policy::Ours, 0.9);
-    let plain = BASELINES.map(|policy| at(policy, 0.9));
+    let baselines = BASELINES.map(|policy| at(policy, 0.9));
     let oracle = at(Policy::Oracle, 0.9);
     let ratios = &outcome.at_90;
     assert!(
-        ours.wasted <= ratios.wasted_of_least_loaded * plain[1].wasted,
+        ours.wasted <= ratios.wasted_of_least_loaded * baselines[1].wasted,
         "{name}"
     );
     assert!(ours.hit >= ratios.hit_of_oracle * oracle.hit, "{name}");
-    let best = plain.iter().map(|r| r.classes[0].p99_ms).min().unwrap_or(0);
+    let best = baselines
+        .iter()
+        .map(|r| r.classes[0].p99_ms)
+        .min()
+        .unwrap_or(0);
     let p99 = ours.classes[0].p99_ms as f64;
     assert!(
         p99 <= ratios.call_p99_of_best * best as f64,
@@ -131,9 +135,9 @@
     );
 }
 
-/// A trace can be drawn again from its seed, so that a longer one like it can be had.
+/// A trace can be regenerated from its seed, so that a longer one like it can be made.
 #[test]
-fn the_traces_come_from_the_generator() {
+fn traces_match_their_generator() {
     let texts = [
         include_str!("../../../traces/association.jsonl"),
         include_str!("../../../traces/alpen.jsonl"),
@@ -150,8 +154,8 @@
     }
 }
 
-/// A crash, a slow replica or a restart of all entries in the middle of a trace costs little and loses only what
-/// may not be sent again.
+/// A crash, a slow replica or a restart of all entries in the middle of a trace must cost little and
+/// lose only requests that may not be retried.
 #[test]
 fn faults_cost_little() {
     let trace = parse(include_str!("../../../traces/alpen.jsonl")).expect("the trace can be read");
@@ -164,17 +168,21 @@
         };
         run(&setup, &trace)
     };
-    let half = model::Micros::from_secs(60);
-    let calm = at(vec![]);
+    let midpoint = model::Micros::from_secs(60);
+    let undisturbed = at(vec![]);
     let slow = Fault::Slow {
         replica: 1,
         factor: 5.0,
     };
     for fault in [Fault::Crash { replica: 1 }, Fault::Entries, slow] {
-        let hurt = at(vec![(half, fault)]);
-        assert!(hurt.hit > 0.93 * calm.hit, "{fault:?}: {}", json(&hurt));
-        assert!(hurt.quick_calls > 0.85, "{fault:?}: {}", json(&hurt));
-        let lost: u32 = hurt.classes.iter().map(|c| c.lost).sum();
-        assert!(lost <= 4, "{fault:?}: {}", json(&hurt));
+        let faulty = at(vec![(midpoint, fault)]);
+        assert!(
+            faulty.hit > 0.93 * undisturbed.hit,
+            "{fault:?}: {}",
+            json(&faulty)
+        );
+        assert!(faulty.quick_calls > 0.85, "{fault:?}: {}", json(&faulty));
+        let lost: u32 = faulty.classes.iter().map(|c| c.lost).sum();
+        assert!(lost <= 4, "{fault:?}: {}", json(&faulty));
     }
 }
