--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -42,7 +42,7 @@
 impl Problem {
     /// A problem found before anything was sent on.
     pub fn unsent(code: Code, message: impl Into<String>) -> Self {
-        let retry = code.comes_back().then_some(Micros::from_secs(1));
+        let retry = code.is_retryable().then_some(Micros::from_secs(1));
         Self {
             code,
             outcome: Outcome::NotRun,
--- a/crates/model/src/code.rs
+++ b/crates/model/src/code.rs
@@ -110,7 +110,7 @@
     }
 
     /// Whether the same request may be answered if it comes back later.
-    pub const fn comes_back(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(
             self,
             Self::Limited
