--- a/crates/daemon/src/entry/pick.rs
+++ b/crates/daemon/src/entry/pick.rs
@@ -154,7 +154,9 @@
 pub(super) fn delay(view: &View, target: TargetKey) -> Micros {
     let w = &view.world;
     let host = w.targets.get(target).and_then(|t| w.hosts.get(t.host));
-    host.map_or(model::world::FAR, |h| w.link(view.domain, h.domain).delay)
+    host.map_or(model::world::DELAY_BETWEEN_REGIONS, |h| {
+        w.link(view.domain, h.domain).delay
+    })
 }
 
 /// A refusal before any attempt.
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -121,20 +121,20 @@
 }
 
 /// Assumed one-way delay within a failure domain.
-pub const NEAR: Micros = Micros(100);
+pub const DELAY_IN_DOMAIN: Micros = Micros(100);
 /// Assumed one-way delay between failure domains of a region.
-pub const REGION: Micros = Micros(1_000);
+pub const DELAY_IN_REGION: Micros = Micros(1_000);
 /// Assumed one-way delay between regions.
-pub const FAR: Micros = Micros(15_000);
+pub const DELAY_BETWEEN_REGIONS: Micros = Micros(15_000);
 
 impl World {
     /// The link between two failure domains.
     pub fn link(&self, a: DomainKey, b: DomainKey) -> Link {
         let region = |d| self.domains.get(d).map(|d: &Domain| d.region);
         let delay = match (region(a), region(b)) {
-            _ if a == b => NEAR,
-            (Some(x), Some(y)) if x == y => REGION,
-            _ => FAR,
+            _ if a == b => DELAY_IN_DOMAIN,
+            (Some(x), Some(y)) if x == y => DELAY_IN_REGION,
+            _ => DELAY_BETWEEN_REGIONS,
         };
         Link { delay }
     }
