--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -5,30 +5,30 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest request id a caller may choose, in bytes.
+/// Maximum length of a request id chosen by a caller, in bytes.
 pub const ID_MAX: usize = 128;
 
-/// A caller's request, the same in every process and attempt that serves it.
+/// Identifies a caller's request in every process and in every attempt to serve it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(String);
 
-/// Why a text can't be a request id.
+/// Why a string is not a valid request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BadId {
-    /// Nothing in it.
+    /// The string is empty.
     #[error("a request id can't be empty")]
     Empty,
-    /// More than [`ID_MAX`] bytes.
-    #[error("a request id has at most {ID_MAX} bytes")]
+    /// The string is longer than [`ID_MAX`] bytes.
+    #[error("a request id can't be longer than {ID_MAX} bytes")]
     Long,
-    /// A byte that would break logs or headers.
-    #[error("a request id holds only visible ASCII characters")]
+    /// The string has a byte that is unsafe in logs or headers.
+    #[error("a request id can only contain visible ASCII characters")]
     Char,
 }
 
 impl RequestId {
-    /// Takes a caller's text, if it is safe in headers and logs.
+    /// Validates an id chosen by a caller: it must be safe in headers and logs.
     pub fn new(text: impl Into<String>) -> Result<Self, BadId> {
         let text = text.into();
         match text.len() {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Makes an id from 128 random bits.
+    /// Creates an id from 128 random bits.
     pub fn from_bits(bits: u128) -> Self {
         Self(format!("{bits:032x}"))
     }
@@ -56,7 +56,7 @@
     }
 }
 
-macro_rules! number {
+macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
         #[derive(
@@ -74,23 +74,23 @@
     };
 }
 
-number! {
-    /// One try at a request; later tries have higher numbers.
+numeric_id! {
+    /// Number of an attempt to serve a request; later attempts have higher numbers.
     Attempt(u32)
 }
-number! {
-    /// A process of the system, drawn at random when it starts.
+numeric_id! {
+    /// Identifies a process of the system; drawn at random when the process starts.
     MemberId(u64)
 }
-number! {
-    /// A life of a process or engine; a later life has a higher number.
+numeric_id! {
+    /// Incarnation of a process or engine: each restart has a higher number.
     Incarnation(u64)
 }
-number! {
-    /// A version of the configuration; an accepted change raises it by one.
+numeric_id! {
+    /// Version of the configuration; each accepted change raises it by one.
     Version(u64)
 }
-number! {
-    /// A cache block together with all that precedes it in its prompt.
+numeric_id! {
+    /// Hash of a cache block and of all blocks before it in the prompt.
     BlockHash(u64)
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! The world the router works in: places, teams, pools, targets and requests.
+//! Domain model of the router: hosts and their failure domains, teams, pools, targets, requests.
 //!
-//! Every other package speaks in these types. Nothing here does input or output, reads a clock
-//! or draws a random number. Objects live in the arenas of [`World`] and refer to one another by
-//! small `Copy` keys, so that a snapshot of the world is cheap to share between threads.
+//! All other crates share these types. Nothing here does I/O, reads a clock or uses random
+//! numbers. Objects live in the arenas of [`World`] and refer to one another by small `Copy`
+//! keys, so that a snapshot is cheap to share between threads.
 
 pub mod code;
 pub mod ids;
--- a/crates/model/src/position.rs
+++ b/crates/model/src/position.rs
@@ -1,20 +1,21 @@
-//! Positions in the platform's store.
+//! Positions in the version history of the platform's store.
 
 use std::fmt;
 
-/// A version in one era of the store.
+/// A version of the store, qualified by its era.
 ///
-/// A store that is restored from a copy gives versions out again, in an era that is higher by one.
+/// A store restored from a backup assigns the same version numbers again. Each restore raises the
+/// era by one, so that positions from before and after it can be told apart and ordered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// The era.
+    /// Era of the store; each restore from a backup raises it by one.
     pub era: u64,
-    /// The version.
+    /// Version number within the era.
     pub version: u64,
 }
 
 impl Position {
-    /// A version in an era.
+    /// Creates a position.
     pub const fn new(era: u64, version: u64) -> Self {
         Self { era, version }
     }
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -1,4 +1,4 @@
-//! What the rules say of a request's urgency.
+//! Urgency classes, assigned to requests by the routing rules.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,41 +6,41 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// How urgent a request is; earlier variants are served first.
+/// Urgency of a request; earlier variants are served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// A person waits on the line or at the roadside.
+    /// A person is waiting for the answer, on the phone or at the roadside.
     Call,
-    /// A person will look at the answer soon.
+    /// A person will read the answer soon.
     #[default]
     Normal,
-    /// Nobody waits.
+    /// No person is waiting for the answer.
     Batch,
 }
 
-/// A text that names no class.
+/// Error for a string that is not the name of a class.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is no class; known are `call`, `normal` and `batch`")]
+#[error("unknown class `{0}`; expected `call`, `normal` or `batch`")]
 pub struct UnknownClass(pub String);
 
 impl Class {
     /// All classes, the most urgent first.
     pub const ALL: [Self; 3] = [Self::Call, Self::Normal, Self::Batch];
 
-    /// Position in [`Class::ALL`].
+    /// Index of the class in [`Class::ALL`].
     pub const fn index(self) -> usize {
         self as usize
     }
 
-    /// The class at a position of [`Class::ALL`]; the least urgent if there is none.
+    /// The class at an index of [`Class::ALL`]; the least urgent class if it is out of range.
     pub fn from_index(i: usize) -> Self {
         Self::ALL.get(i).copied().unwrap_or(Self::Batch)
     }
 
-    /// The name used in rules, metrics and logs.
+    /// Name of the class in rules, metrics and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Call => "call",
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,11 +1,11 @@
-//! Time as decision code sees it: microseconds on some monotonic clock, handed in by the caller.
+//! Time for code that makes decisions: microseconds on a monotonic clock that the caller reads.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A point on a monotonic clock, or a span of it, in microseconds.
+/// A point on a monotonic clock, or a duration, in microseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,32 +13,32 @@
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// The clock's origin, or an empty span.
+    /// The clock's origin, or a duration of zero.
     pub const ZERO: Self = Self(0);
-    /// Later than any point in use.
+    /// Later than any time in use.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// A span of whole milliseconds.
+    /// A duration in milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms.saturating_mul(1_000))
     }
 
-    /// A span of whole seconds.
+    /// A duration in seconds.
     pub const fn from_secs(s: u64) -> Self {
         Self(s.saturating_mul(1_000_000))
     }
 
-    /// Whole milliseconds, rounded down.
+    /// Milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Seconds as a fraction, for rates.
+    /// Seconds as a floating-point number, for rates.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The span from `earlier` to `self`; empty if `earlier` lies ahead.
+    /// The duration from `earlier` to `self`; zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,7 +1,7 @@
-//! Places and the things in them, held in arenas and named by typed keys.
+//! Regions, failure domains, hosts, teams, pools and targets, held in arenas with typed keys.
 //!
-//! The platform's machines are hosts, its zones failure domains, its customers teams and its back
-//! ends targets; `docs/GLOSSARY.md` maps these words to the usual ones.
+//! A host is a machine of the platform, a failure domain a zone, a team a customer and a target a
+//! back end; `docs/GLOSSARY.md` maps these words to the usual ones.
 
 use std::net::SocketAddr;
 
@@ -11,99 +11,100 @@
 use crate::time::Micros;
 
 new_key_type! {
-    /// Names a region.
+    /// Key of a [`Region`].
     pub struct RegionKey;
-    /// Names a failure domain.
+    /// Key of a [`Domain`].
     pub struct DomainKey;
-    /// Names a host.
+    /// Key of a [`Host`].
     pub struct HostKey;
-    /// Names a team.
+    /// Key of a [`Team`].
     pub struct TeamKey;
-    /// Names a pool.
+    /// Key of a [`Pool`].
     pub struct PoolKey;
-    /// Names a target.
+    /// Key of a [`Target`].
     pub struct TargetKey;
 }
 
-/// Failure domains near one another.
+/// A group of failure domains with low network latency between them.
 #[derive(Clone, Debug)]
 pub struct Region {
     /// Name in settings.
     pub name: String,
 }
 
-/// Hosts that fail together.
+/// A failure domain: hosts that may fail together.
 #[derive(Clone, Debug)]
 pub struct Domain {
     /// Name in settings.
     pub name: String,
-    /// Where it lies.
+    /// Region that contains the failure domain.
     pub region: RegionKey,
 }
 
-/// A machine with its slot for one of our processes.
+/// A machine of the platform with a slot for one process of this system.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Address at the platform.
+    /// Address by which the platform identifies the host.
     pub name: String,
-    /// Where it stands.
+    /// Failure domain that contains the host.
     pub domain: DomainKey,
-    /// Whether the platform has announced that it goes.
+    /// Whether the platform has announced that it will remove the host.
     pub leaving: bool,
 }
 
-/// A customer whose requests are counted and kept together.
+/// A customer; requests are accounted and grouped by team.
 #[derive(Clone, Debug)]
 pub struct Team {
     /// Name in the configuration.
     pub name: String,
 }
 
-/// What stands behind a pool.
+/// The type of service that a pool's targets run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// Model engines with a prefix cache.
     Model,
-    /// Plain services.
+    /// Services without a prefix cache.
     Plain,
 }
 
-/// Targets that can stand in for one another.
+/// A group of interchangeable targets.
 #[derive(Clone, Debug)]
 pub struct Pool {
     /// Name in the configuration.
     pub name: String,
-    /// What stands behind it.
+    /// The type of service that its targets run.
     pub kind: Kind,
 }
 
-/// One replica, reached through the sidecar beside it.
+/// One replica of a service, reached through the sidecar on its host.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The pool it serves.
+    /// Pool that the target belongs to.
     pub pool: PoolKey,
-    /// The host it runs on.
+    /// Host that the target runs on.
     pub host: HostKey,
-    /// The sidecar beside it.
+    /// Process id of the target's sidecar.
     pub member: MemberId,
-    /// The life of the sidecar.
+    /// Incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// The same for this target at every entry and over restarts, for rendezvous hashing.
+    /// Input to rendezvous hashing; the same at every entry and across restarts.
     pub rank: u64,
-    /// Where the sidecar answers probes.
+    /// Address at which the sidecar answers probes.
     pub probe: SocketAddr,
-    /// Where the sidecar takes exchanges.
+    /// Address at which the sidecar accepts exchanges.
     pub exchange: SocketAddr,
 }
 
-/// The way between two failure domains.
+/// The network path between two failure domains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Link {
-    /// One way, in either direction.
+    /// One-way delay, the same in both directions.
     pub delay: Micros,
 }
 
-/// All that is known of the places and what stands in them.
+/// Everything known about the deployment: its regions, failure domains, hosts, teams, pools and
+/// targets.
 #[derive(Clone, Debug, Default)]
 pub struct World {
     /// Regions.
@@ -128,7 +129,7 @@
 pub const DELAY_BETWEEN_REGIONS: Micros = Micros(15_000);
 
 impl World {
-    /// The link between two failure domains.
+    /// The network path between two failure domains.
     pub fn link(&self, a: DomainKey, b: DomainKey) -> Link {
         let region = |d| self.domains.get(d).map(|d: &Domain| d.region);
         let delay = match (region(a), region(b)) {
@@ -139,18 +140,19 @@
         Link { delay }
     }
 
-    /// The targets of a pool that take new work, in key order.
+    /// The targets of a pool that may get new requests, in key order.
     ///
-    /// Those of leaving hosts are left out, as what they begin may be cut off with the host; if
-    /// all hosts leave, they are better than nothing.
+    /// Targets on leaving hosts are excluded, since a request may be cut off when the host is
+    /// removed. If all hosts of the pool are leaving, their targets are used: refusing every
+    /// request would be worse.
     pub fn pool_targets(&self, pool: PoolKey) -> impl Iterator<Item = (TargetKey, &Target)> {
         let all = move || self.targets.iter().filter(move |(_, t)| t.pool == pool);
-        let stays = |t: &Target| self.hosts.get(t.host).is_none_or(|h| !h.leaving);
-        let some = all().any(|(_, t)| stays(t));
-        all().filter(move |(_, t)| !some || stays(t))
+        let remains = |t: &Target| self.hosts.get(t.host).is_none_or(|h| !h.leaving);
+        let any_remains = all().any(|(_, t)| remains(t));
+        all().filter(move |(_, t)| !any_remains || remains(t))
     }
 
-    /// The pool with this name.
+    /// Looks up a pool by name.
     pub fn pool(&self, name: impl AsRef<str>) -> Option<PoolKey> {
         let name = name.as_ref();
         self.pools
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -1,8 +1,8 @@
-//! Which targets of a pool take new work.
+//! Selection of the targets of a pool that get new requests.
 
 use model::{Domain, Host, Incarnation, Kind, MemberId, Pool, Region, Target, World};
 
-/// A world with a pool of one target a host.
+/// A pool with one target on each host; `leaving` has an entry for each host.
 fn world(leaving: &[bool]) -> (World, model::PoolKey) {
     let mut w = World::default();
     let region = w.regions.insert(Region {
@@ -36,25 +36,25 @@
     (w, pool)
 }
 
-/// The platform takes hosts away. What is begun there is cut; but if all hosts of a pool go, or
-/// the list is wrong, refusing everything would be worse.
+/// Guards against requests that are cut off because they were started on a leaving host, and
+/// against refusing every request when all hosts of a pool are leaving or are listed so wrongly.
 #[test]
-fn leaving_hosts_take_new_work_only_if_no_other_does() {
+fn leaving_hosts_get_new_requests_only_if_no_other_host_is_available() {
     struct Case {
         what: &'static str,
         leaving: &'static [bool],
-        takes: &'static [u64],
+        selected: &'static [u64],
     }
     #[rustfmt::skip]
     let cases = [
-        Case { what: "none leaves", leaving: &[false, false], takes: &[0, 1] },
-        Case { what: "one leaves", leaving: &[true, false, false], takes: &[1, 2] },
-        Case { what: "all leave", leaving: &[true, true], takes: &[0, 1] },
-        Case { what: "there is none", leaving: &[], takes: &[] },
+        Case { what: "no host is leaving", leaving: &[false, false], selected: &[0, 1] },
+        Case { what: "one host is leaving", leaving: &[true, false, false], selected: &[1, 2] },
+        Case { what: "all hosts are leaving", leaving: &[true, true], selected: &[0, 1] },
+        Case { what: "the pool is empty", leaving: &[], selected: &[] },
     ];
     for c in cases {
         let (world, pool) = world(c.leaving);
-        let takes: Vec<u64> = world.pool_targets(pool).map(|(_, t)| t.rank).collect();
-        assert_eq!(takes, c.takes, "{}", c.what);
+        let selected: Vec<u64> = world.pool_targets(pool).map(|(_, t)| t.rank).collect();
+        assert_eq!(selected, c.selected, "{}", c.what);
     }
 }
