--- a/crates/exchange/src/relay.rs
+++ b/crates/exchange/src/relay.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use model::{Code, Micros, Outcome};
 
-use crate::life::{Failed, NotRun};
+use crate::state::{Failed, NotRun};
 use crate::retain::LIMIT;
 
 /// Resumptions in a row without a new byte before the sidecar counts as lost. The first comes at
