--- a/crates/daemon/src/sidecar/serve.rs
+++ b/crates/daemon/src/sidecar/serve.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use exchange::{Exchange, Meant, NotRun, Registry, RetainError, Seen, Token};
+use exchange::{Exchange, IncarnationMatch, NotRun, Registry, RetainError, Seen, Token};
 use model::{Code, Micros};
 use tokio::time::{interval, timeout};
 use wire::{Accepted, Beat, Body, Fail, Open, Resume, Rx, Tx, WireError};
@@ -49,7 +49,7 @@
 }
 
 async fn open(cx: &Arc<Context>, o: Open, tx: &mut Tx, rx: &mut Rx) -> Result<(), WireError> {
-    let meant = Meant::of(o.incarnation, cx.life);
+    let meant = IncarnationMatch::compare(o.incarnation, cx.life);
     let token = Token(o.token.clone());
     let live = Live::new(!o.key.is_empty());
     let fresh = || Arc::clone(&live);
@@ -69,7 +69,7 @@
 }
 
 async fn resume(cx: &Arc<Context>, r: Resume, tx: &mut Tx, rx: &mut Rx) -> Result<(), WireError> {
-    let meant = Meant::of(r.incarnation, cx.life);
+    let meant = IncarnationMatch::compare(r.incarnation, cx.life);
     let token = Token(r.token);
     let now = clock::now();
     let seen = cx.exchanges.lock().resume(now, meant, token.clone());
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -13,6 +13,6 @@
 pub mod retain;
 
 pub use state::{Done, Exchange, Failed, Handed, NotRun, Queued};
-pub use registry::{Meant, Registry, Seen, Token};
+pub use registry::{IncarnationMatch, Registry, Seen, Token};
 pub use relay::{Action, Event, Failure, Owner, Relay};
 pub use retain::{Retain, RetainError};
--- a/crates/exchange/src/registry.rs
+++ b/crates/exchange/src/registry.rs
@@ -22,21 +22,21 @@
 
 /// Which life of a sidecar an entry means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meant {
+pub enum IncarnationMatch {
     /// This one.
-    This,
+    Current,
     /// An earlier one, or one at the same address on another host.
     Other,
     /// The entry wasn't told of any when it opened the exchange.
     Unknown,
 }
 
-impl Meant {
+impl IncarnationMatch {
     /// What the number in a frame means to a sidecar; 0 says nothing.
-    pub fn of(life: u64, mine: u64) -> Self {
+    pub fn compare(life: u64, mine: u64) -> Self {
         match life {
             0 => Self::Unknown,
-            l if l == mine => Self::This,
+            l if l == mine => Self::Current,
             _ => Self::Other,
         }
     }
@@ -77,9 +77,9 @@
 
 impl<T: Clone> Registry<T> {
     /// A request arrives; it is kept if its token is fresh.
-    pub fn open(&mut self, meant: Meant, token: Token, make: impl FnOnce() -> T) -> Seen<T> {
+    pub fn open(&mut self, meant: IncarnationMatch, token: Token, make: impl FnOnce() -> T) -> Seen<T> {
         match self.live.get(&token) {
-            _ if meant == Meant::Other => Seen::Other,
+            _ if meant == IncarnationMatch::Other => Seen::Other,
             Some(t) => Seen::Live(t.clone()),
             None if self.void.contains_key(&token) => Seen::Void,
             None if self.over.contains_key(&token) => Seen::Over,
@@ -95,15 +95,15 @@
     /// An entry that doesn't know whose life it means may have opened it in an earlier one. What
     /// is here is its own, since no two exchanges share a token; of what isn't nobody knows
     /// whether it ran.
-    pub fn resume(&mut self, now: Micros, meant: Meant, token: Token) -> Seen<T> {
+    pub fn resume(&mut self, now: Micros, meant: IncarnationMatch, token: Token) -> Seen<T> {
         match (meant, self.live.get(&token)) {
-            (Meant::Other, _) => return Seen::Over,
+            (IncarnationMatch::Other, _) => return Seen::Over,
             (_, Some(t)) => return Seen::Live(t.clone()),
             _ if self.over.contains_key(&token) => return Seen::Over,
             _ => self.void.insert(token, now + VOID_LIFE),
         };
         match meant {
-            Meant::This => Seen::Void,
+            IncarnationMatch::Current => Seen::Void,
             _ => Seen::Over,
         }
     }
--- a/crates/exchange/tests/common/sidecar.rs
+++ b/crates/exchange/tests/common/sidecar.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use exchange::{Exchange, Meant, Owner, Queued, Retain, RetainError, Seen, Token};
+use exchange::{Exchange, IncarnationMatch, Owner, Queued, Retain, RetainError, Seen, Token};
 use model::Code;
 
 use super::{Carry, Down, Run, State, Up, World};
@@ -25,7 +25,7 @@
         match frame {
             Up::Open(who, token, life, skip) => {
                 let fresh = self.runs.len();
-                let meant = Meant::of(life, mine);
+                let meant = IncarnationMatch::compare(life, mine);
                 let registry = &mut self.sides[side].registry;
                 match registry.open(meant, token.clone(), || fresh) {
                     Seen::Fresh => {
@@ -39,7 +39,7 @@
                 }
             }
             Up::Resume(token, next, life) => {
-                let meant = Meant::of(life, mine);
+                let meant = IncarnationMatch::compare(life, mine);
                 match self.sides[side].registry.resume(self.now, meant, token) {
                     Seen::Live(run) => {
                         self.runs[run].retain.confirm(next);
--- a/crates/exchange/tests/tables.rs
+++ b/crates/exchange/tests/tables.rs
@@ -6,7 +6,7 @@
 use exchange::relay::RESUMES;
 use exchange::retain::LIMIT;
 use exchange::{
-    Action, Event, Exchange, Meant, NotRun, Owner, Registry, Relay, Retain, RetainError, Seen,
+    Action, Event, Exchange, IncarnationMatch, NotRun, Owner, Registry, Relay, Retain, RetainError, Seen,
     Token,
 };
 use model::{Code, Micros, Outcome};
@@ -16,8 +16,8 @@
 /// One call on a registry.
 #[derive(Clone, Copy, Debug)]
 enum Call {
-    Open(Meant),
-    Resume(Meant),
+    Open(IncarnationMatch),
+    Resume(IncarnationMatch),
     Close {
         ran: bool,
     },
@@ -31,7 +31,7 @@
 #[test]
 fn marks_of_a_registry() {
     use Call::{Close, Open, Resume, Wait};
-    use Meant::{Other, This, Unknown};
+    use IncarnationMatch::{Other, Current, Unknown};
     struct Case {
         what: &'static str,
         calls: &'static [Call],
@@ -40,21 +40,21 @@
     const SHORT: Micros = Micros(VOID_LIFE.0 - 1);
     #[rustfmt::skip]
     let cases = [
-        Case { what: "new", calls: &[Open(This)], seen: Seen::Fresh },
-        Case { what: "sent twice", calls: &[Open(This), Open(This)], seen: Seen::Live(1) },
-        Case { what: "resumed", calls: &[Open(This), Resume(This)], seen: Seen::Live(1) },
-        Case { what: "never arrived", calls: &[Resume(This)], seen: Seen::Void },
-        Case { what: "arrives late", calls: &[Resume(This), Open(This)], seen: Seen::Void },
-        Case { what: "arrives very late", calls: &[Resume(This), Wait(SHORT), Open(This)], seen: Seen::Void },
-        Case { what: "mark renewed", calls: &[Resume(This), Wait(SHORT), Resume(This), Wait(SHORT), Open(This)], seen: Seen::Void },
-        Case { what: "mark outlived", calls: &[Resume(This), Wait(VOID_LIFE), Open(This)], seen: Seen::Fresh },
-        Case { what: "refused, asked again", calls: &[Open(This), Close { ran: false }, Resume(This)], seen: Seen::Void },
-        Case { what: "refused, sent again", calls: &[Open(This), Close { ran: false }, Open(This)], seen: Seen::Void },
-        Case { what: "ran, asked again", calls: &[Open(This), Close { ran: true }, Resume(This)], seen: Seen::Over },
-        Case { what: "ran, sent again", calls: &[Open(This), Close { ran: true }, Open(This)], seen: Seen::Over },
-        Case { what: "ran, asked late", calls: &[Open(This), Close { ran: true }, Wait(SHORT), Resume(This)], seen: Seen::Over },
+        Case { what: "new", calls: &[Open(Current)], seen: Seen::Fresh },
+        Case { what: "sent twice", calls: &[Open(Current), Open(Current)], seen: Seen::Live(1) },
+        Case { what: "resumed", calls: &[Open(Current), Resume(Current)], seen: Seen::Live(1) },
+        Case { what: "never arrived", calls: &[Resume(Current)], seen: Seen::Void },
+        Case { what: "arrives late", calls: &[Resume(Current), Open(Current)], seen: Seen::Void },
+        Case { what: "arrives very late", calls: &[Resume(Current), Wait(SHORT), Open(Current)], seen: Seen::Void },
+        Case { what: "mark renewed", calls: &[Resume(Current), Wait(SHORT), Resume(Current), Wait(SHORT), Open(Current)], seen: Seen::Void },
+        Case { what: "mark outlived", calls: &[Resume(Current), Wait(VOID_LIFE), Open(Current)], seen: Seen::Fresh },
+        Case { what: "refused, asked again", calls: &[Open(Current), Close { ran: false }, Resume(Current)], seen: Seen::Void },
+        Case { what: "refused, sent again", calls: &[Open(Current), Close { ran: false }, Open(Current)], seen: Seen::Void },
+        Case { what: "ran, asked again", calls: &[Open(Current), Close { ran: true }, Resume(Current)], seen: Seen::Over },
+        Case { what: "ran, sent again", calls: &[Open(Current), Close { ran: true }, Open(Current)], seen: Seen::Over },
+        Case { what: "ran, asked late", calls: &[Open(Current), Close { ran: true }, Wait(SHORT), Resume(Current)], seen: Seen::Over },
         Case { what: "earlier life, open", calls: &[Open(Other)], seen: Seen::Other },
-        Case { what: "earlier life, then this", calls: &[Open(Other), Open(This)], seen: Seen::Fresh },
+        Case { what: "earlier life, then this", calls: &[Open(Other), Open(Current)], seen: Seen::Fresh },
         Case { what: "earlier life, resume", calls: &[Resume(Other)], seen: Seen::Over },
         Case { what: "unknown life, here", calls: &[Open(Unknown), Resume(Unknown)], seen: Seen::Live(1) },
         Case { what: "unknown life, not here", calls: &[Resume(Unknown)], seen: Seen::Over },
