--- a/crates/daemon/src/sidecar/serve.rs
+++ b/crates/daemon/src/sidecar/serve.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use exchange::{Exchange, IncarnationMatch, NotRun, Registry, RetainError, Seen, Token};
+use exchange::{Exchange, IncarnationMatch, Lookup, NotRun, Registry, RetainError, Token};
 use model::{Code, Micros};
 use tokio::time::{interval, timeout};
 use wire::{Accepted, Beat, Body, Fail, Open, Resume, Rx, Tx, WireError};
@@ -55,15 +55,15 @@
     let fresh = || Arc::clone(&live);
     let seen = cx.exchanges.lock().open(meant, token.clone(), fresh);
     let live = match seen {
-        Seen::Fresh => {
+        Lookup::New => {
             tokio::spawn(lifetime(Arc::clone(cx), o, Arc::clone(&live)));
             live
         }
-        Seen::Live(l) => l,
-        Seen::Void => return refused(tx, Code::Cancelled).await,
+        Lookup::Active(l) => l,
+        Lookup::Voided => return refused(tx, Code::Cancelled).await,
         // This life has never seen it.
-        Seen::Other => return refused(tx, Code::NoTarget).await,
-        Seen::Over => return lost(tx).await,
+        Lookup::OtherIncarnation => return refused(tx, Code::NoTarget).await,
+        Lookup::Ended => return lost(tx).await,
     };
     carry(cx, &token, &live, 0, tx, rx).await
 }
@@ -74,13 +74,13 @@
     let now = clock::now();
     let seen = cx.exchanges.lock().resume(now, meant, token.clone());
     match seen {
-        Seen::Live(l) => {
+        Lookup::Active(l) => {
             // The broken connection may have held the confirmations that the source waits for.
             l.confirm(r.next);
             carry(cx, &token, &l, r.next, tx, rx).await
         }
-        Seen::Void | Seen::Fresh => refused(tx, Code::NoTarget).await,
-        Seen::Over | Seen::Other => lost(tx).await,
+        Lookup::Voided | Lookup::New => refused(tx, Code::NoTarget).await,
+        Lookup::Ended | Lookup::OtherIncarnation => lost(tx).await,
     }
 }
 
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -7,12 +7,12 @@
 //! stream's events.
 
 pub mod events;
-pub mod state;
 pub mod registry;
 pub mod relay;
 pub mod retain;
+pub mod state;
 
-pub use state::{Done, Exchange, Failed, Handed, NotRun, Queued};
-pub use registry::{IncarnationMatch, Registry, Seen, Token};
+pub use registry::{IncarnationMatch, Lookup, Registry, Token};
 pub use relay::{Action, Event, Failure, Owner, Relay};
 pub use retain::{Retain, RetainError};
+pub use state::{Done, Exchange, Failed, Handed, NotRun, Queued};
--- a/crates/exchange/src/registry.rs
+++ b/crates/exchange/src/registry.rs
@@ -44,17 +44,17 @@
 
 /// What is known of a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen<T> {
+pub enum Lookup<T> {
     /// Nothing until now.
-    Fresh,
+    New,
     /// It is here.
-    Live(T),
+    Active(T),
     /// It was asked for before it arrived, or ended without running, and won't run here.
-    Void,
+    Voided,
     /// It ran here and its answer is no longer kept, or it may have run in an earlier life.
-    Over,
+    Ended,
     /// It was meant for another life and is not begun in this one.
-    Other,
+    OtherIncarnation,
 }
 
 /// All exchanges of one life of a sidecar.
@@ -77,15 +77,20 @@
 
 impl<T: Clone> Registry<T> {
     /// A request arrives; it is kept if its token is fresh.
-    pub fn open(&mut self, meant: IncarnationMatch, token: Token, make: impl FnOnce() -> T) -> Seen<T> {
+    pub fn open(
+        &mut self,
+        meant: IncarnationMatch,
+        token: Token,
+        make: impl FnOnce() -> T,
+    ) -> Lookup<T> {
         match self.live.get(&token) {
-            _ if meant == IncarnationMatch::Other => Seen::Other,
-            Some(t) => Seen::Live(t.clone()),
-            None if self.void.contains_key(&token) => Seen::Void,
-            None if self.over.contains_key(&token) => Seen::Over,
+            _ if meant == IncarnationMatch::Other => Lookup::OtherIncarnation,
+            Some(t) => Lookup::Active(t.clone()),
+            None if self.void.contains_key(&token) => Lookup::Voided,
+            None if self.over.contains_key(&token) => Lookup::Ended,
             None => {
                 self.live.insert(token, make());
-                Seen::Fresh
+                Lookup::New
             }
         }
     }
@@ -95,16 +100,16 @@
     /// An entry that doesn't know whose life it means may have opened it in an earlier one. What
     /// is here is its own, since no two exchanges share a token; of what isn't nobody knows
     /// whether it ran.
-    pub fn resume(&mut self, now: Micros, meant: IncarnationMatch, token: Token) -> Seen<T> {
+    pub fn resume(&mut self, now: Micros, meant: IncarnationMatch, token: Token) -> Lookup<T> {
         match (meant, self.live.get(&token)) {
-            (IncarnationMatch::Other, _) => return Seen::Over,
-            (_, Some(t)) => return Seen::Live(t.clone()),
-            _ if self.over.contains_key(&token) => return Seen::Over,
+            (IncarnationMatch::Other, _) => return Lookup::Ended,
+            (_, Some(t)) => return Lookup::Active(t.clone()),
+            _ if self.over.contains_key(&token) => return Lookup::Ended,
             _ => self.void.insert(token, now + VOID_LIFE),
         };
         match meant {
-            IncarnationMatch::Current => Seen::Void,
-            _ => Seen::Over,
+            IncarnationMatch::Current => Lookup::Voided,
+            _ => Lookup::Ended,
         }
     }
 
--- a/crates/exchange/src/relay.rs
+++ b/crates/exchange/src/relay.rs
@@ -12,8 +12,8 @@
 use bytes::Bytes;
 use model::{Code, Micros, Outcome};
 
-use crate::state::{Failed, NotRun};
 use crate::retain::LIMIT;
+use crate::state::{Failed, NotRun};
 
 /// Resumptions in a row without a new byte before the sidecar counts as lost. The first comes at
 /// once, since the usual cause is one connection; the later ones span a restart of a switch port.
--- a/crates/exchange/tests/common/sidecar.rs
+++ b/crates/exchange/tests/common/sidecar.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use exchange::{Exchange, IncarnationMatch, Owner, Queued, Retain, RetainError, Seen, Token};
+use exchange::{Exchange, IncarnationMatch, Lookup, Owner, Queued, Retain, RetainError, Token};
 use model::Code;
 
 use super::{Carry, Down, Run, State, Up, World};
@@ -28,25 +28,25 @@
                 let meant = IncarnationMatch::compare(life, mine);
                 let registry = &mut self.sides[side].registry;
                 match registry.open(meant, token.clone(), || fresh) {
-                    Seen::Fresh => {
+                    Lookup::New => {
                         self.runs.push(self.arrived(side, who, token, skip));
                         self.carry(conn, fresh, 0);
                     }
-                    Seen::Live(run) => self.carry(conn, run, 0),
-                    Seen::Void => self.refuse(conn, Code::Cancelled),
-                    Seen::Other => self.refuse(conn, Code::NoTarget),
-                    Seen::Over => self.lost(conn),
+                    Lookup::Active(run) => self.carry(conn, run, 0),
+                    Lookup::Voided => self.refuse(conn, Code::Cancelled),
+                    Lookup::OtherIncarnation => self.refuse(conn, Code::NoTarget),
+                    Lookup::Ended => self.lost(conn),
                 }
             }
             Up::Resume(token, next, life) => {
                 let meant = IncarnationMatch::compare(life, mine);
                 match self.sides[side].registry.resume(self.now, meant, token) {
-                    Seen::Live(run) => {
+                    Lookup::Active(run) => {
                         self.runs[run].retain.confirm(next);
                         self.carry(conn, run, next);
                     }
-                    Seen::Void | Seen::Fresh => self.refuse(conn, Code::NoTarget),
-                    Seen::Over | Seen::Other => self.lost(conn),
+                    Lookup::Voided | Lookup::New => self.refuse(conn, Code::NoTarget),
+                    Lookup::Ended | Lookup::OtherIncarnation => self.lost(conn),
                 }
             }
             Up::Ack(n) => {
--- a/crates/exchange/tests/tables.rs
+++ b/crates/exchange/tests/tables.rs
@@ -6,8 +6,8 @@
 use exchange::relay::RESUMES;
 use exchange::retain::LIMIT;
 use exchange::{
-    Action, Event, Exchange, IncarnationMatch, NotRun, Owner, Registry, Relay, Retain, RetainError, Seen,
-    Token,
+    Action, Event, Exchange, IncarnationMatch, Lookup, NotRun, Owner, Registry, Relay, Retain,
+    RetainError, Token,
 };
 use model::{Code, Micros, Outcome};
 
@@ -31,39 +31,39 @@
 #[test]
 fn marks_of_a_registry() {
     use Call::{Close, Open, Resume, Wait};
-    use IncarnationMatch::{Other, Current, Unknown};
+    use IncarnationMatch::{Current, Other, Unknown};
     struct Case {
         what: &'static str,
         calls: &'static [Call],
-        seen: Seen<u8>,
+        seen: Lookup<u8>,
     }
     const SHORT: Micros = Micros(VOID_LIFE.0 - 1);
     #[rustfmt::skip]
     let cases = [
-        Case { what: "new", calls: &[Open(Current)], seen: Seen::Fresh },
-        Case { what: "sent twice", calls: &[Open(Current), Open(Current)], seen: Seen::Live(1) },
-        Case { what: "resumed", calls: &[Open(Current), Resume(Current)], seen: Seen::Live(1) },
-        Case { what: "never arrived", calls: &[Resume(Current)], seen: Seen::Void },
-        Case { what: "arrives late", calls: &[Resume(Current), Open(Current)], seen: Seen::Void },
-        Case { what: "arrives very late", calls: &[Resume(Current), Wait(SHORT), Open(Current)], seen: Seen::Void },
-        Case { what: "mark renewed", calls: &[Resume(Current), Wait(SHORT), Resume(Current), Wait(SHORT), Open(Current)], seen: Seen::Void },
-        Case { what: "mark outlived", calls: &[Resume(Current), Wait(VOID_LIFE), Open(Current)], seen: Seen::Fresh },
-        Case { what: "refused, asked again", calls: &[Open(Current), Close { ran: false }, Resume(Current)], seen: Seen::Void },
-        Case { what: "refused, sent again", calls: &[Open(Current), Close { ran: false }, Open(Current)], seen: Seen::Void },
-        Case { what: "ran, asked again", calls: &[Open(Current), Close { ran: true }, Resume(Current)], seen: Seen::Over },
-        Case { what: "ran, sent again", calls: &[Open(Current), Close { ran: true }, Open(Current)], seen: Seen::Over },
-        Case { what: "ran, asked late", calls: &[Open(Current), Close { ran: true }, Wait(SHORT), Resume(Current)], seen: Seen::Over },
-        Case { what: "earlier life, open", calls: &[Open(Other)], seen: Seen::Other },
-        Case { what: "earlier life, then this", calls: &[Open(Other), Open(Current)], seen: Seen::Fresh },
-        Case { what: "earlier life, resume", calls: &[Resume(Other)], seen: Seen::Over },
-        Case { what: "unknown life, here", calls: &[Open(Unknown), Resume(Unknown)], seen: Seen::Live(1) },
-        Case { what: "unknown life, not here", calls: &[Resume(Unknown)], seen: Seen::Over },
-        Case { what: "unknown life, late", calls: &[Resume(Unknown), Open(Unknown)], seen: Seen::Void },
+        Case { what: "new", calls: &[Open(Current)], seen: Lookup::New },
+        Case { what: "sent twice", calls: &[Open(Current), Open(Current)], seen: Lookup::Active(1) },
+        Case { what: "resumed", calls: &[Open(Current), Resume(Current)], seen: Lookup::Active(1) },
+        Case { what: "never arrived", calls: &[Resume(Current)], seen: Lookup::Voided },
+        Case { what: "arrives late", calls: &[Resume(Current), Open(Current)], seen: Lookup::Voided },
+        Case { what: "arrives very late", calls: &[Resume(Current), Wait(SHORT), Open(Current)], seen: Lookup::Voided },
+        Case { what: "mark renewed", calls: &[Resume(Current), Wait(SHORT), Resume(Current), Wait(SHORT), Open(Current)], seen: Lookup::Voided },
+        Case { what: "mark outlived", calls: &[Resume(Current), Wait(VOID_LIFE), Open(Current)], seen: Lookup::New },
+        Case { what: "refused, asked again", calls: &[Open(Current), Close { ran: false }, Resume(Current)], seen: Lookup::Voided },
+        Case { what: "refused, sent again", calls: &[Open(Current), Close { ran: false }, Open(Current)], seen: Lookup::Voided },
+        Case { what: "ran, asked again", calls: &[Open(Current), Close { ran: true }, Resume(Current)], seen: Lookup::Ended },
+        Case { what: "ran, sent again", calls: &[Open(Current), Close { ran: true }, Open(Current)], seen: Lookup::Ended },
+        Case { what: "ran, asked late", calls: &[Open(Current), Close { ran: true }, Wait(SHORT), Resume(Current)], seen: Lookup::Ended },
+        Case { what: "earlier life, open", calls: &[Open(Other)], seen: Lookup::OtherIncarnation },
+        Case { what: "earlier life, then this", calls: &[Open(Other), Open(Current)], seen: Lookup::New },
+        Case { what: "earlier life, resume", calls: &[Resume(Other)], seen: Lookup::Ended },
+        Case { what: "unknown life, here", calls: &[Open(Unknown), Resume(Unknown)], seen: Lookup::Active(1) },
+        Case { what: "unknown life, not here", calls: &[Resume(Unknown)], seen: Lookup::Ended },
+        Case { what: "unknown life, late", calls: &[Resume(Unknown), Open(Unknown)], seen: Lookup::Voided },
     ];
     for c in cases {
         let mut now = Micros::ZERO;
         let mut registry = Registry::default();
-        let mut seen = Seen::Fresh;
+        let mut seen = Lookup::New;
         for &call in c.calls {
             match call {
                 Open(m) => seen = registry.open(m, T, || 1),
