--- a/crates/exchange/src/registry.rs
+++ b/crates/exchange/src/registry.rs
@@ -5,7 +5,7 @@
 //! the old connection and arrive later; were the answer just "unknown here", the entry would run
 //! it elsewhere and the late arrival would run it again. So asking leaves a void mark: an
 //! exchange asked for before it arrived is refused when it does. The marks outlive any
-//! connection ([`VOID_LIFE`]); both kinds are bounded by time.
+//! connection ([`MARK_TTL`]); both kinds are bounded by time.
 
 use std::collections::HashMap;
 
@@ -14,7 +14,7 @@
 
 /// How long an exchange stays void. A connection that stayed silent for longer is broken by its
 /// sender's own limits, minutes earlier.
-pub const VOID_LIFE: Micros = Micros::from_secs(600);
+pub const MARK_TTL: Micros = Micros::from_secs(600);
 
 /// Names an exchange; 128 random bits drawn by the entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -105,7 +105,7 @@
             (IncarnationMatch::Other, _) => return Lookup::Ended,
             (_, Some(t)) => return Lookup::Active(t.clone()),
             _ if self.over.contains_key(&token) => return Lookup::Ended,
-            _ => self.void.insert(token, now + VOID_LIFE),
+            _ => self.void.insert(token, now + MARK_TTL),
         };
         match meant {
             IncarnationMatch::Current => Lookup::Voided,
@@ -117,7 +117,7 @@
     /// void, or its caller would hear "not run" of something that did.
     pub fn close(&mut self, now: Micros, token: &Token, ran: bool) -> Option<T> {
         let marks = if ran { &mut self.over } else { &mut self.void };
-        marks.insert(token.clone(), now + VOID_LIFE);
+        marks.insert(token.clone(), now + MARK_TTL);
         self.live.remove(token)
     }
 
--- a/crates/exchange/tests/tables.rs
+++ b/crates/exchange/tests/tables.rs
@@ -2,7 +2,7 @@
 
 use assert_matches::assert_matches;
 use bytes::Bytes;
-use exchange::registry::VOID_LIFE;
+use exchange::registry::MARK_TTL;
 use exchange::relay::RESUMES;
 use exchange::retain::LIMIT;
 use exchange::{
@@ -37,7 +37,7 @@
         calls: &'static [Call],
         seen: Lookup<u8>,
     }
-    const SHORT: Micros = Micros(VOID_LIFE.0 - 1);
+    const SHORT: Micros = Micros(MARK_TTL.0 - 1);
     #[rustfmt::skip]
     let cases = [
         Case { what: "new", calls: &[Open(Current)], seen: Lookup::New },
@@ -47,7 +47,7 @@
         Case { what: "arrives late", calls: &[Resume(Current), Open(Current)], seen: Lookup::Voided },
         Case { what: "arrives very late", calls: &[Resume(Current), Wait(SHORT), Open(Current)], seen: Lookup::Voided },
         Case { what: "mark renewed", calls: &[Resume(Current), Wait(SHORT), Resume(Current), Wait(SHORT), Open(Current)], seen: Lookup::Voided },
-        Case { what: "mark outlived", calls: &[Resume(Current), Wait(VOID_LIFE), Open(Current)], seen: Lookup::New },
+        Case { what: "mark outlived", calls: &[Resume(Current), Wait(MARK_TTL), Open(Current)], seen: Lookup::New },
         Case { what: "refused, asked again", calls: &[Open(Current), Close { ran: false }, Resume(Current)], seen: Lookup::Voided },
         Case { what: "refused, sent again", calls: &[Open(Current), Close { ran: false }, Open(Current)], seen: Lookup::Voided },
         Case { what: "ran, asked again", calls: &[Open(Current), Close { ran: true }, Resume(Current)], seen: Lookup::Ended },
