--- a/crates/daemon/src/sidecar/run.rs
+++ b/crates/daemon/src/sidecar/run.rs
@@ -108,7 +108,7 @@
         return Last::NotRun(ex.refuse(Code::Deadline, None), None);
     }
     let life = cx.control.health().life;
-    let ex = ex.hand();
+    let ex = ex.dispatch();
     let answer = tokio::select! {
         r = target::answer(job, sender) => r,
         () = job.live.cancel.cancelled() => Err(Code::Cancelled),
--- a/crates/daemon/tests/not_run.rs
+++ b/crates/daemon/tests/not_run.rs
@@ -188,7 +188,9 @@
 fn refusal_after_a_lost_attempt_is_not_called_not_run() {
     let refused = || Event::Refused(NotRun::heard(Code::Overloaded, None));
     let lost = || {
-        let failed = Exchange::new().hand().fail(Code::TargetLost, false, false);
+        let failed = Exchange::new()
+            .dispatch()
+            .fail(Code::TargetLost, false, false);
         Event::Failed(failed)
     };
     #[rustfmt::skip]
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -15,4 +15,4 @@
 pub use registry::{IncarnationMatch, Lookup, Registry, Token};
 pub use relay::{Action, Event, Failure, Owner, Relay};
 pub use retain::{Retain, RetainError};
-pub use state::{Done, Exchange, Failed, Handed, NotRun, Queued};
+pub use state::{Dispatched, Done, Exchange, Failed, NotRun, Queued};
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -3,7 +3,7 @@
 //! A caller that hears "not run" sends its request again. If that answer were ever given for a
 //! request which the target has seen, a vote would count twice or a haulier be billed twice.
 //! Therefore the only way to a [`NotRun`] is from [`Exchange<Queued>`], which is used up when the
-//! request is handed to the target; [`Exchange<Handed>`] has no such method.
+//! request is handed to the target; [`Exchange<Dispatched>`] has no such method.
 //!
 //! ```
 //! let queued = exchange::Exchange::new();
@@ -13,13 +13,13 @@
 //! The same after the request was handed over, or once more with what was used up, is no program:
 //!
 //! ```compile_fail,E0599
-//! let handed = exchange::Exchange::new().hand();
+//! let handed = exchange::Exchange::new().dispatch();
 //! handed.refuse(model::Code::NoTarget, None);
 //! ```
 //!
 //! ```compile_fail,E0382
 //! let queued = exchange::Exchange::new();
-//! let handed = queued.hand();
+//! let handed = queued.dispatch();
 //! queued.refuse(model::Code::NoTarget, None);
 //! ```
 
@@ -31,7 +31,7 @@
 
 /// Was handed to the target, in part or in whole.
 #[derive(Debug)]
-pub struct Handed(());
+pub struct Dispatched(());
 
 /// One attempt at one request.
 #[derive(Debug)]
@@ -74,8 +74,10 @@
     }
 
     /// To be called before the first byte goes to the target.
-    pub fn hand(self) -> Exchange<Handed> {
-        Exchange { _state: Handed(()) }
+    pub fn dispatch(self) -> Exchange<Dispatched> {
+        Exchange {
+            _state: Dispatched(()),
+        }
     }
 }
 
@@ -85,7 +87,7 @@
     }
 }
 
-impl Exchange<Handed> {
+impl Exchange<Dispatched> {
     /// The target's answer is whole.
     pub fn complete(self) -> Done {
         Done(())
--- a/crates/exchange/tests/common/mod.rs
+++ b/crates/exchange/tests/common/mod.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use exchange::{
-    Exchange, Failed, Failure, Handed, NotRun, Owner, Queued, Registry, Relay, Retain, Token,
+    Dispatched, Exchange, Failed, Failure, NotRun, Owner, Queued, Registry, Relay, Retain, Token,
 };
 use model::{Micros, Outcome};
 
@@ -82,7 +82,7 @@
 #[derive(Debug, Default)]
 enum State {
     Queued(Exchange<Queued>),
-    Handed(Exchange<Handed>, VecDeque<Bytes>),
+    Dispatched(Exchange<Dispatched>, VecDeque<Bytes>),
     #[default]
     Done,
     NotRun(NotRun, Option<Owner>),
@@ -382,7 +382,7 @@
 
     /// Whether no run holds a slot of its target.
     pub fn idle(&self) -> bool {
-        let open = |r: &Run| matches!(r.state, State::Queued(_) | State::Handed(..));
+        let open = |r: &Run| matches!(r.state, State::Queued(_) | State::Dispatched(..));
         !self.runs.iter().any(|r| open(r) && self.live(r))
     }
 
--- a/crates/exchange/tests/common/sidecar.rs
+++ b/crates/exchange/tests/common/sidecar.rs
@@ -11,7 +11,7 @@
 impl World {
     /// A run that nobody reads goes on after a while, as `lifetime` in the sidecar has it.
     pub(super) fn orphan(&mut self) -> bool {
-        let stuck = |r: &Run| matches!(r.state, State::Handed(..)) && r.retain.full();
+        let stuck = |r: &Run| matches!(r.state, State::Dispatched(..)) && r.retain.full();
         let Some(i) = self.runs.iter().position(|r| stuck(r) && self.live(r)) else {
             return false;
         };
@@ -83,7 +83,9 @@
     }
 
     fn lost(&mut self, conn: usize) {
-        let f = Exchange::new().hand().fail(Code::TargetLost, false, false);
+        let f = Exchange::new()
+            .dispatch()
+            .fail(Code::TargetLost, false, false);
         self.answer(conn, Down::Fail(f));
     }
 
@@ -124,11 +126,13 @@
             c.over = true;
             let known = matches!(e, RetainError::Gone(_));
             assert!(known, "{e}");
-            let f = Exchange::new().hand().fail(Code::TargetLost, false, false);
+            let f = Exchange::new()
+                .dispatch()
+                .fail(Code::TargetLost, false, false);
             return Some(Down::Fail(f));
         }
         let last = match &r.state {
-            State::Queued(_) | State::Handed(..) => return None,
+            State::Queued(_) | State::Dispatched(..) => return None,
             State::Done => {
                 let (count, digest) = r.retain.total().expect("ended");
                 Down::End(count, digest)
@@ -143,7 +147,7 @@
 
     pub(super) fn busy(&self, i: usize) -> bool {
         let r = &self.runs[i];
-        let open = matches!(r.state, State::Queued(_) | State::Handed(..));
+        let open = matches!(r.state, State::Queued(_) | State::Dispatched(..));
         open && self.live(r) && (!r.retain.full() || self.struck(i))
     }
 
@@ -154,7 +158,7 @@
 
     fn struck(&self, i: usize) -> bool {
         let r = &self.runs[i];
-        matches!(r.state, State::Handed(..)) && r.engine != self.sides[r.side].engine
+        matches!(r.state, State::Dispatched(..)) && r.engine != self.sides[r.side].engine
     }
 
     pub(super) fn target(&mut self, i: usize) {
@@ -170,15 +174,17 @@
         let state = std::mem::replace(&mut self.runs[i].state, State::Done);
         let state = match state {
             State::Queued(ex) => self.admitted(i, ex),
-            State::Handed(ex, _) if struck => State::Failed(ex.fail(Code::TargetLost, false, true)),
-            State::Handed(ex, left) if !self.runs[i].head => {
+            State::Dispatched(ex, _) if struck => {
+                State::Failed(ex.fail(Code::TargetLost, false, true))
+            }
+            State::Dispatched(ex, left) if !self.runs[i].head => {
                 self.runs[i].head = true;
-                State::Handed(ex, left)
+                State::Dispatched(ex, left)
             }
-            State::Handed(ex, mut left) => match left.pop_front() {
+            State::Dispatched(ex, mut left) => match left.pop_front() {
                 Some(data) => {
                     self.runs[i].retain.push(data);
-                    State::Handed(ex, left)
+                    State::Dispatched(ex, left)
                 }
                 None => {
                     self.runs[i].retain.end();
@@ -216,7 +222,7 @@
         self.log.push((who, side));
         self.runs[i].engine = self.sides[side].engine;
         let from = self.runs[i].skip as u8;
-        State::Handed(ex.hand(), chunks(from..ask.events, 1 + side, ask.size))
+        State::Dispatched(ex.dispatch(), chunks(from..ask.events, 1 + side, ask.size))
     }
 }
 
--- a/crates/exchange/tests/tables.rs
+++ b/crates/exchange/tests/tables.rs
@@ -144,7 +144,11 @@
 }
 
 fn failed(known: bool) -> Event {
-    Event::Failed(Exchange::new().hand().fail(Code::TargetLost, known, false))
+    Event::Failed(
+        Exchange::new()
+            .dispatch()
+            .fail(Code::TargetLost, known, false),
+    )
 }
 
 fn claimed() -> Event {
