--- a/crates/daemon/src/entry/frames.rs
+++ b/crates/daemon/src/entry/frames.rs
@@ -48,7 +48,7 @@
 /// A refusal, with its pause if it names one.
 fn heard(r: &Refuse) -> NotRun {
     let retry = (r.retry > 0).then(|| Micros::from_millis(r.retry));
-    NotRun::heard(code(r.code), retry)
+    NotRun::reported(code(r.code), retry)
 }
 
 /// A code by its number; peers of another version may know more codes.
--- a/crates/daemon/tests/not_run.rs
+++ b/crates/daemon/tests/not_run.rs
@@ -186,7 +186,7 @@
 /// the second attempt only; passed on as it is, it would call a request not run that ran in part.
 #[test]
 fn refusal_after_a_lost_attempt_is_not_called_not_run() {
-    let refused = || Event::Refused(NotRun::heard(Code::Overloaded, None));
+    let refused = || Event::Refused(NotRun::reported(Code::Overloaded, None));
     let lost = || {
         let failed = Exchange::new()
             .dispatch()
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -105,7 +105,7 @@
 
 impl NotRun {
     /// What a sidecar said of its own exchange.
-    pub fn heard(code: Code, retry: Option<Micros>) -> Self {
+    pub fn reported(code: Code, retry: Option<Micros>) -> Self {
         Self { code, retry }
     }
 
--- a/crates/exchange/tests/tables.rs
+++ b/crates/exchange/tests/tables.rs
@@ -140,7 +140,7 @@
 }
 
 fn refused(code: Code) -> Event {
-    Event::Refused(NotRun::heard(code, None))
+    Event::Refused(NotRun::reported(code, None))
 }
 
 fn failed(known: bool) -> Event {
