--- a/crates/daemon/src/sidecar/live.rs
+++ b/crates/daemon/src/sidecar/live.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use bytes::Bytes;
-use exchange::{Done, Failed, NotRun, Retain, RetainError};
+use exchange::{Done, Failed, NotRun, ReplayBuffer, ReplayError};
 use tokio::sync::{watch, Notify};
 use tokio_util::sync::CancellationToken;
 use wire::{Body, Chunk, End, Fail, Head, Join, Refuse};
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 struct Inner {
     head: Option<Head>,
-    retain: Retain,
+    retain: ReplayBuffer,
     last: Option<Last>,
     /// Name of the crash that ended it; 0 if none did.
     crash: u64,
@@ -46,8 +46,8 @@
     /// An exchange that has just arrived; `keep` retains its whole answer for later attempts.
     pub fn new(keep: bool) -> Arc<Self> {
         let retain = match keep {
-            true => Retain::keeping(),
-            false => Retain::default(),
+            true => ReplayBuffer::keep_all(),
+            false => ReplayBuffer::default(),
         };
         Arc::new(Self {
             inner: Mutex::new(Inner {
@@ -139,7 +139,7 @@
     }
 
     /// The frame to send after those up to `at`; moves `at`. The last frame is flagged.
-    pub fn next(&self, at: &mut Cursor) -> Result<Option<(Body, bool)>, RetainError> {
+    pub fn next(&self, at: &mut Cursor) -> Result<Option<(Body, bool)>, ReplayError> {
         let i = self.lock();
         if let Some(h) = i.head.clone().filter(|_| !at.head) {
             at.head = true;
--- a/crates/daemon/src/sidecar/serve.rs
+++ b/crates/daemon/src/sidecar/serve.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use exchange::{Exchange, IncarnationMatch, Lookup, NotRun, Registry, RetainError, Token};
+use exchange::{Exchange, IncarnationMatch, Lookup, NotRun, Registry, ReplayError, Token};
 use model::{Code, Micros};
 use tokio::time::{interval, timeout};
 use wire::{Accepted, Beat, Body, Fail, Open, Resume, Rx, Tx, WireError};
@@ -109,8 +109,8 @@
                 Ok(None) => break,
                 // Another reader had it and it was dropped. Were the connection just closed, the
                 // entry would ask for it again and again.
-                Err(RetainError::Gone(_)) => return lost(tx).await,
-                Err(RetainError::Ahead(_)) => return Err(WireError::Unexpected),
+                Err(ReplayError::Gone(_)) => return lost(tx).await,
+                Err(ReplayError::Ahead(_)) => return Err(WireError::Unexpected),
             };
             tx.feed(body).await?;
             if end {
--- a/crates/exchange/src/relay.rs
+++ b/crates/exchange/src/relay.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use model::{Code, Micros, Outcome};
 
-use crate::retain::LIMIT;
+use crate::replay::MAX_BYTES;
 use crate::state::{Failed, NotRun};
 
 /// Resumptions in a row without a new byte before the sidecar counts as lost. The first comes at
@@ -30,7 +30,7 @@
 const CONFIRM: u64 = 16;
 /// Most bytes between them. A sidecar at its limit waits for a confirmation before it reads on;
 /// if sixteen chunks were more than that limit, each side would wait for the other.
-const CONFIRM_BYTES: usize = LIMIT / 4;
+const CONFIRM_BYTES: usize = MAX_BYTES / 4;
 
 /// Where the answer of an earlier attempt can be had.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/exchange/src/retain.rs
+++ b/crates/exchange/src/replay.rs
@@ -2,7 +2,7 @@
 //!
 //! A connection can break at any byte. The target must not compute its answer again for that, so
 //! the sidecar keeps each chunk until the entry confirms it and repeats from there. The memory
-//! is bounded: at [`LIMIT`] the sidecar stops reading from its target, which is what slows the
+//! is bounded: at [`MAX_BYTES`] the sidecar stops reading from its target, which is what slows the
 //! target down to its caller's pace.
 
 use std::collections::VecDeque;
@@ -12,11 +12,11 @@
 
 /// Most bytes kept for one exchange. Half a second of the busiest stream is kilobytes; the rest is
 /// room for the large answers of plain services.
-pub const LIMIT: usize = 1 << 20;
+pub const MAX_BYTES: usize = 1 << 20;
 
 /// Why chunks can't be had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum RetainError {
+pub enum ReplayError {
     /// The chunk was confirmed and dropped; asking for it again is a fault of the asker.
     #[error("chunk {0} was confirmed and is no longer kept")]
     Gone(u64),
@@ -27,7 +27,7 @@
 
 /// Unconfirmed chunks of one answer.
 #[derive(Debug, Default)]
-pub struct Retain {
+pub struct ReplayBuffer {
     base: u64,
     chunks: VecDeque<Bytes>,
     bytes: usize,
@@ -37,10 +37,10 @@
     confirmed: u64,
 }
 
-impl Retain {
+impl ReplayBuffer {
     /// Keeps the whole answer as long as it fits, so that a second attempt with the same
     /// idempotency key can join it from the start.
-    pub fn keeping() -> Self {
+    pub fn keep_all() -> Self {
         Self {
             keep: true,
             ..Self::default()
@@ -77,14 +77,14 @@
 
     /// Whether the source should wait.
     pub fn full(&self) -> bool {
-        self.bytes >= LIMIT
+        self.bytes >= MAX_BYTES
     }
 
     /// The chunk at a position, if it exists already.
-    pub fn get(&self, seq: u64) -> Result<Option<Bytes>, RetainError> {
+    pub fn get(&self, seq: u64) -> Result<Option<Bytes>, ReplayError> {
         match seq {
-            s if s < self.base => Err(RetainError::Gone(s)),
-            s if s > self.next() => Err(RetainError::Ahead(s)),
+            s if s < self.base => Err(ReplayError::Gone(s)),
+            s if s > self.next() => Err(ReplayError::Ahead(s)),
             s => Ok(self.chunks.get((s - self.base) as usize).cloned()),
         }
     }
--- a/crates/exchange/tests/common/mod.rs
+++ b/crates/exchange/tests/common/mod.rs
@@ -14,7 +14,8 @@
 
 use bytes::Bytes;
 use exchange::{
-    Dispatched, Exchange, Failed, Failure, NotRun, Owner, Queued, Registry, Relay, Retain, Token,
+    Dispatched, Exchange, Failed, Failure, NotRun, Owner, Queued, Registry, Relay, ReplayBuffer,
+    Token,
 };
 use model::{Micros, Outcome};
 
@@ -98,7 +99,7 @@
     skip: u64,
     engine: u64,
     state: State,
-    retain: Retain,
+    retain: ReplayBuffer,
     head: bool,
     sent: bool,
 }
--- a/crates/exchange/tests/common/sidecar.rs
+++ b/crates/exchange/tests/common/sidecar.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use exchange::{Exchange, IncarnationMatch, Lookup, Owner, Queued, Retain, RetainError, Token};
+use exchange::{
+    Exchange, IncarnationMatch, Lookup, Owner, Queued, ReplayBuffer, ReplayError, Token,
+};
 use model::Code;
 
 use super::{Carry, Down, Run, State, Up, World};
@@ -67,9 +69,9 @@
             skip,
             state: State::Queued(Exchange::new()),
             retain: if keyed {
-                Retain::keeping()
+                ReplayBuffer::keep_all()
             } else {
-                Retain::default()
+                ReplayBuffer::default()
             },
             engine: 0,
             head: false,
@@ -124,7 +126,7 @@
         }
         if let Err(e) = chunk {
             c.over = true;
-            let known = matches!(e, RetainError::Gone(_));
+            let known = matches!(e, ReplayError::Gone(_));
             assert!(known, "{e}");
             let f = Exchange::new()
                 .dispatch()
--- a/crates/exchange/tests/tables.rs
+++ b/crates/exchange/tests/tables.rs
@@ -4,10 +4,10 @@
 use bytes::Bytes;
 use exchange::registry::MARK_TTL;
 use exchange::relay::RESUMES;
-use exchange::retain::LIMIT;
+use exchange::replay::MAX_BYTES;
 use exchange::{
-    Action, Event, Exchange, IncarnationMatch, Lookup, NotRun, Owner, Registry, Relay, Retain,
-    RetainError, Token,
+    Action, Event, Exchange, IncarnationMatch, Lookup, NotRun, Owner, Registry, Relay,
+    ReplayBuffer, ReplayError, Token,
 };
 use model::{Code, Micros, Outcome};
 
@@ -88,27 +88,27 @@
         chunks: &'static [(usize, u64)],
         full: bool,
         /// What becomes of chunk 0, 1, ...
-        got: &'static [Result<Option<usize>, RetainError>],
+        got: &'static [Result<Option<usize>, ReplayError>],
     }
-    const HALF: usize = LIMIT / 2;
+    const HALF: usize = MAX_BYTES / 2;
     #[rustfmt::skip]
     let cases = [
-        Case { what: "empty", keep: false, chunks: &[], full: false, got: &[Ok(None), Err(RetainError::Ahead(1))] },
-        Case { what: "unconfirmed", keep: false, chunks: &[(1, 0), (2, 0)], full: false, got: &[Ok(Some(1)), Ok(Some(2)), Ok(None), Err(RetainError::Ahead(3))] },
-        Case { what: "confirmed", keep: false, chunks: &[(1, 0), (2, 1)], full: false, got: &[Err(RetainError::Gone(0)), Ok(Some(2)), Ok(None)] },
-        Case { what: "confirmed ahead", keep: false, chunks: &[(1, u64::MAX), (2, 0)], full: false, got: &[Err(RetainError::Gone(0)), Ok(Some(2)), Ok(None)] },
+        Case { what: "empty", keep: false, chunks: &[], full: false, got: &[Ok(None), Err(ReplayError::Ahead(1))] },
+        Case { what: "unconfirmed", keep: false, chunks: &[(1, 0), (2, 0)], full: false, got: &[Ok(Some(1)), Ok(Some(2)), Ok(None), Err(ReplayError::Ahead(3))] },
+        Case { what: "confirmed", keep: false, chunks: &[(1, 0), (2, 1)], full: false, got: &[Err(ReplayError::Gone(0)), Ok(Some(2)), Ok(None)] },
+        Case { what: "confirmed ahead", keep: false, chunks: &[(1, u64::MAX), (2, 0)], full: false, got: &[Err(ReplayError::Gone(0)), Ok(Some(2)), Ok(None)] },
         Case { what: "full", keep: false, chunks: &[(HALF, 0), (HALF, 0)], full: true, got: &[Ok(Some(HALF)), Ok(Some(HALF)), Ok(None)] },
-        Case { what: "full, confirmed", keep: false, chunks: &[(HALF, 0), (HALF, 1)], full: false, got: &[Err(RetainError::Gone(0)), Ok(Some(HALF))] },
+        Case { what: "full, confirmed", keep: false, chunks: &[(HALF, 0), (HALF, 1)], full: false, got: &[Err(ReplayError::Gone(0)), Ok(Some(HALF))] },
         Case { what: "kept", keep: true, chunks: &[(1, 1), (2, 2)], full: false, got: &[Ok(Some(1)), Ok(Some(2)), Ok(None)] },
         Case { what: "kept, full", keep: true, chunks: &[(HALF, 0), (HALF, 0)], full: true, got: &[Ok(Some(HALF)), Ok(Some(HALF))] },
-        Case { what: "kept, confirmed before full", keep: true, chunks: &[(HALF, 1), (HALF, 0)], full: false, got: &[Err(RetainError::Gone(0)), Ok(Some(HALF))] },
-        Case { what: "kept no longer", keep: true, chunks: &[(HALF, 1), (HALF, 0), (1, 3)], full: false, got: &[Err(RetainError::Gone(0)), Err(RetainError::Gone(1)), Err(RetainError::Gone(2)), Ok(None)] },
+        Case { what: "kept, confirmed before full", keep: true, chunks: &[(HALF, 1), (HALF, 0)], full: false, got: &[Err(ReplayError::Gone(0)), Ok(Some(HALF))] },
+        Case { what: "kept no longer", keep: true, chunks: &[(HALF, 1), (HALF, 0), (1, 3)], full: false, got: &[Err(ReplayError::Gone(0)), Err(ReplayError::Gone(1)), Err(ReplayError::Gone(2)), Ok(None)] },
     ];
     for c in cases {
         let mut r = if c.keep {
-            Retain::keeping()
+            ReplayBuffer::keep_all()
         } else {
-            Retain::default()
+            ReplayBuffer::default()
         };
         for (i, &(size, confirmed)) in c.chunks.iter().enumerate() {
             assert_eq!(r.push(Bytes::from(vec![0; size])), i as u64);
