--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -188,7 +188,7 @@
                 ControlFlow::Continue(self.resume(at, next).await)
             }
             Action::Join(owner) => ControlFlow::Continue(self.join(owner, at).await),
-            Action::Elsewhere { delivered, failure } => {
+            Action::RetryElsewhere { delivered, failure } => {
                 if failure.outcome == Outcome::Unknown {
                     self.measured(true);
                 }
@@ -200,7 +200,7 @@
                 self.out.finish();
                 ControlFlow::Break(Ended::Over)
             }
-            Action::Give(failure) => {
+            Action::Fail(failure) => {
                 self.give(failure).await;
                 ControlFlow::Break(Ended::Over)
             }
--- a/crates/daemon/tests/not_run.rs
+++ b/crates/daemon/tests/not_run.rs
@@ -206,7 +206,7 @@
         let mut relay = Relay::new(true, true);
         let actions = c.events.into_iter().map(|e| relay.step(e));
         let last = actions.last().expect("an event");
-        assert_matches!(last, Action::Elsewhere { failure, .. } => {
+        assert_matches!(last, Action::RetryElsewhere { failure, .. } => {
             assert_eq!(failure.outcome, c.outcome, "{}", c.what);
         });
     }
--- a/crates/exchange/src/relay.rs
+++ b/crates/exchange/src/relay.rs
@@ -17,9 +17,9 @@
 
 /// Resumptions in a row without a new byte before the sidecar counts as lost. The first comes at
 /// once, since the usual cause is one connection; the later ones span a restart of a switch port.
-pub const RESUMES: u32 = 4;
+pub const MAX_RESUMES: u32 = 4;
 /// Pauses before each resumption.
-const PAUSES: [Micros; RESUMES as usize] = [
+const PAUSES: [Micros; MAX_RESUMES as usize] = [
     Micros::ZERO,
     Micros::from_millis(50),
     Micros::from_millis(200),
@@ -104,7 +104,7 @@
         pause: Micros,
     },
     /// Try another replica, which has to skip the events delivered.
-    Elsewhere {
+    RetryElsewhere {
         /// Events that the caller has.
         delivered: u64,
         /// What to tell the caller if there is no other replica.
@@ -115,7 +115,7 @@
     /// The caller has it all.
     Finish,
     /// Tell the caller.
-    Give(Failure),
+    Fail(Failure),
 }
 
 /// One request on its way through an entry.
@@ -199,7 +199,7 @@
                 self.restart();
                 Action::Join(owner)
             }
-            Event::Claimed(_) => Action::Give(Failure {
+            Event::Claimed(_) => Action::Fail(Failure {
                 code: Code::AlreadyAttempted,
                 outcome: Outcome::Unknown,
                 retry: None,
@@ -243,10 +243,10 @@
             },
         };
         match (self.joined, n.code()) {
-            (true, _) => Action::Give(failure),
+            (true, _) => Action::Fail(failure),
             // Final wherever it is asked.
             (_, Code::Quarantined | Code::Deadline | Code::Limited | Code::BadRequest) => {
-                Action::Give(failure)
+                Action::Fail(failure)
             }
             _ => self.elsewhere(failure),
         }
@@ -255,7 +255,7 @@
     fn failed(&mut self, f: Failed) -> Action {
         self.crashes += u32::from(f.crashed);
         match f.known {
-            true => Action::Give(Failure {
+            true => Action::Fail(Failure {
                 code: f.code,
                 outcome: f.outcome(),
                 retry: None,
@@ -289,14 +289,14 @@
         };
         match self.idempotent && !self.joined {
             true => self.elsewhere(failure),
-            false => Action::Give(failure),
+            false => Action::Fail(failure),
         }
     }
 
     fn elsewhere(&mut self, failure: Failure) -> Action {
         self.restart();
         let delivered = if self.streamed { self.delivered } else { 0 };
-        Action::Elsewhere { delivered, failure }
+        Action::RetryElsewhere { delivered, failure }
     }
 
     fn restart(&mut self) {
--- a/crates/exchange/tests/common/entry.rs
+++ b/crates/exchange/tests/common/entry.rs
@@ -110,7 +110,7 @@
                 c.at = Some((side, owner.incarnation, Token(owner.token)));
                 c.resume = Some(0);
             }
-            Action::Elsewhere { delivered, failure } => {
+            Action::RetryElsewhere { delivered, failure } => {
                 let more = self.callers[i].tried.len() < self.sides.len();
                 let c = &mut self.callers[i];
                 c.conn = None;
@@ -127,7 +127,7 @@
                 self.callers[i].end = Some(Ok(()));
                 self.pool(i);
             }
-            Action::Give(f) => self.callers[i].end = Some(Err(f)),
+            Action::Fail(f) => self.callers[i].end = Some(Err(f)),
         }
     }
 
--- a/crates/exchange/tests/tables.rs
+++ b/crates/exchange/tests/tables.rs
@@ -3,7 +3,7 @@
 use assert_matches::assert_matches;
 use bytes::Bytes;
 use exchange::registry::MARK_TTL;
-use exchange::relay::RESUMES;
+use exchange::relay::MAX_RESUMES;
 use exchange::replay::MAX_BYTES;
 use exchange::{
     Action, Event, Exchange, IncarnationMatch, Lookup, NotRun, Owner, Registry, Relay,
@@ -176,8 +176,8 @@
         Action::Resume { next, .. } => Told::Resume(next),
         Action::Join(_) => Told::Join,
         Action::Finish => Told::Finish,
-        Action::Give(f) => Told::Give(f.code, f.outcome),
-        Action::Elsewhere { delivered, failure } => {
+        Action::Fail(f) => Told::Give(f.code, f.outcome),
+        Action::RetryElsewhere { delivered, failure } => {
             Told::Elsewhere(delivered, failure.code, failure.outcome)
         }
     }
@@ -197,7 +197,7 @@
         events: Vec<Event>,
         told: Told,
     }
-    let lost = || vec![Lost; RESUMES as usize + 1];
+    let lost = || vec![Lost; MAX_RESUMES as usize + 1];
     let after = |first: Vec<Event>, then: Event| [first, vec![then]].concat();
     #[rustfmt::skip]
     let cases = [
@@ -250,9 +250,9 @@
 fn resumptions_are_bounded() {
     let mut relay = Relay::new(false, true);
     relay.step(chunk(0));
-    for _ in 0..RESUMES {
+    for _ in 0..MAX_RESUMES {
         assert_matches!(relay.step(Event::Lost), Action::Resume { next: 1, .. });
         assert_eq!(relay.step(chunk(0)), Action::Wait);
     }
-    assert_matches!(relay.step(Event::Lost), Action::Give(f) if f.outcome == Outcome::Unknown);
+    assert_matches!(relay.step(Event::Lost), Action::Fail(f) if f.outcome == Outcome::Unknown);
 }
