--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,10 +1,10 @@
 //! One attempt at a request, from the entry that sends it to the sidecar that serves it.
 //!
-//! The modules here decide and keep; they neither send nor wait. [`state`] makes a false "not run"
-//! impossible to write, [`registry`] makes it impossible for a delayed request to run after it
-//! was given up, [`replay`] keeps what the entry hasn't confirmed, and [`relay`] checks at the
-//! entry that the caller gets each byte once, in order, to the end. [`events`] finds the ends of a
-//! stream's events.
+//! The modules make decisions and hold state; they do no I/O and never wait. [`state`] makes a
+//! false "not run" a compile error, [`registry`] prevents a delayed request from running after its
+//! entry has given it up, [`replay`] keeps chunks until the entry confirms them, and [`relay`]
+//! checks at the entry that the caller gets each byte once, in order and to the end. [`events`]
+//! finds the ends of server-sent events.
 
 pub mod events;
 pub mod registry;
--- a/crates/exchange/src/registry.rs
+++ b/crates/exchange/src/registry.rs
@@ -1,144 +1,157 @@
-//! Exchanges that a sidecar knows, and those that it has promised never to run.
+//! Registry of a sidecar's exchanges: active ones, ended ones, and voided ones that must never run.
 //!
-//! An entry whose connection broke can't tell whether its request arrived. It asks on a new
-//! connection. If the sidecar doesn't know the exchange, the request may still sit in a buffer of
-//! the old connection and arrive later; were the answer just "unknown here", the entry would run
-//! it elsewhere and the late arrival would run it again. So asking leaves a void mark: an
-//! exchange asked for before it arrived is refused when it does. The marks outlive any
-//! connection ([`MARK_TTL`]); both kinds are bounded by time.
+//! When its connection breaks, an entry can't know whether its request arrived, so it tries to
+//! resume the exchange on a new connection. If the sidecar doesn't know the exchange, the request
+//! may still be in a buffer of the old connection and arrive later: the entry would send it to
+//! another replica and the late arrival would run it a second time. Therefore an attempt to resume
+//! an unknown exchange voids its token, and a request that arrives later with that token is
+//! refused. Marks of voided and of ended exchanges are kept for [`MARK_TTL`], which is longer than
+//! any connection can stay silent.
 
 use std::collections::HashMap;
 
 use bytes::Bytes;
 use model::Micros;
 
-/// How long an exchange stays void. A connection that stayed silent for longer is broken by its
-/// sender's own limits, minutes earlier.
+/// How long the marks of voided and ended exchanges are kept. The sender's own limits close a
+/// silent connection minutes earlier, so no request can arrive after its mark has expired.
 pub const MARK_TTL: Micros = Micros::from_secs(600);
 
-/// Names an exchange; 128 random bits drawn by the entry.
+/// Identifies an exchange; 128 random bits drawn by the entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Token(pub Bytes);
 
-/// Which life of a sidecar an entry means.
+/// How the sidecar incarnation that an entry addresses compares with the sidecar's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncarnationMatch {
-    /// This one.
+    /// The sidecar's own incarnation.
     Current,
-    /// An earlier one, or one at the same address on another host.
+    /// An earlier incarnation, or a process that had the same address on another host.
     Other,
-    /// The entry wasn't told of any when it opened the exchange.
+    /// The entry didn't know the incarnation when it opened the exchange.
     Unknown,
 }
 
 impl IncarnationMatch {
-    /// What the number in a frame means to a sidecar; 0 says nothing.
-    pub fn compare(life: u64, mine: u64) -> Self {
-        match life {
+    /// Compares the incarnation in a frame with the sidecar's own; 0 in a frame means unknown.
+    pub fn compare(addressed: u64, own: u64) -> Self {
+        match addressed {
             0 => Self::Unknown,
-            l if l == mine => Self::Current,
+            i if i == own => Self::Current,
             _ => Self::Other,
         }
     }
 }
 
-/// What is known of a token.
+/// Result of looking up a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup<T> {
-    /// Nothing until now.
+    /// The token was not known before.
     New,
-    /// It is here.
+    /// The exchange is active.
     Active(T),
-    /// It was asked for before it arrived, or ended without running, and won't run here.
+    /// The exchange won't run here: it was voided before it arrived, or it ended without running.
     Voided,
-    /// It ran here and its answer is no longer kept, or it may have run in an earlier life.
+    /// The exchange ran here and its answer is no longer kept, or it may have run in an earlier
+    /// incarnation.
     Ended,
-    /// It was meant for another life and is not begun in this one.
+    /// The request is addressed to another incarnation and is not started in this one.
     OtherIncarnation,
 }
 
-/// All exchanges of one life of a sidecar.
+/// All exchanges of one sidecar incarnation.
 #[derive(Debug)]
 pub struct Registry<T> {
-    live: HashMap<Token, T>,
-    void: HashMap<Token, Micros>,
-    over: HashMap<Token, Micros>,
+    active: HashMap<Token, T>,
+    /// Tokens that must not run here, with the time at which each mark expires.
+    voided: HashMap<Token, Micros>,
+    /// Tokens that ran here, with the time at which each mark expires.
+    ended: HashMap<Token, Micros>,
 }
 
 impl<T> Default for Registry<T> {
     fn default() -> Self {
         Self {
-            live: HashMap::new(),
-            void: HashMap::new(),
-            over: HashMap::new(),
+            active: HashMap::new(),
+            voided: HashMap::new(),
+            ended: HashMap::new(),
         }
     }
 }
 
 impl<T: Clone> Registry<T> {
-    /// A request arrives; it is kept if its token is fresh.
+    /// Looks up the token of an arriving request and registers the request if the token is new.
     pub fn open(
         &mut self,
-        meant: IncarnationMatch,
+        incarnation: IncarnationMatch,
         token: Token,
         make: impl FnOnce() -> T,
     ) -> Lookup<T> {
-        match self.live.get(&token) {
-            _ if meant == IncarnationMatch::Other => Lookup::OtherIncarnation,
+        match self.active.get(&token) {
+            _ if incarnation == IncarnationMatch::Other => Lookup::OtherIncarnation,
             Some(t) => Lookup::Active(t.clone()),
-            None if self.void.contains_key(&token) => Lookup::Voided,
-            None if self.over.contains_key(&token) => Lookup::Ended,
+            None if self.voided.contains_key(&token) => Lookup::Voided,
+            None if self.ended.contains_key(&token) => Lookup::Ended,
             None => {
-                self.live.insert(token, make());
+                self.active.insert(token, make());
                 Lookup::New
             }
         }
     }
 
-    /// An entry asks for an exchange; from now on it runs only if it has arrived already.
+    /// Looks up an exchange that an entry wants to resume, and voids its token if it is not known.
     ///
-    /// An entry that doesn't know whose life it means may have opened it in an earlier one. What
-    /// is here is its own, since no two exchanges share a token; of what isn't nobody knows
-    /// whether it ran.
-    pub fn resume(&mut self, now: Micros, meant: IncarnationMatch, token: Token) -> Lookup<T> {
-        match (meant, self.live.get(&token)) {
+    /// An entry that doesn't know the sidecar's incarnation may have opened the exchange in an
+    /// earlier one. A registered exchange is the entry's own, since tokens are unique; for any
+    /// other it is not known whether it ran.
+    pub fn resume(
+        &mut self,
+        now: Micros,
+        incarnation: IncarnationMatch,
+        token: Token,
+    ) -> Lookup<T> {
+        match (incarnation, self.active.get(&token)) {
             (IncarnationMatch::Other, _) => return Lookup::Ended,
             (_, Some(t)) => return Lookup::Active(t.clone()),
-            _ if self.over.contains_key(&token) => return Lookup::Ended,
-            _ => self.void.insert(token, now + MARK_TTL),
+            _ if self.ended.contains_key(&token) => return Lookup::Ended,
+            _ => self.voided.insert(token, now + MARK_TTL),
         };
-        match meant {
+        match incarnation {
             IncarnationMatch::Current => Lookup::Voided,
             _ => Lookup::Ended,
         }
     }
 
-    /// An exchange ended. A token that never ran stays void; one that ran must never be called
-    /// void, or its caller would hear "not run" of something that did.
+    /// Removes an exchange that has ended and leaves a mark. One that ran must never be marked as
+    /// voided, or its caller would get the outcome "not run" for a request that did run.
     pub fn close(&mut self, now: Micros, token: &Token, ran: bool) -> Option<T> {
-        let marks = if ran { &mut self.over } else { &mut self.void };
+        let marks = if ran {
+            &mut self.ended
+        } else {
+            &mut self.voided
+        };
         marks.insert(token.clone(), now + MARK_TTL);
-        self.live.remove(token)
+        self.active.remove(token)
     }
 
-    /// Drops marks that no connection can outlive.
+    /// Drops expired marks.
     pub fn expire(&mut self, now: Micros) {
-        self.void.retain(|_, at| *at > now);
-        self.over.retain(|_, at| *at > now);
+        self.voided.retain(|_, at| *at > now);
+        self.ended.retain(|_, at| *at > now);
     }
 
-    /// Exchanges that are here.
+    /// The active exchanges.
     pub fn live(&self) -> impl Iterator<Item = &T> {
-        self.live.values()
+        self.active.values()
     }
 
-    /// How many exchanges are here.
+    /// Number of active exchanges.
     pub fn len(&self) -> usize {
-        self.live.len()
+        self.active.len()
     }
 
-    /// Whether none is here.
+    /// Whether no exchange is active.
     pub fn is_empty(&self) -> bool {
-        self.live.is_empty()
+        self.active.is_empty()
     }
 }
--- a/crates/exchange/src/relay.rs
+++ b/crates/exchange/src/relay.rs
@@ -1,13 +1,18 @@
-//! The entry's side of a request: what reaches the caller, and what to do when a part is lost.
+//! The entry's side of a request: what the caller gets, and how failures are handled.
 //!
-//! Three things go wrong between an entry and a sidecar. A connection breaks or falls silent: the
-//! exchange is resumed on a new one, and nothing is computed again. The target dies: the answer
-//! goes on at another replica, told what the caller already has. The request never ran: it may
-//! go elsewhere whatever it is. A request that may run only once is never sent elsewhere after
-//! its target may have seen it; its caller is told that the outcome is unknown.
+//! Three things can fail between an entry and a sidecar:
 //!
-//! The caller's stream ends cleanly only on [`Action::Finish`], which needs an end whose count and
-//! hash fit what was delivered.
+//! - A connection breaks or falls silent. The exchange is resumed on a new connection, and nothing
+//!   is computed again.
+//! - The target crashes. Another replica continues the answer, and skips the events that the
+//!   caller already has.
+//! - The request did not run. It may be sent to another replica, also if it is not idempotent.
+//!
+//! A non-idempotent request is never sent to another replica after its target may have received
+//! it; its caller gets the outcome "unknown".
+//!
+//! The caller's stream ends without an error only on [`Action::Finish`], which requires that the
+//! count and hash in the end frame match the delivered chunks.
 
 use bytes::Bytes;
 use model::{Code, Micros, Outcome};
@@ -15,31 +20,33 @@
 use crate::replay::MAX_BYTES;
 use crate::state::{Failed, NotRun};
 
-/// Resumptions in a row without a new byte before the sidecar counts as lost. The first comes at
-/// once, since the usual cause is one connection; the later ones span a restart of a switch port.
+/// Consecutive resumptions without a new chunk after which the sidecar counts as lost. The first
+/// has no delay, since the usual cause is a single broken connection; the later ones cover the
+/// restart of a switch port.
 pub const MAX_RESUMES: u32 = 4;
-/// Pauses before each resumption.
-const PAUSES: [Micros; MAX_RESUMES as usize] = [
+/// Delay before each resumption.
+const RESUME_DELAYS: [Micros; MAX_RESUMES as usize] = [
     Micros::ZERO,
     Micros::from_millis(50),
     Micros::from_millis(200),
     Micros::from_millis(500),
 ];
 
-/// Most chunks between confirmations.
-const CONFIRM: u64 = 16;
-/// Most bytes between them. A sidecar at its limit waits for a confirmation before it reads on;
-/// if sixteen chunks were more than that limit, each side would wait for the other.
+/// Maximum number of chunks between two confirmations.
+const CONFIRM_CHUNKS: u64 = 16;
+/// Maximum number of bytes between two confirmations. A sidecar whose replay buffer is full stops
+/// reading until it gets a confirmation; if [`CONFIRM_CHUNKS`] chunks didn't fit into the buffer,
+/// entry and sidecar would wait for each other.
 const CONFIRM_BYTES: usize = MAX_BYTES / 4;
 
-/// Where the answer of an earlier attempt can be had.
+/// Where the answer of an earlier attempt can be fetched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
-    /// Its exchange.
+    /// Token of the earlier attempt's exchange.
     pub token: Bytes,
-    /// Its sidecar's address.
+    /// Address of the sidecar that serves the exchange.
     pub address: String,
-    /// Its sidecar's life.
+    /// Incarnation of that sidecar.
     pub incarnation: u64,
 }
 
@@ -48,95 +55,103 @@
 pub enum Event {
     /// No byte of the request left this process.
     Unsent,
-    /// The sidecar took it.
+    /// The sidecar accepted the request.
     Accepted,
-    /// A piece of the answer; `events` of a stream end in it.
+    /// A chunk of the answer.
     Chunk {
-        /// Its position.
+        /// Position among the answer's chunks.
         seq: u64,
-        /// Its bytes.
+        /// Content of the chunk.
         data: Bytes,
-        /// Server-sent events in it.
+        /// Number of server-sent events that end in the chunk.
         events: u64,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// Chunks in it.
+        /// Number of chunks.
         count: u64,
-        /// Hash of their bytes.
+        /// Hash of all bytes.
         digest: Bytes,
     },
-    /// It didn't run.
+    /// The sidecar refused the request; it did not run.
     Refused(NotRun),
-    /// It was attempted before.
+    /// The request was attempted before under the same idempotency key.
     Claimed(Option<Owner>),
-    /// It ran and failed.
+    /// The request was dispatched to the target and failed.
     Failed(Failed),
     /// The connection broke or fell silent after the request may have been sent.
     Lost,
-    /// Resuming found nobody at the sidecar's address, or a later life of it.
+    /// Resuming failed: no process answers at the sidecar's address, or a later incarnation does.
     Gone,
 }
 
-/// Why the caller gets no answer.
+/// Error to be reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Why.
+    /// Reason for the failure.
     pub code: Code,
-    /// What is known of the request's effect.
+    /// Whether the request took effect.
     pub outcome: Outcome,
-    /// When to come back.
+    /// How long the caller should wait before it sends the request again.
     pub retry: Option<Micros>,
 }
 
-/// What to do next.
+/// What the entry has to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Wait for the next frame.
     Wait,
-    /// Give these bytes to the caller.
+    /// Send these bytes to the caller.
     Deliver(Bytes),
-    /// Ask the same sidecar on a new connection from this chunk on, after a pause.
+    /// Resume the exchange at the same sidecar on a new connection, after a pause.
     Resume {
-        /// First chunk missing.
+        /// First chunk that is missing.
         next: u64,
-        /// How long to wait before.
+        /// How long to wait before the resumption.
         pause: Micros,
     },
-    /// Try another replica, which has to skip the events delivered.
+    /// Send the request to another replica, which has to skip the delivered events.
     RetryElsewhere {
-        /// Events that the caller has.
+        /// Number of events that the caller already has.
         delivered: u64,
-        /// What to tell the caller if there is no other replica.
+        /// Error to report if there is no other replica.
         failure: Failure,
     },
     /// Fetch the answer of the earlier attempt.
     Join(Owner),
-    /// The caller has it all.
+    /// The caller has the complete answer; end its stream.
     Finish,
-    /// Tell the caller.
+    /// Report this error to the caller.
     Fail(Failure),
 }
 
-/// One request on its way through an entry.
+/// State of one request at its entry.
 #[derive(Debug)]
 pub struct Relay {
     idempotent: bool,
     streamed: bool,
+    /// First chunk of the current exchange that is missing.
     next: u64,
+    /// Hash of the chunks of the current exchange.
     hash: blake3::Hasher,
+    /// Server-sent events that the caller has, from all attempts.
     delivered: u64,
+    /// Consecutive resumptions without a new chunk.
     resumes: u32,
     crashes: u32,
-    touched: bool,
+    /// Whether an earlier attempt may have run.
+    may_have_run: bool,
+    /// Whether the answer is fetched from an earlier attempt's exchange.
     joined: bool,
+    /// First chunk that isn't confirmed.
     confirmed: u64,
-    bytes: usize,
+    /// Bytes since the last confirmation.
+    unconfirmed_bytes: usize,
 }
 
 impl Relay {
-    /// A request that wasn't sent anywhere yet. Unless `streamed`, the caller gets nothing before
-    /// the answer is whole, so that another replica can start afresh.
+    /// Creates the state of a request that wasn't sent to any replica yet. Unless `streamed`, the
+    /// caller gets nothing before the answer is complete, so another replica can start it over.
     pub fn new(idempotent: bool, streamed: bool) -> Self {
         Self {
             idempotent,
@@ -146,10 +161,10 @@
             delivered: 0,
             resumes: 0,
             crashes: 0,
-            touched: false,
+            may_have_run: false,
             joined: false,
             confirmed: 0,
-            bytes: 0,
+            unconfirmed_bytes: 0,
         }
     }
 
@@ -158,45 +173,51 @@
         self.next
     }
 
-    /// Targets that died under this request so far.
+    /// Number of targets that crashed while they ran this request.
     pub fn crashes(&self) -> u32 {
         self.crashes
     }
 
-    /// What to confirm after a chunk was delivered, if it is time.
+    /// The position to confirm after a chunk was delivered, if a confirmation is due.
     pub fn confirm(&mut self) -> Option<u64> {
-        let due = self.next - self.confirmed >= CONFIRM || self.bytes >= CONFIRM_BYTES;
+        let due =
+            self.next - self.confirmed >= CONFIRM_CHUNKS || self.unconfirmed_bytes >= CONFIRM_BYTES;
         due.then(|| {
             self.confirmed = self.next;
-            self.bytes = 0;
+            self.unconfirmed_bytes = 0;
             self.next
         })
     }
 
-    /// Takes what happened, gives what to do.
+    /// Handles an event of the current exchange and returns the entry's next action.
     pub fn step(&mut self, event: Event) -> Action {
         match event {
             Event::Accepted => Action::Wait,
             Event::Unsent => {
                 let failure = Failure {
-                    outcome: self.known(),
+                    outcome: self.outcome_if_refused(),
                     ..unsent()
                 };
-                self.elsewhere(failure)
+                self.retry_elsewhere(failure)
             }
-            Event::Chunk { seq, data, events } if seq == self.next => self.take(data, events),
-            // A repeat after a resumption; the caller has it.
+            Event::Chunk { seq, data, events } if seq == self.next => {
+                self.accept_chunk(data, events)
+            }
+            // Repeated after a resumption; the caller already has the chunk.
             Event::Chunk { seq, .. } if seq < self.next => Action::Wait,
-            // A gap means that the connection can't be trusted.
+            // Chunks were lost on this connection, so the exchange is resumed on another.
             Event::Chunk { .. } => self.resume(),
             Event::End { count, digest } => self.end(count, &digest),
-            // Of what didn't run there can't be a part. Were it believed, the request would run
-            // again elsewhere, or a joined answer begin behind half of another.
-            Event::Refused(_) | Event::Claimed(_) if self.next > 0 => self.lost(Code::BadAnswer),
+            // A request that didn't run can't have sent chunks, so the frame is invalid. If it
+            // were accepted, the request would run again at another replica, or the answer of an
+            // earlier attempt would be appended to a partial answer.
+            Event::Refused(_) | Event::Claimed(_) if self.next > 0 => {
+                self.lose_target(Code::BadAnswer)
+            }
             Event::Refused(n) => self.refused(n),
             Event::Claimed(Some(owner)) if !self.joined => {
                 self.joined = true;
-                self.restart();
+                self.reset_exchange();
                 Action::Join(owner)
             }
             Event::Claimed(_) => Action::Fail(Failure {
@@ -206,14 +227,14 @@
             }),
             Event::Failed(f) => self.failed(f),
             Event::Lost => self.resume(),
-            Event::Gone => self.lost(Code::TargetLost),
+            Event::Gone => self.lose_target(Code::TargetLost),
         }
     }
 
-    fn take(&mut self, data: Bytes, events: u64) -> Action {
+    fn accept_chunk(&mut self, data: Bytes, events: u64) -> Action {
         self.hash.update(&data);
         self.next += 1;
-        self.bytes += data.len();
+        self.unconfirmed_bytes += data.len();
         self.resumes = 0;
         self.delivered += events;
         Action::Deliver(data)
@@ -222,15 +243,15 @@
     fn end(&mut self, count: u64, digest: &[u8]) -> Action {
         match self.hash.finalize().as_bytes() == digest {
             true if count == self.next => Action::Finish,
-            // Chunks are missing; they are still kept at the sidecar.
+            // Chunks are missing; the sidecar still keeps them.
             _ if count > self.next => self.resume(),
-            _ => self.lost(Code::BadAnswer),
+            _ => self.lose_target(Code::BadAnswer),
         }
     }
 
     fn refused(&mut self, n: NotRun) -> Action {
         let failure = match self.joined {
-            // The owner of the claim never ran it, yet the claim stands: nobody will.
+            // The claim's owner did not run the request, and its claim prevents any other run.
             true => Failure {
                 code: Code::AlreadyAttempted,
                 outcome: Outcome::Unknown,
@@ -238,17 +259,17 @@
             },
             false => Failure {
                 code: n.code(),
-                outcome: self.known(),
+                outcome: self.outcome_if_refused(),
                 retry: n.retry(),
             },
         };
         match (self.joined, n.code()) {
             (true, _) => Action::Fail(failure),
-            // Final wherever it is asked.
+            // Every replica would refuse the request for the same reason.
             (_, Code::Quarantined | Code::Deadline | Code::Limited | Code::BadRequest) => {
                 Action::Fail(failure)
             }
-            _ => self.elsewhere(failure),
+            _ => self.retry_elsewhere(failure),
         }
     }
 
@@ -260,13 +281,13 @@
                 outcome: f.outcome(),
                 retry: None,
             }),
-            false => self.lost(f.code),
+            false => self.lose_target(f.code),
         }
     }
 
     fn resume(&mut self) -> Action {
-        let Some(&pause) = PAUSES.get(self.resumes as usize) else {
-            return self.lost(Code::TargetLost);
+        let Some(&pause) = RESUME_DELAYS.get(self.resumes as usize) else {
+            return self.lose_target(Code::TargetLost);
         };
         self.resumes += 1;
         Action::Resume {
@@ -275,10 +296,11 @@
         }
     }
 
-    fn lost(&mut self, code: Code) -> Action {
-        self.touched = true;
+    fn lose_target(&mut self, code: Code) -> Action {
+        self.may_have_run = true;
         let failure = Failure {
-            // What became of an earlier attempt's answer is no failure of this one.
+            // The caller joined an earlier attempt; losing that answer doesn't mean that this
+            // attempt's own target was lost.
             code: if self.joined {
                 Code::AlreadyAttempted
             } else {
@@ -288,28 +310,28 @@
             retry: None,
         };
         match self.idempotent && !self.joined {
-            true => self.elsewhere(failure),
+            true => self.retry_elsewhere(failure),
             false => Action::Fail(failure),
         }
     }
 
-    fn elsewhere(&mut self, failure: Failure) -> Action {
-        self.restart();
+    fn retry_elsewhere(&mut self, failure: Failure) -> Action {
+        self.reset_exchange();
         let delivered = if self.streamed { self.delivered } else { 0 };
         Action::RetryElsewhere { delivered, failure }
     }
 
-    fn restart(&mut self) {
+    fn reset_exchange(&mut self) {
         self.next = 0;
         self.confirmed = 0;
-        self.bytes = 0;
+        self.unconfirmed_bytes = 0;
         self.resumes = 0;
         self.hash = blake3::Hasher::new();
     }
 
-    /// What a refusal says of the whole request: an earlier attempt may have run in part.
-    fn known(&self) -> Outcome {
-        match self.touched {
+    /// Outcome of the whole request after a refusal: an earlier attempt may have run in part.
+    fn outcome_if_refused(&self) -> Outcome {
+        match self.may_have_run {
             true => Outcome::Unknown,
             false => Outcome::NotRun,
         }
@@ -320,9 +342,9 @@
     Failure {
         code: Code::NoTarget,
         outcome: Outcome::NotRun,
-        retry: Some(RETRY),
+        retry: Some(RETRY_AFTER),
     }
 }
 
-/// When to come back if no target could be reached: membership has settled by then.
-const RETRY: Micros = Micros::from_secs(1);
+/// Retry delay for callers if no target could be reached; membership has settled by then.
+const RETRY_AFTER: Micros = Micros::from_secs(1);
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -1,79 +1,80 @@
-//! The life of an exchange at its sidecar, as types.
+//! States of an exchange at its sidecar, as types.
 //!
-//! A caller that hears "not run" sends its request again. If that answer were ever given for a
-//! request which the target has seen, a vote would count twice or a haulier be billed twice.
-//! Therefore the only way to a [`NotRun`] is from [`Exchange<Queued>`], which is used up when the
-//! request is handed to the target; [`Exchange<Dispatched>`] has no such method.
+//! A caller that gets the outcome "not run" may send its request again. If that outcome were
+//! reported for a request that the target has received, a vote could count twice or a haulier be
+//! billed twice. Therefore a sidecar can only create a [`NotRun`] from an [`Exchange<Queued>`],
+//! which is consumed when the request is dispatched to the target; [`Exchange<Dispatched>`] has no
+//! such method.
 //!
 //! ```
 //! let queued = exchange::Exchange::new();
 //! queued.refuse(model::Code::NoTarget, None);
 //! ```
 //!
-//! The same after the request was handed over, or once more with what was used up, is no program:
+//! Refusing a dispatched exchange, or using an exchange after it was consumed, does not compile:
 //!
 //! ```compile_fail,E0599
-//! let handed = exchange::Exchange::new().dispatch();
-//! handed.refuse(model::Code::NoTarget, None);
+//! let dispatched = exchange::Exchange::new().dispatch();
+//! dispatched.refuse(model::Code::NoTarget, None);
 //! ```
 //!
 //! ```compile_fail,E0382
 //! let queued = exchange::Exchange::new();
-//! let handed = queued.dispatch();
+//! let dispatched = queued.dispatch();
 //! queued.refuse(model::Code::NoTarget, None);
 //! ```
 
 use model::{Code, Micros, Outcome};
 
-/// Waits for its turn; no target has seen it.
+/// The request waits in the queue; no target has received any part of it.
 #[derive(Debug)]
 pub struct Queued(());
 
-/// Was handed to the target, in part or in whole.
+/// The request was sent to the target, in part or completely.
 #[derive(Debug)]
 pub struct Dispatched(());
 
-/// One attempt at one request.
+/// One attempt to serve a request, in state `S`.
 #[derive(Debug)]
 #[must_use = "an exchange ends in an answer or a refusal"]
 pub struct Exchange<S> {
     _state: S,
 }
 
-/// The request never reached a target and never will by this attempt.
+/// This attempt was refused: the request did not reach a target and never will.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotRun {
     code: Code,
     retry: Option<Micros>,
 }
 
-/// The request was handed over and couldn't be completed.
+/// This attempt failed after the request was dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failed {
-    /// Why.
+    /// Reason for the failure.
     pub code: Code,
-    /// Whether the target itself said that it failed.
+    /// Whether the target itself reported the failure.
     pub known: bool,
-    /// Whether the target died under it.
+    /// Whether the target crashed while it ran the request.
     pub crashed: bool,
 }
 
-/// The target's answer is whole.
+/// The target's answer is complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Done(());
 
 impl Exchange<Queued> {
-    /// A request that has just arrived.
+    /// Creates an exchange for a request that has just arrived.
     pub fn new() -> Self {
         Self { _state: Queued(()) }
     }
 
-    /// Ends it before any target saw it.
+    /// Ends the exchange before any target has received the request.
     pub fn refuse(self, code: Code, retry: Option<Micros>) -> NotRun {
         NotRun { code, retry }
     }
 
-    /// To be called before the first byte goes to the target.
+    /// Marks the request as dispatched; must be called before the first byte goes to the target.
     pub fn dispatch(self) -> Exchange<Dispatched> {
         Exchange {
             _state: Dispatched(()),
@@ -88,12 +89,12 @@
 }
 
 impl Exchange<Dispatched> {
-    /// The target's answer is whole.
+    /// Ends the exchange with a complete answer.
     pub fn complete(self) -> Done {
         Done(())
     }
 
-    /// The target's answer never became whole.
+    /// Ends the exchange without a complete answer.
     pub fn fail(self, code: Code, known: bool, crashed: bool) -> Failed {
         Failed {
             code,
@@ -104,24 +105,24 @@
 }
 
 impl NotRun {
-    /// What a sidecar said of its own exchange.
+    /// A refusal that a sidecar reported for its own exchange.
     pub fn reported(code: Code, retry: Option<Micros>) -> Self {
         Self { code, retry }
     }
 
-    /// Why.
+    /// Reason for the refusal.
     pub fn code(&self) -> Code {
         self.code
     }
 
-    /// When it is worth coming back.
+    /// How long the caller should wait before it sends the request again.
     pub fn retry(&self) -> Option<Micros> {
         self.retry
     }
 }
 
 impl Failed {
-    /// What a caller may conclude.
+    /// The outcome to report to the caller.
     pub fn outcome(&self) -> Outcome {
         match self.known {
             true => Outcome::Failed,
