--- a/crates/exchange/tests/common/entry.rs
+++ b/crates/exchange/tests/common/entry.rs
@@ -1,28 +1,29 @@
-//! The entry's part: does what its relay says, as `daemon::entry::drive` does.
+//! The entry: performs the actions of its relay, as `daemon::entry::drive` does.
 
 use bytes::Bytes;
 use exchange::{Action, Event, Token};
 use model::{Code, Outcome};
 
-use super::{Caller, Down, Up, World};
+use super::{Caller, Simulation, ToEntry, ToSidecar};
 
-impl World {
+impl Simulation {
     pub(super) fn ready(&self, i: usize) -> bool {
         let c = &self.callers[i];
         let readable = |n: usize| !self.conns[n].down.is_empty() || self.conns[n].broken;
-        c.waits()
+        c.is_waiting()
             && !c.paused
             && (c.at.is_none() || c.resume.is_some() || c.conn.is_none_or(readable))
     }
 
-    /// Connections on which nothing moves any more; only those with a carrier have heartbeats.
-    pub(super) fn silence(&mut self) -> bool {
-        let Some(i) = self.callers.iter().position(Caller::waits) else {
+    /// Breaks a silent connection that an entry waits on, as its time limit would. A connection
+    /// with a sender has heartbeats and is never silent.
+    pub(super) fn break_silent(&mut self) -> bool {
+        let Some(i) = self.callers.iter().position(Caller::is_waiting) else {
             return false;
         };
-        let conn = self.callers[i].conn.expect("waits on a connection");
-        let carry = self.conns[conn].carry.as_ref();
-        assert!(carry.is_none_or(|c| c.over), "stalled for good");
+        let conn = self.callers[i].conn.expect("the caller has a connection");
+        let sender = self.conns[conn].sender.as_ref();
+        assert!(sender.is_none_or(|c| c.over), "the answer stalled");
         self.conns[conn].broken = true;
         true
     }
@@ -39,54 +40,58 @@
             .and_then(|n| self.conns[n].down.pop_front());
         let event = match frame {
             None => Event::Lost,
-            Some(Down::Accepted(life)) => {
-                self.callers[i].at.as_mut().expect("attempted").1 = life;
+            Some(ToEntry::Accepted(incarnation)) => {
+                self.callers[i].at.as_mut().expect("attempted").1 = incarnation;
                 return;
             }
-            Some(Down::Head) => return,
-            Some(Down::Chunk(seq, data)) => Event::Chunk {
+            Some(ToEntry::Head) => return,
+            Some(ToEntry::Chunk(seq, data)) => Event::Chunk {
                 seq,
                 events: u64::from(data[0]),
                 data,
             },
-            Some(Down::End(count, digest)) => Event::End { count, digest },
-            Some(Down::Refuse(n, owner)) if n.code() == Code::AlreadyAttempted => {
+            Some(ToEntry::End(count, digest)) => Event::End { count, digest },
+            Some(ToEntry::Refuse(n, owner)) if n.code() == Code::AlreadyAttempted => {
                 Event::Claimed(owner)
             }
-            Some(Down::Refuse(n, _)) => Event::Refused(n),
-            Some(Down::Fail(f)) => Event::Failed(f),
+            Some(ToEntry::Refuse(n, _)) => Event::Refused(n),
+            Some(ToEntry::Fail(f)) => Event::Failed(f),
         };
         self.step(i, event);
     }
 
     fn attempt(&mut self, i: usize) {
         let ask = self.callers[i].ask;
-        let side = self.callers[i].tried.len();
-        self.callers[i].tried.push(side);
+        let sidecar = self.callers[i].tried.len();
+        self.callers[i].tried.push(sidecar);
         self.tokens += 1;
         let token = Token(Bytes::copy_from_slice(&self.tokens.to_le_bytes()));
-        let life = if ask.known { self.sides[side].life } else { 0 };
-        self.callers[i].at = Some((side, life, token.clone()));
-        if self.sides[side].gone {
+        let incarnation = if ask.incarnation_known {
+            self.sidecars[sidecar].incarnation
+        } else {
+            0
+        };
+        self.callers[i].at = Some((sidecar, incarnation, token.clone()));
+        if self.sidecars[sidecar].gone {
             return self.step(i, Event::Unsent);
         }
-        let pooled = self.idle.get_mut(&side).and_then(Vec::pop);
+        let pooled = self.idle.get_mut(&sidecar).and_then(Vec::pop);
         let conn = pooled.filter(|&n| !self.conns[n].broken && self.conns[n].down.is_empty());
-        let conn = conn.unwrap_or_else(|| self.dial(side));
+        let conn = conn.unwrap_or_else(|| self.dial(sidecar));
         self.callers[i].conn = Some(conn);
         let skip = self.callers[i].skip;
-        self.send(conn, Up::Open(i, token, life, skip));
+        self.send(conn, ToSidecar::Open(i, token, incarnation, skip));
     }
 
     fn resume(&mut self, i: usize, next: u64) {
         self.callers[i].conn = None;
-        let (side, life, token) = self.callers[i].at.clone().expect("attempted");
-        if self.sides[side].gone {
+        let (sidecar, incarnation, token) = self.callers[i].at.clone().expect("attempted");
+        if self.sidecars[sidecar].gone {
             return self.step(i, Event::Gone);
         }
-        let conn = self.dial(side);
+        let conn = self.dial(sidecar);
         self.callers[i].conn = Some(conn);
-        self.send(conn, Up::Resume(token, next, life));
+        self.send(conn, ToSidecar::Resume(token, next, incarnation));
     }
 
     fn step(&mut self, i: usize, event: Event) {
@@ -94,7 +99,7 @@
             Action::Wait => {}
             Action::Deliver(data) => {
                 let n = usize::from(data[0]);
-                self.callers[i].got.extend_from_slice(&data[1..=n]);
+                self.callers[i].received.extend_from_slice(&data[1..=n]);
                 self.confirm(i);
             }
             Action::Resume { next, pause } => {
@@ -102,21 +107,24 @@
                 self.callers[i].resume = Some(next);
             }
             Action::Join(owner) => {
-                let side = self.sides.iter().position(|s| s.life == owner.incarnation);
-                // An address whose process has begun a new life answers as that.
-                let side = side.unwrap_or_else(|| owner.address.parse().expect("an index"));
+                let sidecar = self
+                    .sidecars
+                    .iter()
+                    .position(|s| s.incarnation == owner.incarnation);
+                // If that incarnation has ended, the process at its address answers.
+                let sidecar = sidecar.unwrap_or_else(|| owner.address.parse().expect("an index"));
                 self.pool(i);
                 let c = &mut self.callers[i];
-                c.at = Some((side, owner.incarnation, Token(owner.token)));
+                c.at = Some((sidecar, owner.incarnation, Token(owner.token)));
                 c.resume = Some(0);
             }
             Action::RetryElsewhere { delivered, failure } => {
-                let more = self.callers[i].tried.len() < self.sides.len();
+                let more = self.callers[i].tried.len() < self.sidecars.len();
                 let c = &mut self.callers[i];
                 c.conn = None;
                 c.skip = delivered;
                 if !c.ask.streamed {
-                    c.got.clear();
+                    c.received.clear();
                 }
                 match more && (c.ask.idempotent || failure.outcome == Outcome::NotRun) {
                     true => c.at = None,
@@ -134,16 +142,16 @@
     fn confirm(&mut self, i: usize) {
         let c = &mut self.callers[i];
         let due = c.relay().confirm();
-        let next = due.or(c.ask.eager.then(|| c.relay().next()));
+        let next = due.or(c.ask.confirm_each.then(|| c.relay().next()));
         if let (Some(n), Some(conn)) = (next, c.conn) {
-            self.send(conn, Up::Ack(n));
+            self.send(conn, ToSidecar::Ack(n));
         }
     }
 
     fn pool(&mut self, i: usize) {
         if let Some(conn) = self.callers[i].conn.take() {
-            let side = self.conns[conn].side;
-            self.idle.entry(side).or_default().push(conn);
+            let sidecar = self.conns[conn].sidecar;
+            self.idle.entry(sidecar).or_default().push(conn);
         }
     }
 }
--- a/crates/exchange/tests/common/mod.rs
+++ b/crates/exchange/tests/common/mod.rs
@@ -1,8 +1,10 @@
-//! Entries, sidecars and targets joined by queues of frames: no network, no clock, no tasks.
+//! Simulation of entries, sidecars and targets connected by queues of frames, without a network,
+//! a clock or tasks.
 //!
 //! The entry does what `daemon::entry::drive` does with each action, the sidecar what
-//! `daemon::sidecar::{serve, live, run}` do with each frame. One call of [`World::act`] is one
-//! step of one of them; after each, [`World::check`] holds the promises against the target's log.
+//! `daemon::sidecar::{serve, live, run}` do with each frame. One call of [`Simulation::act`] is one
+//! step of one of them; after each, [`Simulation::check`] compares what callers got with the
+//! targets' log.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -19,20 +21,22 @@
 };
 use model::{Micros, Outcome};
 
-/// Steps after which a run counts as endless.
-const STEPS: usize = 3_000;
+/// Number of steps after which a simulation counts as endless.
+const MAX_STEPS: usize = 3_000;
 
+/// A frame from an entry to a sidecar.
 #[derive(Clone, Debug)]
-pub enum Up {
-    /// Of a caller, for a sidecar's life, after so many events.
+pub enum ToSidecar {
+    /// Caller, token, addressed incarnation and number of events to skip.
     Open(usize, Token, u64, u64),
-    /// From a chunk on, at a sidecar's life.
+    /// Token, first missing chunk and addressed incarnation.
     Resume(Token, u64, u64),
     Ack(u64),
 }
 
+/// A frame from a sidecar to an entry.
 #[derive(Clone, Debug)]
-pub enum Down {
+pub enum ToEntry {
     Accepted(u64),
     Head,
     Chunk(u64, Bytes),
@@ -41,38 +45,38 @@
     Fail(Failed),
 }
 
-/// Where a connection breaks: frames from this one on don't arrive, or arrive late.
+/// Where a connection breaks: the frame at this position and all later ones are lost or late.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cut {
     pub up: bool,
     pub at: usize,
-    pub late: Late,
+    pub late: LateDelivery,
 }
 
-/// What becomes of the requests on a broken connection.
+/// When the requests on a broken connection are delivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Late {
+pub enum LateDelivery {
     Never,
-    /// Right after the next frame on another connection.
+    /// Right after the next frame on another connection was handled.
     Next,
-    /// When all else has come to rest.
+    /// When nothing else can make a step.
     Last,
 }
 
 #[derive(Debug, Default)]
 struct Conn {
-    side: usize,
-    up: VecDeque<Up>,
-    down: VecDeque<Down>,
+    sidecar: usize,
+    up: VecDeque<ToSidecar>,
+    down: VecDeque<ToEntry>,
     sent: [usize; 2],
     cut: Option<Cut>,
     broken: bool,
-    late: VecDeque<Up>,
-    carry: Option<Carry>,
+    late: VecDeque<ToSidecar>,
+    sender: Option<Sender>,
 }
 
 #[derive(Debug, Default)]
-struct Carry {
+struct Sender {
     run: usize,
     accepted: bool,
     head: bool,
@@ -91,10 +95,10 @@
 }
 
 #[derive(Debug)]
-struct Run {
-    side: usize,
-    life: u64,
-    who: usize,
+struct Execution {
+    sidecar: usize,
+    incarnation: u64,
+    caller: usize,
     token: Token,
     skip: u64,
     engine: u64,
@@ -104,43 +108,45 @@
     sent: bool,
 }
 
-/// A sidecar and its target.
+/// A sidecar with its target.
 #[derive(Debug, Default)]
-pub struct Side {
-    pub life: u64,
+pub struct Sidecar {
+    pub incarnation: u64,
     pub gone: bool,
-    /// Neither reads nor sends for a while.
+    /// The process is frozen: it neither reads nor sends.
     pub paused: bool,
-    pub dead: bool,
-    /// The target dies when it has given so many chunks.
-    pub dies: Option<usize>,
-    /// Its target's life.
+    /// The target accepts no connections.
+    pub refuses: bool,
+    /// Number of chunks after which the target crashes.
+    pub dies_after: Option<usize>,
+    /// Incarnation of the target.
     pub engine: u64,
     registry: Registry<usize>,
 }
 
-/// What a caller asks for.
+/// A caller's request and how its entry treats it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ask {
+pub struct RequestSpec {
     pub idempotent: bool,
     pub streamed: bool,
     pub key: Option<u32>,
-    /// Events of the answer.
+    /// Number of events in the answer.
     pub events: u8,
-    /// Bytes of each.
+    /// Size of each event in bytes.
     pub size: usize,
-    /// Whether the entry knows the sidecar's life before it opens.
-    pub known: bool,
-    /// Whether each chunk is confirmed, or as the entry does it.
-    pub eager: bool,
+    /// Whether the entry knows the sidecar's incarnation when it opens the exchange.
+    pub incarnation_known: bool,
+    /// Whether the entry confirms each chunk instead of only when a confirmation is due.
+    pub confirm_each: bool,
 }
 
 #[derive(Debug, Default)]
 pub struct Caller {
-    pub ask: Ask,
+    pub ask: RequestSpec,
     pub relay: Option<Relay>,
-    pub got: Vec<u8>,
+    pub received: Vec<u8>,
     pub end: Option<Result<(), Failure>>,
+    /// Sidecar, its incarnation and the token of the current exchange.
     at: Option<(usize, u64, Token)>,
     conn: Option<usize>,
     pub tried: Vec<usize>,
@@ -150,83 +156,83 @@
     pub paused: bool,
 }
 
-/// What may be wrong with the frames of a connection.
+/// A fault in the frames of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Spoil {
+pub enum Corruption {
     Repeat,
     Swap,
     Lose,
-    /// The end counts one chunk more.
+    /// The count in the end frame is one too high.
     More,
-    /// Or one fewer.
+    /// The count in the end frame is one too low.
     Fewer,
-    /// Its hash is another.
+    /// The hash in the end frame is wrong.
     Digest,
 }
 
 /// One step of one participant.
 #[derive(Clone, Copy, Debug)]
-pub enum Move {
+pub enum Step {
     Entry(usize),
-    Up(usize),
+    Sidecar(usize),
     Target(usize),
-    Late(usize),
+    LateFrames(usize),
 }
 
 #[derive(Debug, Default)]
-pub struct World {
-    pub sides: Vec<Side>,
+pub struct Simulation {
+    pub sidecars: Vec<Sidecar>,
     pub callers: Vec<Caller>,
-    /// What the targets saw: the caller and the replica.
+    /// Requests that reached a target: the caller and the replica.
     pub log: Vec<(usize, usize)>,
-    /// Cuts of the connections in the order in which they are made.
+    /// Cuts of the connections, in the order in which connections are opened.
     pub cuts: VecDeque<Option<Cut>>,
-    /// What the first cut does to its sidecar.
-    pub fate: Fate,
+    /// What happens to the sidecar of the first connection that is cut.
+    pub after_cut: AfterCut,
     pub now: Micros,
     conns: Vec<Conn>,
-    runs: Vec<Run>,
-    /// The answer to the next claim is lost.
-    pub lossy: bool,
+    executions: Vec<Execution>,
+    /// Whether the answer to the next claim is lost.
+    pub lose_next_claim: bool,
     claims: HashMap<u32, Owner>,
     idle: HashMap<usize, Vec<usize>>,
     tokens: u32,
     steps: usize,
 }
 
-/// Whom the resumption meets.
+/// State of the sidecar when the entry resumes an exchange after a cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Fate {
+pub enum AfterCut {
     #[default]
     Same,
     Restarted,
-    Nobody,
+    Gone,
 }
 
 impl Caller {
     fn relay(&mut self) -> &mut Relay {
-        self.relay.as_mut().expect("made with it")
+        self.relay.as_mut().expect("every caller has a relay")
     }
 
-    fn waits(&self) -> bool {
+    fn is_waiting(&self) -> bool {
         self.end.is_none() && !self.crashed
     }
 }
 
-impl World {
-    pub fn new(sides: usize) -> Self {
-        let side = |i| Side {
-            life: 100 + i as u64,
+impl Simulation {
+    pub fn new(sidecars: usize) -> Self {
+        let sidecar = |i| Sidecar {
+            incarnation: 100 + i as u64,
             engine: 1,
-            ..Side::default()
+            ..Sidecar::default()
         };
         Self {
-            sides: (0..sides).map(side).collect(),
+            sidecars: (0..sidecars).map(sidecar).collect(),
             ..Self::default()
         }
     }
 
-    pub fn call(&mut self, ask: Ask) {
+    pub fn call(&mut self, ask: RequestSpec) {
         self.callers.push(Caller {
             ask,
             relay: Some(Relay::new(ask.idempotent, ask.streamed)),
@@ -234,17 +240,19 @@
         });
     }
 
-    /// Runs until nothing moves and no late frame is left.
+    /// Runs until no step is possible and no late frame is left.
     pub fn settle(&mut self) {
-        self.sides.iter_mut().for_each(|s| s.paused = false);
+        self.sidecars.iter_mut().for_each(|s| s.paused = false);
         self.callers.iter_mut().for_each(|c| c.paused = false);
         loop {
             self.count();
             let moves = self.moves();
-            for &m in moves.iter().filter(|m| !matches!(m, Move::Late(_))) {
+            for &m in moves.iter().filter(|m| !matches!(m, Step::LateFrames(_))) {
                 self.act(m);
             }
-            if moves.iter().any(|m| !matches!(m, Move::Late(_))) || self.silence() || self.orphan()
+            if moves.iter().any(|m| !matches!(m, Step::LateFrames(_)))
+                || self.break_silent()
+                || self.confirm_abandoned()
             {
                 continue;
             }
@@ -257,57 +265,61 @@
 
     fn count(&mut self) {
         self.steps += 1;
-        assert!(self.steps < STEPS, "endless");
+        assert!(self.steps < MAX_STEPS, "endless");
     }
 
-    /// All that can move now.
-    pub fn moves(&self) -> Vec<Move> {
+    /// All steps that are possible now.
+    pub fn moves(&self) -> Vec<Step> {
         let entry = (0..self.callers.len()).filter(|&i| self.ready(i));
-        let awake = |c: &Conn| !self.sides[c.side].paused;
+        let awake = |c: &Conn| !self.sidecars[c.sidecar].paused;
         let up = (0..self.conns.len())
             .filter(|&i| !self.conns[i].up.is_empty() && awake(&self.conns[i]));
-        let run = (0..self.runs.len()).filter(|&i| self.busy(i));
+        let run = (0..self.executions.len()).filter(|&i| self.busy(i));
         let late = (0..self.conns.len()).filter(|&i| !self.conns[i].late.is_empty());
-        let moves = up.map(Move::Up).chain(entry.map(Move::Entry));
-        let moves = moves.chain(run.map(Move::Target));
-        moves.chain(late.map(Move::Late)).collect()
+        let moves = up.map(Step::Sidecar).chain(entry.map(Step::Entry));
+        let moves = moves.chain(run.map(Step::Target));
+        moves.chain(late.map(Step::LateFrames)).collect()
     }
 
-    pub fn act(&mut self, m: Move) {
+    pub fn act(&mut self, m: Step) {
         self.count();
         match m {
-            Move::Entry(i) if self.ready(i) => self.entry(i),
-            Move::Target(i) if self.busy(i) => self.target(i),
-            Move::Up(i) => {
+            Step::Entry(i) if self.ready(i) => self.entry(i),
+            Step::Target(i) if self.busy(i) => self.target(i),
+            Step::Sidecar(i) => {
                 if let Some(f) = self.conns[i].up.pop_front() {
                     self.serve(i, f);
-                    self.ripen(i);
+                    self.deliver_late(i);
                 }
             }
-            Move::Late(i) => {
-                self.arrive(i);
-                self.conns[i].carry = None;
+            Step::LateFrames(i) => {
+                self.deliver(i);
+                self.conns[i].sender = None;
             }
             _ => {}
         }
-        self.pump();
+        self.send_pending();
         self.check();
     }
 
-    /// The promises, at every step.
+    /// Checks the guarantees that must hold after every step.
     pub fn check(&self) {
         for (i, c) in self.callers.iter().enumerate() {
-            let ran = self.log.iter().filter(|(who, _)| *who == i).count();
+            let ran = self.log.iter().filter(|(caller, _)| *caller == i).count();
             let whole: Vec<u8> = (0..c.ask.events).collect();
-            assert!(whole.starts_with(&c.got), "once and in order: {:?}", c.got);
+            assert!(
+                whole.starts_with(&c.received),
+                "once and in order: {:?}",
+                c.received
+            );
             if !c.ask.idempotent {
                 let same = |j: usize| j == i || c.ask.key.is_some_and(|k| self.key(j) == Some(k));
-                let all = self.log.iter().filter(|(who, _)| same(*who)).count();
+                let all = self.log.iter().filter(|(caller, _)| same(*caller)).count();
                 assert!(all <= 1, "ran {all} times");
             }
             match &c.end {
                 Some(Ok(())) => {
-                    assert_eq!(c.got, whole, "finished early");
+                    assert_eq!(c.received, whole, "finished early");
                     assert!(ran > 0 || c.ask.key.is_some(), "an answer from nowhere");
                 }
                 Some(Err(f)) if f.outcome == Outcome::NotRun => {
@@ -318,19 +330,19 @@
         }
     }
 
-    pub fn restart(&mut self, side: usize) {
-        let s = &mut self.sides[side];
-        s.life += 10;
+    pub fn restart(&mut self, sidecar: usize) {
+        let s = &mut self.sidecars[sidecar];
+        s.incarnation += 10;
         s.registry = Registry::default();
-        for c in self.conns.iter_mut().filter(|c| c.side == side) {
+        for c in self.conns.iter_mut().filter(|c| c.sidecar == sidecar) {
             c.broken = true;
-            c.carry = None;
+            c.sender = None;
             c.up.clear();
             c.late.clear();
         }
     }
 
-    /// The entry dies; what it sent is still under way.
+    /// Crashes the caller's entry; frames that it has sent are still delivered.
     pub fn crash(&mut self, caller: usize) {
         let c = &mut self.callers[caller];
         c.crashed = true;
@@ -339,30 +351,30 @@
         }
     }
 
-    /// Every connection of a caller breaks now.
+    /// Breaks the caller's connection.
     pub fn break_conn(&mut self, caller: usize) {
         if let Some(conn) = self.callers[caller].conn {
             self.conns[conn].broken = true;
-            self.conns[conn].carry = None;
+            self.conns[conn].sender = None;
         }
     }
 
-    /// Spoils what the caller's entry reads next; false if there is nothing to spoil.
-    pub fn spoil(&mut self, caller: usize, how: Spoil) -> bool {
+    /// Corrupts the next frame for the caller's entry; false if there is no suitable frame.
+    pub fn corrupt(&mut self, caller: usize, how: Corruption) -> bool {
         let Some(conn) = self.callers[caller].conn else {
             return false;
         };
         let down = &mut self.conns[conn].down;
         match (how, down.len(), down.front_mut()) {
-            (Spoil::Repeat, _, Some(f)) => {
+            (Corruption::Repeat, _, Some(f)) => {
                 let f = f.clone();
                 down.push_front(f);
             }
-            (Spoil::Swap, 2.., _) => down.swap(0, 1),
-            (Spoil::Lose, 1.., _) => drop(down.pop_front()),
-            (Spoil::More, _, Some(Down::End(count, _))) => *count += 1,
-            (Spoil::Fewer, _, Some(Down::End(count @ 1.., _))) => *count -= 1,
-            (Spoil::Digest, _, Some(Down::End(_, digest))) => {
+            (Corruption::Swap, 2.., _) => down.swap(0, 1),
+            (Corruption::Lose, 1.., _) => drop(down.pop_front()),
+            (Corruption::More, _, Some(ToEntry::End(count, _))) => *count += 1,
+            (Corruption::Fewer, _, Some(ToEntry::End(count @ 1.., _))) => *count -= 1,
+            (Corruption::Digest, _, Some(ToEntry::End(_, digest))) => {
                 *digest = Bytes::from_static(&[0; 32])
             }
             _ => return false,
@@ -370,30 +382,30 @@
         true
     }
 
-    /// Ended exchanges are forgotten, as they are after a while.
+    /// Removes ended exchanges from the registries, as sidecars do after a while.
     pub fn forget(&mut self) {
-        for r in &self.runs {
+        for r in &self.executions {
             let ran = matches!(r.state, State::Done | State::Failed(_));
-            if r.sent && self.sides[r.side].life == r.life {
-                let registry = &mut self.sides[r.side].registry;
+            if r.sent && self.sidecars[r.sidecar].incarnation == r.incarnation {
+                let registry = &mut self.sidecars[r.sidecar].registry;
                 registry.close(self.now, &r.token, ran);
             }
         }
     }
 
-    /// Whether no run holds a slot of its target.
+    /// Whether no execution holds a slot of its target.
     pub fn idle(&self) -> bool {
-        let open = |r: &Run| matches!(r.state, State::Queued(_) | State::Dispatched(..));
-        !self.runs.iter().any(|r| open(r) && self.live(r))
+        let open = |r: &Execution| matches!(r.state, State::Queued(_) | State::Dispatched(..));
+        !self.executions.iter().any(|r| open(r) && self.live(r))
     }
 
-    /// The caller for whom a step is made.
-    pub fn owner(&self, m: Move) -> usize {
+    /// The caller that a step belongs to.
+    pub fn owner(&self, m: Step) -> usize {
         let of = |n: usize| self.callers.iter().position(|c| c.conn == Some(n));
         match m {
-            Move::Entry(i) => i,
-            Move::Target(i) => self.runs[i].who,
-            Move::Up(n) | Move::Late(n) => of(n).unwrap_or(0),
+            Step::Entry(i) => i,
+            Step::Target(i) => self.executions[i].caller,
+            Step::Sidecar(n) | Step::LateFrames(n) => of(n).unwrap_or(0),
         }
     }
 
--- a/crates/exchange/tests/common/sidecar.rs
+++ b/crates/exchange/tests/common/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar's part and its target's, as `daemon::sidecar::{serve, live, run}` have them.
+//! The sidecar and its target, as in `daemon::sidecar::{serve, live, run}`.
 
 use std::collections::VecDeque;
 
@@ -8,63 +8,72 @@
 };
 use model::Code;
 
-use super::{Carry, Down, Run, State, Up, World};
-
-impl World {
-    /// A run that nobody reads goes on after a while, as `lifetime` in the sidecar has it.
-    pub(super) fn orphan(&mut self) -> bool {
-        let stuck = |r: &Run| matches!(r.state, State::Dispatched(..)) && r.retain.full();
-        let Some(i) = self.runs.iter().position(|r| stuck(r) && self.live(r)) else {
+use super::{Execution, Sender, Simulation, State, ToEntry, ToSidecar};
+
+impl Simulation {
+    /// Lets an abandoned execution continue although its replay buffer is full and no entry reads
+    /// it, as `lifetime` in the sidecar does after a while.
+    pub(super) fn confirm_abandoned(&mut self) -> bool {
+        let stuck = |r: &Execution| matches!(r.state, State::Dispatched(..)) && r.retain.full();
+        let Some(i) = self
+            .executions
+            .iter()
+            .position(|r| stuck(r) && self.live(r))
+        else {
             return false;
         };
-        self.runs[i].retain.confirm(u64::MAX);
+        self.executions[i].retain.confirm(u64::MAX);
         true
     }
 
-    pub(super) fn serve(&mut self, conn: usize, frame: Up) {
-        let side = self.conns[conn].side;
-        let mine = self.sides[side].life;
+    pub(super) fn serve(&mut self, conn: usize, frame: ToSidecar) {
+        let sidecar = self.conns[conn].sidecar;
+        let mine = self.sidecars[sidecar].incarnation;
         match frame {
-            Up::Open(who, token, life, skip) => {
-                let fresh = self.runs.len();
-                let meant = IncarnationMatch::compare(life, mine);
-                let registry = &mut self.sides[side].registry;
-                match registry.open(meant, token.clone(), || fresh) {
+            ToSidecar::Open(caller, token, incarnation, skip) => {
+                let fresh = self.executions.len();
+                let matched = IncarnationMatch::compare(incarnation, mine);
+                let registry = &mut self.sidecars[sidecar].registry;
+                match registry.open(matched, token.clone(), || fresh) {
                     Lookup::New => {
-                        self.runs.push(self.arrived(side, who, token, skip));
-                        self.carry(conn, fresh, 0);
+                        self.executions
+                            .push(self.arrived(sidecar, caller, token, skip));
+                        self.attach_sender(conn, fresh, 0);
                     }
-                    Lookup::Active(run) => self.carry(conn, run, 0),
+                    Lookup::Active(run) => self.attach_sender(conn, run, 0),
                     Lookup::Voided => self.refuse(conn, Code::Cancelled),
                     Lookup::OtherIncarnation => self.refuse(conn, Code::NoTarget),
                     Lookup::Ended => self.lost(conn),
                 }
             }
-            Up::Resume(token, next, life) => {
-                let meant = IncarnationMatch::compare(life, mine);
-                match self.sides[side].registry.resume(self.now, meant, token) {
+            ToSidecar::Resume(token, next, incarnation) => {
+                let matched = IncarnationMatch::compare(incarnation, mine);
+                match self.sidecars[sidecar]
+                    .registry
+                    .resume(self.now, matched, token)
+                {
                     Lookup::Active(run) => {
-                        self.runs[run].retain.confirm(next);
-                        self.carry(conn, run, next);
+                        self.executions[run].retain.confirm(next);
+                        self.attach_sender(conn, run, next);
                     }
                     Lookup::Voided | Lookup::New => self.refuse(conn, Code::NoTarget),
                     Lookup::Ended | Lookup::OtherIncarnation => self.lost(conn),
                 }
             }
-            Up::Ack(n) => {
-                if let Some(c) = self.conns[conn].carry.as_ref().filter(|c| !c.over) {
-                    self.runs[c.run].retain.confirm(n);
+            ToSidecar::Ack(n) => {
+                if let Some(c) = self.conns[conn].sender.as_ref().filter(|c| !c.over) {
+                    self.executions[c.run].retain.confirm(n);
                 }
             }
         }
     }
 
-    fn arrived(&self, side: usize, who: usize, token: Token, skip: u64) -> Run {
-        let keyed = self.callers[who].ask.key.is_some();
-        Run {
-            side,
-            life: self.sides[side].life,
-            who,
+    fn arrived(&self, sidecar: usize, caller: usize, token: Token, skip: u64) -> Execution {
+        let keyed = self.callers[caller].ask.key.is_some();
+        Execution {
+            sidecar,
+            incarnation: self.sidecars[sidecar].incarnation,
+            caller,
             token,
             skip,
             state: State::Queued(Exchange::new()),
@@ -81,26 +90,26 @@
 
     fn refuse(&mut self, conn: usize, code: Code) {
         let n = Exchange::new().refuse(code, None);
-        self.answer(conn, Down::Refuse(n, None));
+        self.answer(conn, ToEntry::Refuse(n, None));
     }
 
     fn lost(&mut self, conn: usize) {
         let f = Exchange::new()
             .dispatch()
             .fail(Code::TargetLost, false, false);
-        self.answer(conn, Down::Fail(f));
+        self.answer(conn, ToEntry::Fail(f));
     }
 
-    fn carry(&mut self, conn: usize, run: usize, seq: u64) {
-        self.conns[conn].carry = Some(Carry {
+    fn attach_sender(&mut self, conn: usize, run: usize, seq: u64) {
+        self.conns[conn].sender = Some(Sender {
             run,
             seq,
-            ..Carry::default()
+            ..Sender::default()
         });
     }
 
-    /// Sends what there is on every connection.
-    pub(super) fn pump(&mut self) {
+    /// Sends all available frames on every connection.
+    pub(super) fn send_pending(&mut self) {
         for i in 0..self.conns.len() {
             while let Some(frame) = self.next(i) {
                 self.answer(i, frame);
@@ -108,21 +117,21 @@
         }
     }
 
-    fn next(&mut self, conn: usize) -> Option<Down> {
-        let side = self.conns[conn].side;
-        let life = self.sides[side].life;
-        let c = self.conns[conn].carry.as_mut().filter(|c| !c.over)?;
-        let r = &mut self.runs[c.run];
+    fn next(&mut self, conn: usize) -> Option<ToEntry> {
+        let sidecar = self.conns[conn].sidecar;
+        let incarnation = self.sidecars[sidecar].incarnation;
+        let c = self.conns[conn].sender.as_mut().filter(|c| !c.over)?;
+        let r = &mut self.executions[c.run];
         if !std::mem::replace(&mut c.accepted, true) {
-            return Some(Down::Accepted(life));
+            return Some(ToEntry::Accepted(incarnation));
         }
         if r.head && !std::mem::replace(&mut c.head, true) {
-            return Some(Down::Head);
+            return Some(ToEntry::Head);
         }
         let chunk = r.retain.get(c.seq);
         if let Ok(Some(data)) = chunk {
             c.seq += 1;
-            return Some(Down::Chunk(c.seq - 1, data));
+            return Some(ToEntry::Chunk(c.seq - 1, data));
         }
         if let Err(e) = chunk {
             c.over = true;
@@ -131,16 +140,16 @@
             let f = Exchange::new()
                 .dispatch()
                 .fail(Code::TargetLost, false, false);
-            return Some(Down::Fail(f));
+            return Some(ToEntry::Fail(f));
         }
         let last = match &r.state {
             State::Queued(_) | State::Dispatched(..) => return None,
             State::Done => {
                 let (count, digest) = r.retain.total().expect("ended");
-                Down::End(count, digest)
+                ToEntry::End(count, digest)
             }
-            State::NotRun(n, owner) => Down::Refuse(n.clone(), owner.clone()),
-            State::Failed(f) => Down::Fail(f.clone()),
+            State::NotRun(n, owner) => ToEntry::Refuse(n.clone(), owner.clone()),
+            State::Failed(f) => ToEntry::Fail(f.clone()),
         };
         c.over = true;
         r.sent = true;
@@ -148,72 +157,72 @@
     }
 
     pub(super) fn busy(&self, i: usize) -> bool {
-        let r = &self.runs[i];
+        let r = &self.executions[i];
         let open = matches!(r.state, State::Queued(_) | State::Dispatched(..));
-        open && self.live(r) && (!r.retain.full() || self.struck(i))
+        open && self.live(r) && (!r.retain.full() || self.engine_died(i))
     }
 
-    pub(super) fn live(&self, r: &Run) -> bool {
-        let s = &self.sides[r.side];
-        s.life == r.life && !s.paused
+    pub(super) fn live(&self, r: &Execution) -> bool {
+        let s = &self.sidecars[r.sidecar];
+        s.incarnation == r.incarnation && !s.paused
     }
 
-    fn struck(&self, i: usize) -> bool {
-        let r = &self.runs[i];
-        matches!(r.state, State::Dispatched(..)) && r.engine != self.sides[r.side].engine
+    fn engine_died(&self, i: usize) -> bool {
+        let r = &self.executions[i];
+        matches!(r.state, State::Dispatched(..)) && r.engine != self.sidecars[r.sidecar].engine
     }
 
     pub(super) fn target(&mut self, i: usize) {
-        let side = self.runs[i].side;
-        let s = &mut self.sides[side];
-        if s.dies
-            .is_some_and(|n| n as u64 == self.runs[i].retain.next() && self.runs[i].head)
-        {
-            s.dies = None;
+        let sidecar = self.executions[i].sidecar;
+        let s = &mut self.sidecars[sidecar];
+        if s.dies_after.is_some_and(|n| {
+            n as u64 == self.executions[i].retain.next() && self.executions[i].head
+        }) {
+            s.dies_after = None;
             s.engine += 1;
         }
-        let struck = self.struck(i);
-        let state = std::mem::replace(&mut self.runs[i].state, State::Done);
+        let struck = self.engine_died(i);
+        let state = std::mem::replace(&mut self.executions[i].state, State::Done);
         let state = match state {
             State::Queued(ex) => self.admitted(i, ex),
             State::Dispatched(ex, _) if struck => {
                 State::Failed(ex.fail(Code::TargetLost, false, true))
             }
-            State::Dispatched(ex, left) if !self.runs[i].head => {
-                self.runs[i].head = true;
+            State::Dispatched(ex, left) if !self.executions[i].head => {
+                self.executions[i].head = true;
                 State::Dispatched(ex, left)
             }
             State::Dispatched(ex, mut left) => match left.pop_front() {
                 Some(data) => {
-                    self.runs[i].retain.push(data);
+                    self.executions[i].retain.push(data);
                     State::Dispatched(ex, left)
                 }
                 None => {
-                    self.runs[i].retain.end();
+                    self.executions[i].retain.end();
                     ex.complete();
                     State::Done
                 }
             },
             over => over,
         };
-        self.runs[i].state = state;
+        self.executions[i].state = state;
     }
 
     fn admitted(&mut self, i: usize, ex: Exchange<Queued>) -> State {
-        let (side, who) = (self.runs[i].side, self.runs[i].who);
-        if self.sides[side].dead {
+        let (sidecar, caller) = (self.executions[i].sidecar, self.executions[i].caller);
+        if self.sidecars[sidecar].refuses {
             return State::NotRun(ex.refuse(Code::NoTarget, None), None);
         }
-        let ask = self.callers[who].ask;
+        let ask = self.callers[caller].ask;
         let mine = Owner {
-            token: self.runs[i].token.0.clone(),
-            address: side.to_string(),
-            incarnation: self.sides[side].life,
+            token: self.executions[i].token.0.clone(),
+            address: sidecar.to_string(),
+            incarnation: self.sidecars[sidecar].incarnation,
         };
         if let Some(key) = ask.key.filter(|_| !ask.idempotent) {
-            let lossy = std::mem::take(&mut self.lossy);
+            let lose_next_claim = std::mem::take(&mut self.lose_next_claim);
             let owner = self.claims.entry(key).or_insert(mine.clone());
-            if lossy {
+            if lose_next_claim {
                 return State::NotRun(ex.refuse(Code::PlatformDown, None), None);
             }
             if *owner != mine {
@@ -221,14 +230,17 @@
                 return State::NotRun(n, Some(owner.clone()));
             }
         }
-        self.log.push((who, side));
-        self.runs[i].engine = self.sides[side].engine;
-        let from = self.runs[i].skip as u8;
-        State::Dispatched(ex.dispatch(), chunks(from..ask.events, 1 + side, ask.size))
+        self.log.push((caller, sidecar));
+        self.executions[i].engine = self.sidecars[sidecar].engine;
+        let from = self.executions[i].skip as u8;
+        State::Dispatched(
+            ex.dispatch(),
+            chunks(from..ask.events, 1 + sidecar, ask.size),
+        )
     }
 }
 
-/// Events in chunks of so many, each led by their number.
+/// Splits events into chunks of `group` events; the first byte of a chunk is their number.
 fn chunks(events: std::ops::Range<u8>, group: usize, size: usize) -> VecDeque<Bytes> {
     let events: Vec<u8> = events.collect();
     let chunk = |g: &[u8]| {
--- a/crates/exchange/tests/cuts.rs
+++ b/crates/exchange/tests/cuts.rs
@@ -1,29 +1,29 @@
-//! Streams cut after each possible frame, once and twice, in both directions.
+//! Connections cut at each frame of an exchange, once and twice, in both directions.
 
 mod common;
 
-use common::{Ask, Cut, Fate, Late, Move, Spoil, World};
+use common::{AfterCut, Corruption, Cut, LateDelivery, RequestSpec, Simulation, Step};
 use model::{Code, Outcome};
 
-const ASK: Ask = Ask {
+const ASK: RequestSpec = RequestSpec {
     idempotent: true,
     streamed: true,
     key: None,
     events: 6,
     size: 1,
-    known: true,
-    eager: true,
+    incarnation_known: true,
+    confirm_each: true,
 };
 
-/// What an answer may depend on besides its cuts.
-fn asks(events: u8) -> Vec<Ask> {
+/// Every kind of request whose answer may depend on its properties.
+fn asks(events: u8) -> Vec<RequestSpec> {
     let mut all = Vec::new();
     for bits in 0..12 {
-        all.push(Ask {
+        all.push(RequestSpec {
             idempotent: bits & 1 == 0,
             streamed: bits & 2 == 0,
             key: (bits / 4 == 1).then_some(7),
-            known: bits / 4 != 2,
+            incarnation_known: bits / 4 != 2,
             events,
             ..ASK
         });
@@ -31,32 +31,35 @@
     all
 }
 
-/// Every place of a connection that carries `events` chunks; the last one is no cut.
+/// Every cut of a connection that carries `events` chunks, and `None` for no cut.
 fn cuts(events: u8) -> Vec<Option<Cut>> {
     let n = usize::from(events);
     let down = (0..n + 4).map(|at| Cut {
         up: false,
         at,
-        late: Late::Never,
+        late: LateDelivery::Never,
     });
-    let late = [Late::Never, Late::Next, Late::Last];
+    let late = [LateDelivery::Never, LateDelivery::Next, LateDelivery::Last];
     let up = (0..n + 2).flat_map(|at| late.map(|late| Cut { up: true, at, late }));
     down.chain(up).map(Some).chain([None]).collect()
 }
 
-fn run(ask: Ask, sides: usize, fate: Fate, cuts: [Option<Cut>; 2]) -> World {
-    let mut w = World::new(sides);
-    w.fate = fate;
+fn run(
+    ask: RequestSpec,
+    sidecars: usize,
+    after_cut: AfterCut,
+    cuts: [Option<Cut>; 2],
+) -> Simulation {
+    let mut w = Simulation::new(sidecars);
+    w.after_cut = after_cut;
     w.cuts = cuts.into();
     w.call(ask);
     w.settle();
     w
 }
 
-/// Connections break at any byte, and twice in a row when a switch restarts. The caller of a
-/// stream must have each event once and in order, and as long as the sidecar lives and there is
-/// another replica he must not notice more than a pause. A vote must not count twice, also when
-/// the broken connection still held the request and gives it up late.
+/// Guards against lost, repeated or reordered events when connections break, twice in a row if a
+/// switch restarts, and against a second run when a broken connection delivers its request late.
 #[test]
 fn cut_after_each_frame_once_and_twice() {
     let mut runs = 0;
@@ -64,23 +67,24 @@
         let cuts = cuts(events);
         for ask in asks(events) {
             for (&a, &b) in cuts.iter().flat_map(|a| cuts.iter().map(move |b| (a, b))) {
-                for (fate, sides) in [
-                    (Fate::Same, 1),
-                    (Fate::Same, 3),
-                    (Fate::Restarted, 1),
-                    (Fate::Restarted, 3),
-                    (Fate::Nobody, 1),
-                    (Fate::Nobody, 3),
+                for (after_cut, sidecars) in [
+                    (AfterCut::Same, 1),
+                    (AfterCut::Same, 3),
+                    (AfterCut::Restarted, 1),
+                    (AfterCut::Restarted, 3),
+                    (AfterCut::Gone, 1),
+                    (AfterCut::Gone, 3),
                 ] {
-                    let w = run(ask, sides, fate, [a, b]);
+                    let w = run(ask, sidecars, after_cut, [a, b]);
                     let end = w.callers[0].end.as_ref();
-                    // Of a request that didn't arrive nobody knows whether an unknown life had it.
-                    let unknown = !ask.known && a.is_some_and(|c| c.up && c.at == 0);
-                    let safe = ask.idempotent || fate == Fate::Same && !unknown;
-                    let whole = sides == 3 && safe;
+                    // If the request was lost and the entry doesn't know the sidecar's
+                    // incarnation, an earlier incarnation may have run it.
+                    let unknown = !ask.incarnation_known && a.is_some_and(|c| c.up && c.at == 0);
+                    let safe = ask.idempotent || after_cut == AfterCut::Same && !unknown;
+                    let whole = sidecars == 3 && safe;
                     assert!(
                         !whole || end == Some(&Ok(())),
-                        "{ask:?} {fate:?} {a:?} {b:?}: {end:?}"
+                        "{ask:?} {after_cut:?} {a:?} {b:?}: {end:?}"
                     );
                     runs += 1;
                 }
@@ -90,86 +94,85 @@
     println!("{runs} runs");
 }
 
-/// An engine dies under a stream. With another replica the stream goes on there; without one its
-/// caller gets an error, never a clean end. What may run only once isn't tried again.
+/// Guards against a stream that ends without an error when the engine crashes under it, and
+/// against a second run of a request that isn't idempotent.
 #[test]
-fn engine_dead_at_each_chunk() {
+fn engine_crash_at_each_chunk() {
     for events in 0..=6 {
         for ask in asks(events) {
-            for (at, sides) in (0..=usize::from(events)).flat_map(|at| [(at, 1), (at, 2)]) {
-                let mut w = World::new(sides);
-                w.sides[0].dies = Some(at);
+            for (at, sidecars) in (0..=usize::from(events)).flat_map(|at| [(at, 1), (at, 2)]) {
+                let mut w = Simulation::new(sidecars);
+                w.sidecars[0].dies_after = Some(at);
                 w.call(ask);
                 w.settle();
-                let whole = ask.idempotent && sides == 2;
+                let whole = ask.idempotent && sidecars == 2;
                 match (&w.callers[0].end, whole) {
                     (Some(Ok(())), true) => {}
                     (Some(Err(f)), false) => {
                         assert_eq!((f.code, f.outcome), (Code::TargetLost, Outcome::Unknown));
                     }
-                    (end, _) => panic!("{ask:?} dead at {at}: {end:?}"),
+                    (end, _) => panic!("{ask:?} crash at {at}: {end:?}"),
                 }
             }
         }
     }
 }
 
-/// Large pieces fill what a sidecar keeps before the entry has had as many as it confirms at a
-/// time, and a cut may lose the confirmation. The sidecar would wait for room, the entry for the
-/// next piece, and the caller for ever.
+/// Guards against a stall when large chunks fill the replay buffer before a confirmation is due,
+/// or a cut loses the confirmation: sidecar and entry would wait for each other.
 #[test]
 fn large_answers_flow_through_cuts() {
     for key in [None, Some(7)] {
         for cut in cuts(6) {
-            let ask = Ask {
+            let ask = RequestSpec {
                 key,
                 size: 300 << 10,
-                eager: false,
+                confirm_each: false,
                 ..ASK
             };
-            let w = run(ask, 1, Fate::Same, [cut, None]);
+            let w = run(ask, 1, AfterCut::Same, [cut, None]);
             let end = w.callers[0].end.as_ref();
-            // Without another replica a request that never arrived is only refused.
+            // Without another replica, a request that never arrived is refused.
             let lost = cut.is_some_and(|c| c.up && c.at == 0);
             assert!(lost || end == Some(&Ok(())), "{cut:?}: {end:?}");
         }
     }
 }
 
-/// A faulty peer repeats, swaps or loses a frame, or ends an answer with another count or hash.
-/// The caller would get words twice, in the wrong order or not at all, and a clean end after it.
+/// Guards against frames that a faulty peer repeats, swaps or loses, and against a wrong count or
+/// hash in the end frame: the caller would get a corrupted answer that seems complete.
 #[test]
 fn spoiled_frames_never_reach_the_caller() {
-    use Spoil::{Digest, Fewer, Lose, More, Repeat, Swap};
+    use Corruption::{Digest, Fewer, Lose, More, Repeat, Swap};
     for (how, events) in [Repeat, Swap, Lose, More, Fewer, Digest]
         .into_iter()
         .flat_map(|how| (0..=6).map(move |events| (how, events)))
     {
-        let mut spoiled = 0;
+        let mut corrupted = 0;
         for (ask, at) in asks(events)
             .into_iter()
             .flat_map(|a| (0..14).map(move |n| (a, n)))
         {
-            let mut w = World::new(3);
+            let mut w = Simulation::new(3);
             w.call(ask);
             let mut reads = 0;
-            // The target goes first, so that frames wait to be swapped.
+            // The target makes its steps first, so that there are frames to be swapped.
             while let Some(&m) = w.moves().last() {
-                if matches!(m, Move::Entry(_)) {
+                if matches!(m, Step::Entry(_)) {
                     reads += 1;
-                    spoiled += usize::from(reads == at && w.spoil(0, how));
+                    corrupted += usize::from(reads == at && w.corrupt(0, how));
                 }
                 w.act(m);
             }
             w.settle();
             let end = w.callers[0].end.as_ref().expect("settled");
-            // Only an end that can't be true is a failure; anything else is asked for again.
+            // Only an impossible end frame is a failure; lost frames are requested again.
             let bad = matches!(how, Fewer | Digest) && !ask.idempotent;
             match end {
                 Ok(()) => {}
                 Err(f) => assert_eq!((bad, f.code), (true, Code::BadAnswer), "{how:?} {at}"),
             }
         }
-        assert!(spoiled > 0 || events == 0, "{how:?}");
+        assert!(corrupted > 0 || events == 0, "{how:?}");
     }
 }
--- a/crates/exchange/tests/events.rs
+++ b/crates/exchange/tests/events.rs
@@ -9,8 +9,8 @@
     trimmed: &'static str,
 }
 
-/// An engine's answer is cut wherever its connection breaks. Counted wrongly, the words after the
-/// resumption would be doubled or missing.
+/// Guards against events that are miscounted when an engine's connection breaks anywhere: words
+/// after the resumption would be repeated or missing.
 #[test]
 fn events_end_in_an_empty_line_of_either_kind() {
     #[rustfmt::skip]
--- a/crates/exchange/tests/tables.rs
+++ b/crates/exchange/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Tables over the state machines by themselves.
+//! Table tests of the registry, the replay buffer and the relay on their own.
 
 use assert_matches::assert_matches;
 use bytes::Bytes;
@@ -21,15 +21,14 @@
     Close {
         ran: bool,
     },
-    /// Time passes.
+    /// The clock advances.
     Wait(Micros),
 }
 
-/// A request sits in the buffer of a broken connection while its entry asks for it on another one
-/// and runs it elsewhere; or its answer is asked for when it is no longer kept. Marks decide, and
-/// they outlive connections: a late request must not run, and what ran is never called "not run".
+/// Guards against a request that arrives late from a broken connection and runs a second time, and
+/// against reporting a request that ran as "not run" once its answer is no longer kept.
 #[test]
-fn marks_of_a_registry() {
+fn registry_marks_late_and_ended_exchanges() {
     use Call::{Close, Open, Resume, Wait};
     use IncarnationMatch::{Current, Other, Unknown};
     struct Case {
@@ -47,18 +46,18 @@
         Case { what: "arrives late", calls: &[Resume(Current), Open(Current)], seen: Lookup::Voided },
         Case { what: "arrives very late", calls: &[Resume(Current), Wait(SHORT), Open(Current)], seen: Lookup::Voided },
         Case { what: "mark renewed", calls: &[Resume(Current), Wait(SHORT), Resume(Current), Wait(SHORT), Open(Current)], seen: Lookup::Voided },
-        Case { what: "mark outlived", calls: &[Resume(Current), Wait(MARK_TTL), Open(Current)], seen: Lookup::New },
-        Case { what: "refused, asked again", calls: &[Open(Current), Close { ran: false }, Resume(Current)], seen: Lookup::Voided },
+        Case { what: "mark expired", calls: &[Resume(Current), Wait(MARK_TTL), Open(Current)], seen: Lookup::New },
+        Case { what: "refused, resumed", calls: &[Open(Current), Close { ran: false }, Resume(Current)], seen: Lookup::Voided },
         Case { what: "refused, sent again", calls: &[Open(Current), Close { ran: false }, Open(Current)], seen: Lookup::Voided },
-        Case { what: "ran, asked again", calls: &[Open(Current), Close { ran: true }, Resume(Current)], seen: Lookup::Ended },
+        Case { what: "ran, resumed", calls: &[Open(Current), Close { ran: true }, Resume(Current)], seen: Lookup::Ended },
         Case { what: "ran, sent again", calls: &[Open(Current), Close { ran: true }, Open(Current)], seen: Lookup::Ended },
-        Case { what: "ran, asked late", calls: &[Open(Current), Close { ran: true }, Wait(SHORT), Resume(Current)], seen: Lookup::Ended },
-        Case { what: "earlier life, open", calls: &[Open(Other)], seen: Lookup::OtherIncarnation },
-        Case { what: "earlier life, then this", calls: &[Open(Other), Open(Current)], seen: Lookup::New },
-        Case { what: "earlier life, resume", calls: &[Resume(Other)], seen: Lookup::Ended },
-        Case { what: "unknown life, here", calls: &[Open(Unknown), Resume(Unknown)], seen: Lookup::Active(1) },
-        Case { what: "unknown life, not here", calls: &[Resume(Unknown)], seen: Lookup::Ended },
-        Case { what: "unknown life, late", calls: &[Resume(Unknown), Open(Unknown)], seen: Lookup::Voided },
+        Case { what: "ran, resumed late", calls: &[Open(Current), Close { ran: true }, Wait(SHORT), Resume(Current)], seen: Lookup::Ended },
+        Case { what: "earlier incarnation, open", calls: &[Open(Other)], seen: Lookup::OtherIncarnation },
+        Case { what: "earlier incarnation, then this", calls: &[Open(Other), Open(Current)], seen: Lookup::New },
+        Case { what: "earlier incarnation, resume", calls: &[Resume(Other)], seen: Lookup::Ended },
+        Case { what: "unknown incarnation, here", calls: &[Open(Unknown), Resume(Unknown)], seen: Lookup::Active(1) },
+        Case { what: "unknown incarnation, not here", calls: &[Resume(Unknown)], seen: Lookup::Ended },
+        Case { what: "unknown incarnation, late", calls: &[Resume(Unknown), Open(Unknown)], seen: Lookup::Voided },
     ];
     for c in cases {
         let mut now = Micros::ZERO;
@@ -77,32 +76,32 @@
     }
 }
 
-/// A sidecar keeps what isn't confirmed and no more, or all of it for those who join; what it has
-/// dropped or hasn't got yet is an error of its own, never silence or another chunk.
+/// Guards against chunks that are dropped too early or kept too long, and against a missing chunk
+/// that is answered with another chunk or with nothing instead of an error.
 #[test]
-fn bounds_of_what_is_retained() {
+fn replay_buffer_keeps_unconfirmed_chunks_within_its_limit() {
     struct Case {
         what: &'static str,
         keep: bool,
-        /// Sizes of the chunks; after each, all before this one is confirmed.
+        /// Size of each chunk, and the position up to which is confirmed after it.
         chunks: &'static [(usize, u64)],
         full: bool,
-        /// What becomes of chunk 0, 1, ...
-        got: &'static [Result<Option<usize>, ReplayError>],
+        /// Result of reading chunks 0, 1, ...
+        received: &'static [Result<Option<usize>, ReplayError>],
     }
     const HALF: usize = MAX_BYTES / 2;
     #[rustfmt::skip]
     let cases = [
-        Case { what: "empty", keep: false, chunks: &[], full: false, got: &[Ok(None), Err(ReplayError::Ahead(1))] },
-        Case { what: "unconfirmed", keep: false, chunks: &[(1, 0), (2, 0)], full: false, got: &[Ok(Some(1)), Ok(Some(2)), Ok(None), Err(ReplayError::Ahead(3))] },
-        Case { what: "confirmed", keep: false, chunks: &[(1, 0), (2, 1)], full: false, got: &[Err(ReplayError::Gone(0)), Ok(Some(2)), Ok(None)] },
-        Case { what: "confirmed ahead", keep: false, chunks: &[(1, u64::MAX), (2, 0)], full: false, got: &[Err(ReplayError::Gone(0)), Ok(Some(2)), Ok(None)] },
-        Case { what: "full", keep: false, chunks: &[(HALF, 0), (HALF, 0)], full: true, got: &[Ok(Some(HALF)), Ok(Some(HALF)), Ok(None)] },
-        Case { what: "full, confirmed", keep: false, chunks: &[(HALF, 0), (HALF, 1)], full: false, got: &[Err(ReplayError::Gone(0)), Ok(Some(HALF))] },
-        Case { what: "kept", keep: true, chunks: &[(1, 1), (2, 2)], full: false, got: &[Ok(Some(1)), Ok(Some(2)), Ok(None)] },
-        Case { what: "kept, full", keep: true, chunks: &[(HALF, 0), (HALF, 0)], full: true, got: &[Ok(Some(HALF)), Ok(Some(HALF))] },
-        Case { what: "kept, confirmed before full", keep: true, chunks: &[(HALF, 1), (HALF, 0)], full: false, got: &[Err(ReplayError::Gone(0)), Ok(Some(HALF))] },
-        Case { what: "kept no longer", keep: true, chunks: &[(HALF, 1), (HALF, 0), (1, 3)], full: false, got: &[Err(ReplayError::Gone(0)), Err(ReplayError::Gone(1)), Err(ReplayError::Gone(2)), Ok(None)] },
+        Case { what: "empty", keep: false, chunks: &[], full: false, received: &[Ok(None), Err(ReplayError::Ahead(1))] },
+        Case { what: "unconfirmed", keep: false, chunks: &[(1, 0), (2, 0)], full: false, received: &[Ok(Some(1)), Ok(Some(2)), Ok(None), Err(ReplayError::Ahead(3))] },
+        Case { what: "confirmed", keep: false, chunks: &[(1, 0), (2, 1)], full: false, received: &[Err(ReplayError::Gone(0)), Ok(Some(2)), Ok(None)] },
+        Case { what: "confirmed ahead", keep: false, chunks: &[(1, u64::MAX), (2, 0)], full: false, received: &[Err(ReplayError::Gone(0)), Ok(Some(2)), Ok(None)] },
+        Case { what: "full", keep: false, chunks: &[(HALF, 0), (HALF, 0)], full: true, received: &[Ok(Some(HALF)), Ok(Some(HALF)), Ok(None)] },
+        Case { what: "full, confirmed", keep: false, chunks: &[(HALF, 0), (HALF, 1)], full: false, received: &[Err(ReplayError::Gone(0)), Ok(Some(HALF))] },
+        Case { what: "kept", keep: true, chunks: &[(1, 1), (2, 2)], full: false, received: &[Ok(Some(1)), Ok(Some(2)), Ok(None)] },
+        Case { what: "kept, full", keep: true, chunks: &[(HALF, 0), (HALF, 0)], full: true, received: &[Ok(Some(HALF)), Ok(Some(HALF))] },
+        Case { what: "kept, confirmed before full", keep: true, chunks: &[(HALF, 1), (HALF, 0)], full: false, received: &[Err(ReplayError::Gone(0)), Ok(Some(HALF))] },
+        Case { what: "kept no longer", keep: true, chunks: &[(HALF, 1), (HALF, 0), (1, 3)], full: false, received: &[Err(ReplayError::Gone(0)), Err(ReplayError::Gone(1)), Err(ReplayError::Gone(2)), Ok(None)] },
     ];
     for c in cases {
         let mut r = if c.keep {
@@ -116,9 +115,9 @@
         }
         assert_eq!(r.full(), c.full, "{}", c.what);
         assert_eq!(r.total(), None, "{}", c.what);
-        for (i, got) in c.got.iter().enumerate() {
+        for (i, received) in c.received.iter().enumerate() {
             let size = r.get(i as u64).map(|b| b.map(|b| b.len()));
-            assert_eq!(size, *got, "{} {i}", c.what);
+            assert_eq!(size, *received, "{} {i}", c.what);
         }
         r.end();
         assert_matches!(r.total(), Some((n, _)) if n == c.chunks.len() as u64);
@@ -159,9 +158,9 @@
     }))
 }
 
-/// What a last action says to the caller, if there is nowhere else to go.
+/// The parts of an action that the tests check.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum Reaction {
     Finish,
     Resume(u64),
     Join,
@@ -170,82 +169,82 @@
     Give(Code, Outcome),
 }
 
-fn told(action: Action) -> Told {
+fn reaction(action: Action) -> Reaction {
     match action {
-        Action::Wait | Action::Deliver(_) => Told::Wait,
-        Action::Resume { next, .. } => Told::Resume(next),
-        Action::Join(_) => Told::Join,
-        Action::Finish => Told::Finish,
-        Action::Fail(f) => Told::Give(f.code, f.outcome),
+        Action::Wait | Action::Deliver(_) => Reaction::Wait,
+        Action::Resume { next, .. } => Reaction::Resume(next),
+        Action::Join(_) => Reaction::Join,
+        Action::Finish => Reaction::Finish,
+        Action::Fail(f) => Reaction::Give(f.code, f.outcome),
         Action::RetryElsewhere { delivered, failure } => {
-            Told::Elsewhere(delivered, failure.code, failure.outcome)
+            Reaction::Elsewhere(delivered, failure.code, failure.outcome)
         }
     }
 }
 
-/// Whatever reaches an entry in whatever order, its caller hears "not run" only if no attempt may
-/// have run, and what may run only once goes nowhere else as soon as one may have.
+/// Guards against reporting "not run" although an attempt may have run, and against sending a
+/// non-idempotent request to another replica after an attempt may have run.
 #[test]
-fn what_a_relay_says() {
+fn relay_reports_not_run_and_retries_only_when_safe() {
     use Code::{AlreadyAttempted, BadAnswer, Limited, NoTarget, TargetLost};
     use Event::{Gone, Lost, Unsent};
     use Outcome::{Failed, NotRun, Unknown};
-    use Told::{Elsewhere, Finish, Give, Join, Resume, Wait};
+    use Reaction::{Elsewhere, Finish, Give, Join, Resume, Wait};
     struct Case {
         what: &'static str,
         idempotent: bool,
         events: Vec<Event>,
-        told: Told,
+        reaction: Reaction,
     }
     let lost = || vec![Lost; MAX_RESUMES as usize + 1];
     let after = |first: Vec<Event>, then: Event| [first, vec![then]].concat();
     #[rustfmt::skip]
     let cases = [
-        Case { what: "whole", idempotent: false, events: vec![chunk(0), chunk(1), end(2, 2)], told: Finish },
-        Case { what: "empty", idempotent: false, events: vec![end(0, 0)], told: Finish },
-        Case { what: "repeat", idempotent: false, events: vec![chunk(0), chunk(0)], told: Wait },
-        Case { what: "whole after a repeat", idempotent: false, events: vec![chunk(0), chunk(0), end(1, 1)], told: Finish },
-        Case { what: "gap", idempotent: false, events: vec![chunk(0), chunk(2)], told: Resume(1) },
-        Case { what: "end too early", idempotent: false, events: vec![chunk(0), end(2, 2)], told: Resume(1) },
-        Case { what: "end with fewer", idempotent: false, events: vec![chunk(0), chunk(1), end(1, 1)], told: Give(BadAnswer, Unknown) },
-        Case { what: "end with fewer, idempotent", idempotent: true, events: vec![chunk(0), chunk(1), end(1, 1)], told: Elsewhere(2, BadAnswer, Unknown) },
-        Case { what: "end with the right hash and fewer", idempotent: false, events: vec![chunk(0), chunk(1), end(1, 2)], told: Give(BadAnswer, Unknown) },
-        Case { what: "end with another hash", idempotent: false, events: vec![chunk(0), end(1, 2)], told: Give(BadAnswer, Unknown) },
-        Case { what: "unsent", idempotent: false, events: vec![Unsent], told: Elsewhere(0, NoTarget, NotRun) },
-        Case { what: "refused", idempotent: false, events: vec![refused(NoTarget)], told: Elsewhere(0, NoTarget, NotRun) },
-        Case { what: "refused for good", idempotent: false, events: vec![refused(Limited)], told: Give(Limited, NotRun) },
-        Case { what: "cut, refused", idempotent: false, events: vec![Lost, refused(NoTarget)], told: Elsewhere(0, NoTarget, NotRun) },
-        Case { what: "cut, nobody there", idempotent: false, events: vec![Lost, Gone], told: Give(TargetLost, Unknown) },
-        Case { what: "cut for good", idempotent: false, events: lost(), told: Give(TargetLost, Unknown) },
-        Case { what: "cut for good, idempotent", idempotent: true, events: lost(), told: Elsewhere(0, TargetLost, Unknown) },
-        Case { what: "ran in part, then unsent", idempotent: true, events: after(lost(), Unsent), told: Elsewhere(0, NoTarget, Unknown) },
-        Case { what: "ran in part, then refused", idempotent: true, events: after(lost(), refused(NoTarget)), told: Elsewhere(0, NoTarget, Unknown) },
-        Case { what: "ran in part, then refused for good", idempotent: true, events: after(lost(), refused(Limited)), told: Give(Limited, Unknown) },
-        Case { what: "delivered in part, then refused elsewhere", idempotent: true, events: vec![chunk(0), failed(false), refused(NoTarget)], told: Elsewhere(1, NoTarget, Unknown) },
-        Case { what: "goes on elsewhere", idempotent: true, events: vec![chunk(0), failed(false), chunk(0), end(1, 1)], told: Finish },
-        Case { what: "target says that it failed", idempotent: true, events: vec![failed(true)], told: Give(TargetLost, Failed) },
-        Case { what: "refused after a part", idempotent: false, events: vec![chunk(0), refused(NoTarget)], told: Give(BadAnswer, Unknown) },
-        Case { what: "refused after a part, idempotent", idempotent: true, events: vec![chunk(0), refused(Limited)], told: Elsewhere(1, BadAnswer, Unknown) },
-        Case { what: "claimed", idempotent: false, events: vec![claimed()], told: Join },
-        Case { what: "claimed after a part", idempotent: false, events: vec![chunk(0), claimed()], told: Give(BadAnswer, Unknown) },
-        Case { what: "claimed, nobody known", idempotent: false, events: vec![Event::Claimed(None)], told: Give(AlreadyAttempted, Unknown) },
-        Case { what: "claimed while joined", idempotent: false, events: vec![claimed(), claimed()], told: Give(AlreadyAttempted, Unknown) },
-        Case { what: "joined", idempotent: false, events: vec![claimed(), chunk(0), end(1, 1)], told: Finish },
-        Case { what: "joined, cut", idempotent: false, events: vec![claimed(), chunk(0), Lost], told: Resume(1) },
-        Case { what: "joined, gone", idempotent: false, events: vec![claimed(), Gone], told: Give(AlreadyAttempted, Unknown) },
-        Case { what: "joined, refused", idempotent: false, events: vec![claimed(), refused(NoTarget)], told: Give(AlreadyAttempted, Unknown) },
-        Case { what: "joined, no longer kept", idempotent: false, events: vec![claimed(), failed(false)], told: Give(AlreadyAttempted, Unknown) },
-        Case { what: "joined, gone, said to be idempotent", idempotent: true, events: vec![claimed(), Gone], told: Give(AlreadyAttempted, Unknown) },
+        Case { what: "whole", idempotent: false, events: vec![chunk(0), chunk(1), end(2, 2)], reaction: Finish },
+        Case { what: "empty", idempotent: false, events: vec![end(0, 0)], reaction: Finish },
+        Case { what: "repeat", idempotent: false, events: vec![chunk(0), chunk(0)], reaction: Wait },
+        Case { what: "whole after a repeat", idempotent: false, events: vec![chunk(0), chunk(0), end(1, 1)], reaction: Finish },
+        Case { what: "gap", idempotent: false, events: vec![chunk(0), chunk(2)], reaction: Resume(1) },
+        Case { what: "end too early", idempotent: false, events: vec![chunk(0), end(2, 2)], reaction: Resume(1) },
+        Case { what: "end with fewer", idempotent: false, events: vec![chunk(0), chunk(1), end(1, 1)], reaction: Give(BadAnswer, Unknown) },
+        Case { what: "end with fewer, idempotent", idempotent: true, events: vec![chunk(0), chunk(1), end(1, 1)], reaction: Elsewhere(2, BadAnswer, Unknown) },
+        Case { what: "end with the right hash and fewer", idempotent: false, events: vec![chunk(0), chunk(1), end(1, 2)], reaction: Give(BadAnswer, Unknown) },
+        Case { what: "end with another hash", idempotent: false, events: vec![chunk(0), end(1, 2)], reaction: Give(BadAnswer, Unknown) },
+        Case { what: "unsent", idempotent: false, events: vec![Unsent], reaction: Elsewhere(0, NoTarget, NotRun) },
+        Case { what: "refused", idempotent: false, events: vec![refused(NoTarget)], reaction: Elsewhere(0, NoTarget, NotRun) },
+        Case { what: "refused for good", idempotent: false, events: vec![refused(Limited)], reaction: Give(Limited, NotRun) },
+        Case { what: "cut, refused", idempotent: false, events: vec![Lost, refused(NoTarget)], reaction: Elsewhere(0, NoTarget, NotRun) },
+        Case { what: "cut, sidecar gone", idempotent: false, events: vec![Lost, Gone], reaction: Give(TargetLost, Unknown) },
+        Case { what: "cut for good", idempotent: false, events: lost(), reaction: Give(TargetLost, Unknown) },
+        Case { what: "cut for good, idempotent", idempotent: true, events: lost(), reaction: Elsewhere(0, TargetLost, Unknown) },
+        Case { what: "ran in part, then unsent", idempotent: true, events: after(lost(), Unsent), reaction: Elsewhere(0, NoTarget, Unknown) },
+        Case { what: "ran in part, then refused", idempotent: true, events: after(lost(), refused(NoTarget)), reaction: Elsewhere(0, NoTarget, Unknown) },
+        Case { what: "ran in part, then refused for good", idempotent: true, events: after(lost(), refused(Limited)), reaction: Give(Limited, Unknown) },
+        Case { what: "delivered in part, then refused elsewhere", idempotent: true, events: vec![chunk(0), failed(false), refused(NoTarget)], reaction: Elsewhere(1, NoTarget, Unknown) },
+        Case { what: "continued by another replica", idempotent: true, events: vec![chunk(0), failed(false), chunk(0), end(1, 1)], reaction: Finish },
+        Case { what: "target reports a failure", idempotent: true, events: vec![failed(true)], reaction: Give(TargetLost, Failed) },
+        Case { what: "refused after a part", idempotent: false, events: vec![chunk(0), refused(NoTarget)], reaction: Give(BadAnswer, Unknown) },
+        Case { what: "refused after a part, idempotent", idempotent: true, events: vec![chunk(0), refused(Limited)], reaction: Elsewhere(1, BadAnswer, Unknown) },
+        Case { what: "claimed", idempotent: false, events: vec![claimed()], reaction: Join },
+        Case { what: "claimed after a part", idempotent: false, events: vec![chunk(0), claimed()], reaction: Give(BadAnswer, Unknown) },
+        Case { what: "claimed, owner not known", idempotent: false, events: vec![Event::Claimed(None)], reaction: Give(AlreadyAttempted, Unknown) },
+        Case { what: "claimed while joined", idempotent: false, events: vec![claimed(), claimed()], reaction: Give(AlreadyAttempted, Unknown) },
+        Case { what: "joined", idempotent: false, events: vec![claimed(), chunk(0), end(1, 1)], reaction: Finish },
+        Case { what: "joined, cut", idempotent: false, events: vec![claimed(), chunk(0), Lost], reaction: Resume(1) },
+        Case { what: "joined, gone", idempotent: false, events: vec![claimed(), Gone], reaction: Give(AlreadyAttempted, Unknown) },
+        Case { what: "joined, refused", idempotent: false, events: vec![claimed(), refused(NoTarget)], reaction: Give(AlreadyAttempted, Unknown) },
+        Case { what: "joined, no longer kept", idempotent: false, events: vec![claimed(), failed(false)], reaction: Give(AlreadyAttempted, Unknown) },
+        Case { what: "joined, gone, idempotent", idempotent: true, events: vec![claimed(), Gone], reaction: Give(AlreadyAttempted, Unknown) },
     ];
     for c in cases {
         let mut relay = Relay::new(c.idempotent, true);
         let last = c.events.into_iter().map(|e| relay.step(e)).last();
-        assert_eq!(last.map(told), Some(c.told), "{}", c.what);
+        assert_eq!(last.map(reaction), Some(c.reaction), "{}", c.what);
     }
 }
 
-/// Answers of nothing but repeats must not keep an entry busy for ever: only a new chunk counts as
-/// progress.
+/// Guards against endless resumptions when a sidecar sends only repeated chunks; only a new chunk
+/// counts as progress.
 #[test]
 fn resumptions_are_bounded() {
     let mut relay = Relay::new(false, true);
