--- a/crates/contract/src/claim.rs
+++ b/crates/contract/src/claim.rs
@@ -8,7 +8,7 @@
 //!
 //! If the table's answer to the insert is lost, the row is read back: our token in it means that
 //! the claim is ours. If that can't be settled in [`READS`] reads, the request is refused; it has
-//! not run, since it is only handed over on [`ClaimStep::Ours`].
+//! not run, since it is only handed over on [`ClaimStep::Acquired`].
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -42,10 +42,10 @@
     /// Call the table and feed the reply back.
     Call(Request),
     /// Run it.
-    Ours,
+    Acquired,
     /// Somebody claimed it before; `None` if the row can't be read as a holder, or is that of
     /// another request under the same key.
-    Theirs(Option<Holder>),
+    HeldByOther(Option<Holder>),
     /// The table is away; refuse it as not run.
     Refuse,
 }
@@ -94,7 +94,7 @@
         match reply {
             Reply::Written(version) => {
                 self.version = version;
-                ClaimStep::Ours
+                ClaimStep::Acquired
             }
             Reply::Row(Some(row)) => self.found(&row),
             Reply::Conflict => self.read(),
@@ -127,11 +127,11 @@
     fn found(&mut self, row: &Row) -> ClaimStep {
         self.version = row.version;
         match serde_json::from_slice::<Holder>(&row.value) {
-            Ok(h) if h.token == self.holder.token => ClaimStep::Ours,
+            Ok(h) if h.token == self.holder.token => ClaimStep::Acquired,
             Ok(h) if h.token.is_empty() && self.reads < READS => self.write(row.version),
             Ok(h) if h.token.is_empty() => ClaimStep::Refuse,
-            Ok(h) if h.body != self.holder.body => ClaimStep::Theirs(None),
-            other => ClaimStep::Theirs(other.ok()),
+            Ok(h) if h.body != self.holder.body => ClaimStep::HeldByOther(None),
+            other => ClaimStep::HeldByOther(other.ok()),
         }
     }
 }
--- a/crates/contract/tests/claim.rs
+++ b/crates/contract/tests/claim.rs
@@ -48,9 +48,9 @@
 
 fn seen(step: &ClaimStep) -> Want {
     match step {
-        ClaimStep::Ours => Want::Ours,
-        ClaimStep::Theirs(Some(_)) => Want::Theirs,
-        ClaimStep::Theirs(None) => Want::Unreadable,
+        ClaimStep::Acquired => Want::Ours,
+        ClaimStep::HeldByOther(Some(_)) => Want::Theirs,
+        ClaimStep::HeldByOther(None) => Want::Unreadable,
         ClaimStep::Refuse => Want::Refuse,
         ClaimStep::Call(Request::Read { .. }) => Want::Read,
         ClaimStep::Call(Request::Write { version, .. }) => Want::Write(*version),
@@ -122,7 +122,7 @@
             let mut next = claim.clone();
             let step = next.step(reply.clone());
             let proof = matches!(reply, Reply::Written(_)) || reply == held("a");
-            assert_eq!(step == ClaimStep::Ours, proof, "after {reply:?}");
+            assert_eq!(step == ClaimStep::Acquired, proof, "after {reply:?}");
             walk(&next, &step, depth + 1, ends);
         }
     }
@@ -164,7 +164,7 @@
     /// Gives a claim back instead of running it.
     fn release(&mut self, who: usize, loss: Loss) {
         let (claim, step) = &self.all[who];
-        if *step == ClaimStep::Ours && !self.back[who] {
+        if *step == ClaimStep::Acquired && !self.back[who] {
             self.back[who] = true;
             self.table.call(claim.release(), loss);
         }
@@ -172,7 +172,7 @@
 
     /// Who runs it.
     fn owners(&self) -> Vec<usize> {
-        let ours = |i: &usize| self.all[*i].1 == ClaimStep::Ours && !self.back[*i];
+        let ours = |i: &usize| self.all[*i].1 == ClaimStep::Acquired && !self.back[*i];
         (0..self.all.len()).filter(ours).collect()
     }
 
--- a/crates/daemon/src/sidecar/claim.rs
+++ b/crates/daemon/src/sidecar/claim.rs
@@ -51,8 +51,8 @@
                 let reply = reply.map_err(|_| Unclaimed::new(Code::Deadline, None))?;
                 claim.step(reply)
             }
-            ClaimStep::Ours => return Ok(Some(claim)),
-            ClaimStep::Theirs(h) => {
+            ClaimStep::Acquired => return Ok(Some(claim)),
+            ClaimStep::HeldByOther(h) => {
                 return Err(Unclaimed {
                     owner: h.and_then(join),
                     ..Unclaimed::new(Code::AlreadyAttempted, None)
