--- a/crates/cli/src/admin.rs
+++ b/crates/cli/src/admin.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use contract::apply::Past;
+use contract::apply::PastChange;
 use serde::{Deserialize, Serialize};
 
 /// Path of the configuration in force; `PUT` changes it.
@@ -47,9 +47,9 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Changes {
     /// The last one; absent before the first.
-    pub current: Option<Past>,
+    pub current: Option<PastChange>,
     /// Those before, the latest first.
-    pub past: Vec<Past>,
+    pub past: Vec<PastChange>,
 }
 
 /// The fleet as one entry sees it.
--- a/crates/cli/src/history.rs
+++ b/crates/cli/src/history.rs
@@ -33,7 +33,7 @@
 
 fn table(changes: &Changes) -> String {
     let all = changes.current.iter().chain(&changes.past);
-    let row = |c: &contract::apply::Past| {
+    let row = |c: &contract::apply::PastChange| {
         [
             c.version.to_string(),
             page::time(c.at),
--- a/crates/contract/src/apply.rs
+++ b/crates/contract/src/apply.rs
@@ -12,12 +12,12 @@
 use crate::table::{Reply, Request, Row};
 
 /// Name of the row.
-pub const KEY: &str = "configuration";
+pub const CONFIGURATION_KEY: &str = "configuration";
 /// Reads tried to settle a lost answer.
-pub const READS: u32 = 5;
-/// Past changes named in the row; enough to find an operation whose answer was lost while others
+pub const MAX_READS: u32 = 5;
+/// PastChange changes named in the row; enough to find an operation whose answer was lost while others
 /// went on, at a change every few seconds.
-pub const PAST: usize = 32;
+pub const MAX_PAST_CHANGES: usize = 32;
 
 /// What the row holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,12 +35,12 @@
     /// The text itself.
     pub text: String,
     /// Earlier changes, the latest first.
-    pub past: Vec<Past>,
+    pub past: Vec<PastChange>,
 }
 
 /// An earlier change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
+pub struct PastChange {
     /// Its version.
     pub version: u64,
     /// Hash of its text.
@@ -125,8 +125,8 @@
         match reply {
             Reply::Row(row) => self.found(row),
             Reply::Written(_) => self.accepted(),
-            Reply::Conflict if self.reads < READS => self.read(),
-            Reply::Lost | Reply::Down if self.reads < READS => self.read(),
+            Reply::Conflict if self.reads < MAX_READS => self.read(),
+            Reply::Lost | Reply::Down if self.reads < MAX_READS => self.read(),
             Reply::Conflict | Reply::Lost | Reply::Down if self.written => ApplyStep::Unknown,
             Reply::Conflict | Reply::Lost | Reply::Down => ApplyStep::Down,
         }
@@ -135,7 +135,7 @@
     fn read(&mut self) -> ApplyStep {
         self.reads += 1;
         ApplyStep::Call(Request::Read {
-            key: KEY.to_owned(),
+            key: CONFIGURATION_KEY.to_owned(),
         })
     }
 
@@ -161,7 +161,7 @@
         let value = serde_json::to_vec(&next(&self.change, old)).map(Bytes::from);
         let value = value.unwrap_or_default();
         ApplyStep::Call(Request::Write {
-            key: KEY.to_owned(),
+            key: CONFIGURATION_KEY.to_owned(),
             version,
             value,
         })
@@ -203,7 +203,7 @@
     if old.version > 0 {
         past.insert(
             0,
-            Past {
+            PastChange {
                 version: old.version,
                 digest: old.digest,
                 operation: old.operation,
@@ -211,7 +211,7 @@
                 at: old.at,
             },
         );
-        past.truncate(PAST);
+        past.truncate(MAX_PAST_CHANGES);
     }
     Head {
         version,
--- a/crates/contract/src/claim.rs
+++ b/crates/contract/src/claim.rs
@@ -7,7 +7,7 @@
 //! finds the row. That is the price of never running twice.
 //!
 //! If the table's answer to the insert is lost, the row is read back: our token in it means that
-//! the claim is ours. If that can't be settled in [`READS`] reads, the request is refused; it has
+//! the claim is ours. If that can't be settled in [`MAX_READS`] reads, the request is refused; it has
 //! not run, since it is only handed over on [`ClaimStep::Acquired`].
 
 use bytes::Bytes;
@@ -17,7 +17,7 @@
 
 /// Reads tried to settle a lost answer. Each has the driver's own time limit; a caller on the line
 /// would rather hear a refusal than wait for a fourth.
-pub const READS: u32 = 3;
+pub const MAX_READS: u32 = 3;
 
 /// Who claimed a request, as the row holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -100,10 +100,10 @@
             Reply::Conflict => self.read(),
             // The insert was lost before it took effect, and it may still take effect later;
             // writing again could meet our own first write, which then reads as ours.
-            Reply::Row(None) if self.reads < READS => self.start(),
-            Reply::Lost if self.reads < READS => self.read(),
+            Reply::Row(None) if self.reads < MAX_READS => self.start(),
+            Reply::Lost if self.reads < MAX_READS => self.read(),
             // A read that fails may stand for a row of ours; only the first write is sure.
-            Reply::Down if self.reads > 0 && self.reads < READS => self.read(),
+            Reply::Down if self.reads > 0 && self.reads < MAX_READS => self.read(),
             Reply::Row(None) | Reply::Lost | Reply::Down => ClaimStep::Refuse,
         }
     }
@@ -128,7 +128,7 @@
         self.version = row.version;
         match serde_json::from_slice::<Holder>(&row.value) {
             Ok(h) if h.token == self.holder.token => ClaimStep::Acquired,
-            Ok(h) if h.token.is_empty() && self.reads < READS => self.write(row.version),
+            Ok(h) if h.token.is_empty() && self.reads < MAX_READS => self.write(row.version),
             Ok(h) if h.token.is_empty() => ClaimStep::Refuse,
             Ok(h) if h.body != self.holder.body => ClaimStep::HeldByOther(None),
             other => ClaimStep::HeldByOther(other.ok()),
--- a/crates/contract/tests/apply.rs
+++ b/crates/contract/tests/apply.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{seeded, Loss, Table};
-use contract::apply::{Apply, ApplyStep, Change, Head, Past, KEY, READS};
+use contract::apply::{Apply, ApplyStep, Change, Head, PastChange, CONFIGURATION_KEY, MAX_READS};
 use contract::{Reply, Request, Row};
 use proptest::prelude::*;
 
@@ -36,10 +36,10 @@
 
 /// A row in which an operation is an earlier one.
 fn past(operation: &str) -> Reply {
-    let earlier = Past {
+    let earlier = PastChange {
         version: 5,
         operation: operation.to_owned(),
-        ..Past::default()
+        ..PastChange::default()
     };
     row(&Head {
         past: vec![earlier],
@@ -69,9 +69,9 @@
         (ApplyStep::Down, Want::Down)
         | (ApplyStep::Unknown, Want::Unknown)
         | (ApplyStep::Corrupt, Want::Corrupt) => true,
-        (ApplyStep::Call(Request::Read { key }), Want::Read) => key == KEY,
+        (ApplyStep::Call(Request::Read { key }), Want::Read) => key == CONFIGURATION_KEY,
         (ApplyStep::Call(Request::Write { key, version, .. }), Want::Write(w)) => {
-            key == KEY && version == w
+            key == CONFIGURATION_KEY && version == w
         }
         _ => false,
     }
@@ -108,9 +108,9 @@
         Case { what: "lost, another was first", base: Some(4), replies: vec![at(4, "b"), Lost, at(5, "c")], want: Want::Stale(5, "c") },
         Case { what: "sent again", base: Some(4), replies: vec![at(5, "a")], want: Want::Accepted(5) },
         Case { what: "sent again after others", base: Some(4), replies: vec![past("a")], want: Want::Accepted(5) },
-        Case { what: "away from the start", base: None, replies: vec![Down; READS as usize], want: Want::Down },
-        Case { what: "lost reads only", base: None, replies: vec![Lost; READS as usize], want: Want::Down },
-        Case { what: "lost, then away", base: None, replies: [vec![at(4, "b")], vec![Lost; READS as usize]].concat(), want: Want::Unknown },
+        Case { what: "away from the start", base: None, replies: vec![Down; MAX_READS as usize], want: Want::Down },
+        Case { what: "lost reads only", base: None, replies: vec![Lost; MAX_READS as usize], want: Want::Down },
+        Case { what: "lost, then away", base: None, replies: [vec![at(4, "b")], vec![Lost; MAX_READS as usize]].concat(), want: Want::Unknown },
         Case { what: "unreadable", base: None, replies: vec![Row(Some(contract::Row { version: 1, value: "x".into() }))], want: Want::Corrupt },
     ];
     for c in cases {
--- a/crates/contract/tests/claim.rs
+++ b/crates/contract/tests/claim.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use common::{seeded, Loss, Table};
-use contract::claim::{Claim, ClaimStep, Holder, READS};
+use contract::claim::{Claim, ClaimStep, Holder, MAX_READS};
 use contract::{Reply, Request, Row};
 use proptest::prelude::*;
 
@@ -99,7 +99,7 @@
 #[test]
 fn every_sequence_of_replies_ends_and_none_claims_without_proof() {
     fn walk(claim: &Claim, step: &ClaimStep, depth: u32, ends: &mut u32) {
-        assert!(depth <= 3 * READS + 2, "no end");
+        assert!(depth <= 3 * MAX_READS + 2, "no end");
         let replies = match step {
             ClaimStep::Call(Request::Read { .. }) => vec![
                 Reply::Row(None),
--- a/crates/daemon/src/entry/admin.rs
+++ b/crates/daemon/src/entry/admin.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use contract::apply::{Apply, ApplyStep, Change, Head, KEY};
+use contract::apply::{Apply, ApplyStep, Change, Head, CONFIGURATION_KEY};
 use contract::{Reply, Request as Call};
 use fleet::{Member, MemberState, Role, TableRow};
 use model::Version;
@@ -173,7 +173,7 @@
     let Some(table) = &cx.table else {
         return no_platform();
     };
-    let key = KEY.to_owned();
+    let key = CONFIGURATION_KEY.to_owned();
     match table.call(Call::Read { key }).await {
         Reply::Row(None) => reply(200, &json!({"current": null, "past": []})),
         Reply::Row(Some(row)) => match serde_json::from_slice::<Head>(&row.value) {
--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/member.rs
@@ -11,7 +11,7 @@
 
 use arc_swap::ArcSwap;
 use bytes::Bytes;
-use contract::apply::KEY;
+use contract::apply::CONFIGURATION_KEY;
 use contract::{Head, Reply, Request};
 use fleet::{
     Action, Answer, Conviction, Counters, Digest, Event, Fleet, HostEntry, InForce, Keyring,
@@ -377,7 +377,7 @@
 }
 
 async fn read(platform: &Platform) -> TableRead {
-    let key = KEY.to_owned();
+    let key = CONFIGURATION_KEY.to_owned();
     match platform.call(Request::Read { key }).await {
         Reply::Row(None) => Ok(None),
         Reply::Row(Some(row)) => match serde_json::from_slice::<Head>(&row.value) {
