--- a/crates/contract/src/apply.rs
+++ b/crates/contract/src/apply.rs
@@ -1,9 +1,10 @@
 //! An operator's change of the configuration: one compare-and-set on one row.
 //!
-//! Two operators who change the configuration at the same moment must not overwrite one another
-//! unnoticed. The row's content names version, digest and operation; whoever finds another version
-//! than it started from is told who came first. If the answer to the write is lost, the row is
-//! read back: our operation id in it, or in its history, means that the change was accepted.
+//! Two operators who change the configuration at the same time must not overwrite each other's
+//! change unnoticed. The row holds the version, digest and operation id of the last change. An
+//! operator whose change is based on another version gets an error that names the author of the
+//! change in force. If the answer to the write is lost, the row is read back: if the change's
+//! operation id is in the row or its history, the change was accepted.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -11,28 +12,28 @@
 
 use crate::table::{Reply, Request, Row};
 
-/// Name of the row.
+/// Key of the row.
 pub const CONFIGURATION_KEY: &str = "configuration";
-/// Reads tried to settle a lost answer.
+/// Maximum number of reads to settle a lost answer.
 pub const MAX_READS: u32 = 5;
-/// PastChange changes named in the row; enough to find an operation whose answer was lost while others
-/// went on, at a change every few seconds.
+/// Number of earlier changes listed in the row; enough to find an operation whose answer was lost
+/// while others make a change every few seconds.
 pub const MAX_PAST_CHANGES: usize = 32;
 
-/// What the row holds.
+/// Content of the row: the configuration in force and its history.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Raised by one with each change.
+    /// Version of the configuration; each change raises it by one.
     pub version: u64,
-    /// Hash of the text, in hexadecimal.
+    /// Hash of the text in hexadecimal.
     pub digest: String,
-    /// The operation that made it.
+    /// Id of the operation that made the change.
     pub operation: String,
-    /// Who asked for it.
+    /// Author of the change.
     pub author: String,
-    /// Seconds since the epoch.
+    /// Time of the change in seconds since the epoch.
     pub at: u64,
-    /// The text itself.
+    /// Text of the configuration.
     pub text: String,
     /// Earlier changes, the latest first.
     pub past: Vec<PastChange>,
@@ -41,63 +42,63 @@
 /// An earlier change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastChange {
-    /// Its version.
+    /// Version that the change created.
     pub version: u64,
-    /// Hash of its text.
+    /// Hash of the configuration text in hexadecimal.
     pub digest: String,
-    /// Its operation.
+    /// Id of the operation that made the change.
     pub operation: String,
-    /// Who asked for it.
+    /// Author of the change.
     pub author: String,
-    /// Seconds since the epoch.
+    /// Time of the change in seconds since the epoch.
     pub at: u64,
 }
 
-/// Somebody else's change came first.
+/// Error: another change was made first.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("version {version} by {author} came first (operation {operation})")]
 pub struct Stale {
     /// The version in force.
     pub version: u64,
-    /// Who made it.
+    /// Author of that version.
     pub author: String,
-    /// The operation that made it.
+    /// Id of the operation that made it.
     pub operation: String,
 }
 
-/// What to do next.
+/// Next step of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyStep {
-    /// Call the table and feed the reply back.
+    /// Call the table and pass the reply to [`Apply::step`].
     Call(Request),
     /// The change was accepted with this version.
     Accepted(u64),
-    /// Another change came first.
+    /// Another change was made first.
     Stale(Stale),
-    /// The table is away and surely holds no change of ours.
+    /// The table is unavailable, and the change certainly wasn't made.
     Down,
-    /// The table is away; the change may have been accepted.
+    /// The table is unavailable; the change may have been accepted.
     Unknown,
-    /// The row can't be read.
+    /// The row can't be decoded.
     Corrupt,
 }
 
-/// A change to be made.
+/// A requested change of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// The text.
+    /// New text of the configuration.
     pub text: String,
-    /// The version it was written against; `None` to replace whatever is there.
+    /// Version that the change is based on; `None` to replace any version.
     pub base: Option<u64>,
-    /// Names the change; chosen by the operator's client, so that sending it twice is harmless.
+    /// Id of the change, chosen by the operator's client, so that sending it twice is harmless.
     pub operation: String,
-    /// Who asks for it.
+    /// Author of the change.
     pub author: String,
-    /// Seconds since the epoch.
+    /// Time of the change in seconds since the epoch.
     pub at: u64,
 }
 
-/// One change on its way.
+/// State of one change.
 #[derive(Clone, Debug)]
 pub struct Apply {
     change: Change,
@@ -106,7 +107,7 @@
 }
 
 impl Apply {
-    /// A change to be made.
+    /// Creates the state of a change that has not been sent yet.
     pub fn new(change: Change) -> Self {
         Self {
             change,
@@ -115,12 +116,12 @@
         }
     }
 
-    /// The first call.
+    /// Returns the first step.
     pub fn start(&mut self) -> ApplyStep {
         self.read()
     }
 
-    /// Takes the reply to the last call.
+    /// Handles the reply to the last call and returns the next step.
     pub fn step(&mut self, reply: Reply) -> ApplyStep {
         match reply {
             Reply::Row(row) => self.found(row),
@@ -147,7 +148,7 @@
                 Err(_) => return ApplyStep::Corrupt,
             },
         };
-        match made(&head, &self.change.operation) {
+        match version_of(&head, &self.change.operation) {
             Some(v) => ApplyStep::Accepted(v),
             None if self.change.base.is_some_and(|b| b != head.version) => stale(head),
             None => self.write(version, head),
@@ -156,7 +157,8 @@
 
     fn write(&mut self, version: u64, old: Head) -> ApplyStep {
         self.written = true;
-        // A second write must meet the same version again, else it is another's change.
+        // A second write is only allowed on the same version; with another version in the row,
+        // another change was made in between.
         self.change.base = Some(old.version);
         let value = serde_json::to_vec(&next(&self.change, old)).map(Bytes::from);
         let value = value.unwrap_or_default();
@@ -177,8 +179,8 @@
     blake3::hash(text.as_ref()).to_hex().to_string()
 }
 
-/// The version that an operation made, if the row remembers it.
-fn made(head: &Head, operation: &str) -> Option<u64> {
+/// The version that an operation created, if it is in the row or its history.
+fn version_of(head: &Head, operation: &str) -> Option<u64> {
     match head.operation == operation {
         true => Some(head.version),
         false => head
--- a/crates/contract/src/claim.rs
+++ b/crates/contract/src/claim.rs
@@ -1,52 +1,52 @@
-//! A request that may run once: whoever inserts its row may run it.
+//! Claim on a request that must run at most once: only the sidecar that inserts its row runs it.
 //!
-//! The same vote sent twice through two entries reaches two sidecars at the same moment; neither
-//! can see the other. Without the row both would run it and one voter would count twice. The row
-//! is written before the request is handed over, so a sidecar that dies in between leaves a
-//! claimed request that never ran: its caller hears "unknown", never "not run", from anyone who
-//! finds the row. That is the price of never running twice.
+//! The same vote sent through two entries may reach two sidecars at the same time, and neither
+//! sees the other. Without the row both would run it and one voter would count twice. The row is
+//! written before the request is dispatched to the target. A sidecar that crashes in between leaves
+//! a claimed request that never ran; since a sidecar that finds the row can't know this, the caller
+//! gets the outcome "unknown", never "not run". This is the price of at-most-once execution.
 //!
-//! If the table's answer to the insert is lost, the row is read back: our token in it means that
-//! the claim is ours. If that can't be settled in [`MAX_READS`] reads, the request is refused; it has
-//! not run, since it is only handed over on [`ClaimStep::Acquired`].
+//! If the table's answer to the insert is lost, the row is read back: if it holds the claim's own
+//! token, the insert succeeded. If [`MAX_READS`] reads don't settle this, the request is refused.
+//! It has not run then, because it is dispatched only on [`ClaimStep::Acquired`].
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
 use crate::table::{Reply, Request, Row};
 
-/// Reads tried to settle a lost answer. Each has the driver's own time limit; a caller on the line
-/// would rather hear a refusal than wait for a fourth.
+/// Maximum number of reads to settle a lost answer. Each read may take up to the driver's time
+/// limit; for a caller who waits on the phone, a refusal is better than a fourth read.
 pub const MAX_READS: u32 = 3;
 
-/// Who claimed a request, as the row holds it.
+/// The holder of a claim, as stored in the row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The exchange, in hexadecimal; empty once the claim was given back.
+    /// Token of the exchange in hexadecimal; empty after the claim was released.
     pub token: String,
     /// Address of the sidecar that holds the exchange.
     pub address: String,
-    /// That sidecar's life.
+    /// Incarnation of that sidecar.
     pub incarnation: u64,
-    /// Seconds since the epoch, for sweeping old rows.
+    /// Time of the claim in seconds since the epoch, for deleting old rows.
     pub since: u64,
-    /// Hash of the request, in hexadecimal. One key on two requests would else give the second
-    /// the first one's answer, and its caller would believe that it ran.
+    /// Hash of the request in hexadecimal. Without it, a second request under the same idempotency
+    /// key would get the first one's answer, and its caller would assume that the second ran.
     #[serde(default)]
     pub body: String,
 }
 
-/// What to do next.
+/// Next step of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Call the table and feed the reply back.
+    /// Call the table and pass the reply to [`Claim::step`].
     Call(Request),
-    /// Run it.
+    /// The claim is held; run the request.
     Acquired,
-    /// Somebody claimed it before; `None` if the row can't be read as a holder, or is that of
-    /// another request under the same key.
+    /// Another attempt holds the claim. `None` if the row can't be decoded, or belongs to another
+    /// request under the same idempotency key.
     HeldByOther(Option<Holder>),
-    /// The table is away; refuse it as not run.
+    /// The claim can't be settled; refuse the request as not run.
     Refuse,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Claim {
-    /// A claim on a team's request with this idempotency key.
+    /// Creates a claim on a team's request with this idempotency key.
     pub fn new(team: impl AsRef<str>, key: impl AsRef<str>, holder: Holder) -> Self {
         Self {
             key: row_key(team.as_ref(), key.as_ref()),
@@ -70,13 +70,13 @@
         }
     }
 
-    /// The first call.
+    /// Returns the first step.
     pub fn start(&self) -> ClaimStep {
         self.write(0)
     }
 
-    /// Gives a claim of ours back, for a request that was not handed over after all. It may fail
-    /// or be lost: then the claim stands, and nobody runs the request.
+    /// The call that releases an acquired claim if the request was not dispatched after all. If the
+    /// call fails or is lost, the claim remains and no sidecar runs the request.
     pub fn release(&self) -> Request {
         let value = encode(&Holder {
             token: String::new(),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes the reply to the last call.
+    /// Handles the reply to the last call and returns the next step.
     pub fn step(&mut self, reply: Reply) -> ClaimStep {
         match reply {
             Reply::Written(version) => {
@@ -98,11 +98,12 @@
             }
             Reply::Row(Some(row)) => self.found(&row),
             Reply::Conflict => self.read(),
-            // The insert was lost before it took effect, and it may still take effect later;
-            // writing again could meet our own first write, which then reads as ours.
+            // The insert didn't take effect, but it may still do so later. Inserting again is
+            // safe: if it conflicts with the late insert, reading back finds the claim's own token.
             Reply::Row(None) if self.reads < MAX_READS => self.start(),
             Reply::Lost if self.reads < MAX_READS => self.read(),
-            // A read that fails may stand for a row of ours; only the first write is sure.
+            // If a read fails, an earlier insert may have taken effect. Only a failure of the
+            // first insert means that there is no row of this claim.
             Reply::Down if self.reads > 0 && self.reads < MAX_READS => self.read(),
             Reply::Row(None) | Reply::Lost | Reply::Down => ClaimStep::Refuse,
         }
@@ -142,7 +143,8 @@
         .unwrap_or_default()
 }
 
-/// The row's name. The caller's key is hashed: it may hold any bytes and be long.
+/// Key of the claim's row. The idempotency key is hashed, since it may be long and contain any
+/// bytes.
 fn row_key(team: &str, key: &str) -> String {
     let mut h = blake3::Hasher::new();
     h.update(&(team.len() as u64).to_le_bytes())
--- a/crates/contract/src/lease.rs
+++ b/crates/contract/src/lease.rs
@@ -1,19 +1,20 @@
-//! Leases with fencing numbers, on one row: one holder for an engine, a few for a pool.
+//! Leases with fencing tokens, stored in one row: one holder for an engine, a few for a pool.
 //!
-//! Two sidecars may stand before one engine for a while, as when a host is replaced and the old
-//! process was only paused. Were both to give it orders, it would load one's weights over the
-//! other's. A lease lets one at a time do so. The holder may be paused past its lease without
-//! noticing, so it checks its own monotonic clock with a margin before each order, and every
-//! order carries the lease's number: an engine that checks numbers refuses the late one. For an
-//! engine that doesn't, a new holder waits out the longest order of the old one first
-//! ([`Config::settle`]).
+//! Two sidecars may control one engine for a while, for example when a host is replaced and the
+//! old process was only paused. If both sent orders, the engine would load the weights of one over
+//! those of the other. A lease allows only one of them to send orders. The holder may be paused
+//! until after its lease has expired without noticing. Therefore it checks its own monotonic clock
+//! with a margin before each order, and each order carries the lease's fencing token, so that an
+//! engine that checks fencing tokens rejects a late order. For an engine that doesn't check them, a
+//! new holder first waits for the duration of the longest order ([`Config::settle`]).
 //!
-//! A place in the row is known by its number, not by its process: a process that gives a lease up and wants
-//! it again at once would act on a place that its earlier lease is about to leave.
+//! A holder's entry in the row is identified by its fencing token, not by its process. Otherwise a
+//! process that releases a lease and requests it again at once could rely on the entry that its
+//! earlier lease is about to remove.
 //!
-//! No two clocks are compared. A holder raises its beat in the row; whoever waits evicts it after
-//! it has itself seen the same beat for a whole term. The same row with room for a few holders
-//! bounds how many replicas of a pool load weights at once.
+//! Clocks of different processes are never compared. A holder increments its heartbeat counter in
+//! the row; a contender evicts it after it has observed the same counter for a whole term. With
+//! more than one holder, the row limits how many replicas of a pool load weights at a time.
 
 use std::collections::HashMap;
 
@@ -23,17 +24,19 @@
 
 use crate::table::{Reply, Request, Row};
 
-/// How a lease is held.
+/// Settings of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Holders at a time; 1.
+    /// Maximum number of holders; default 1.
     pub size: usize,
-    /// How long a silent holder keeps it; 10 s, several times the platform's longest answer.
+    /// How long a holder without heartbeats keeps the lease; default 10 s, several times the
+    /// platform's longest response time.
     pub term: Micros,
-    /// How much earlier the holder stops to rely on it; 2 s, above a process's usual pauses.
+    /// How much earlier the holder stops using the lease; default 2 s, longer than usual pauses of
+    /// a process.
     pub margin: Micros,
-    /// How long a new holder waits after an eviction before it acts; none for an engine that
-    /// checks fencing numbers, else the longest order.
+    /// How long a new holder waits after an eviction before it sends orders; zero for an engine
+    /// that checks fencing tokens, else the duration of the longest order.
     pub settle: Micros,
 }
 
@@ -48,10 +51,10 @@
     }
 }
 
-/// What the row holds.
+/// Content of the row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Held {
-    /// The highest number given.
+struct LeaseRow {
+    /// The highest fencing token assigned.
     fence: u64,
     holders: Vec<Holder>,
 }
@@ -63,90 +66,92 @@
     beat: u64,
 }
 
-/// What to do next.
+/// Next step of a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Call the table and feed the reply back.
+    /// Call the table and pass the reply to [`Lease::step`].
     Call(Request),
     /// Call [`Lease::tick`] at this time.
     Sleep(Micros),
 }
 
-/// What is being done at the table.
+/// State of the calls to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Idle,
     Reading,
-    /// A write is out that was sent at this time.
+    /// A write of the holder's entry was sent at this time.
     Writing {
         sent: Micros,
     },
-    /// A write is out that takes this process out of the row.
+    /// A write that removes the holder's entry was sent.
     Leaving,
 }
 
-/// The right to act, as long as [`Lease::valid`] says so.
+/// Period in which the holder may send orders.
 #[derive(Clone, Copy, Debug)]
-struct Right {
+struct Grant {
     fence: u64,
-    /// Not before this.
+    /// Start of the period, inclusive.
     from: Micros,
-    /// Not from this on.
+    /// End of the period, exclusive.
     until: Micros,
 }
 
-/// One process's side of a lease.
+/// A lease from the point of view of one process.
 #[derive(Clone, Debug)]
 pub struct Lease {
     config: Config,
     key: String,
-    who: String,
+    process: String,
     beat: u64,
+    /// Fencing token of this lease's entry in the row; 0 if it has none.
     fence: u64,
     phase: Phase,
-    right: Option<Right>,
-    /// When the orders of those evicted are surely over.
+    grant: Option<Grant>,
+    /// Time at which all orders of evicted holders have certainly ended.
     settled: Micros,
-    /// Beats by number, and since when each has been the same.
-    seen: HashMap<u64, (u64, Micros)>,
-    leaving: bool,
+    /// Last heartbeat of each holder by fencing token, and since when it hasn't changed.
+    beats: HashMap<u64, (u64, Micros)>,
+    released: bool,
 }
 
 impl Lease {
-    /// A lease on a row, wanted by a process that names itself `who`, differently in each incarnation.
-    pub fn new(config: Config, key: impl Into<String>, who: impl Into<String>) -> Self {
+    /// Creates a lease on the row `key` that is not held yet; `process` must be different for each
+    /// process and each of its incarnations.
+    pub fn new(config: Config, key: impl Into<String>, process: impl Into<String>) -> Self {
         Self {
             config,
             key: key.into(),
-            who: who.into(),
+            process: process.into(),
             beat: 0,
             fence: 0,
             phase: Phase::Idle,
-            right: None,
+            grant: None,
             settled: Micros::ZERO,
-            seen: HashMap::new(),
-            leaving: false,
+            beats: HashMap::new(),
+            released: false,
         }
     }
 
-    /// The fencing number, while it may be used.
+    /// The fencing token, while the holder may send orders.
     pub fn valid(&self, now: Micros) -> Option<u64> {
-        let right = self.right.filter(|r| r.from <= now && now < r.until);
-        right.filter(|_| !self.leaving).map(|r| r.fence)
+        let grant = self.grant.filter(|g| g.from <= now && now < g.until);
+        grant.filter(|_| !self.released).map(|g| g.fence)
     }
 
-    /// Gives it up; the steps that follow take it out of the row.
+    /// Releases the lease; the following steps remove its entry from the row.
     pub fn release(&mut self) {
-        self.leaving = true;
-        self.right = None;
+        self.released = true;
+        self.grant = None;
     }
 
-    /// Whether it was given up and the row says so.
+    /// Whether the lease was released and its entry is no longer in the row.
     pub fn is_released(&self) -> bool {
-        self.leaving && self.phase == Phase::Idle && self.fence == 0
+        self.released && self.phase == Phase::Idle && self.fence == 0
     }
 
-    /// Time has passed.
+    /// Returns the next step; to be called when a [`LeaseStep::Sleep`] has ended.
     pub fn tick(&mut self, now: Micros) -> LeaseStep {
         match self.phase {
             Phase::Idle if !self.is_released() => self.read(),
@@ -154,21 +159,21 @@
         }
     }
 
-    /// The table has replied.
+    /// Handles the reply to the last call and returns the next step.
     pub fn step(&mut self, now: Micros, reply: Reply) -> LeaseStep {
         let phase = std::mem::replace(&mut self.phase, Phase::Idle);
         match (phase, reply) {
             (Phase::Reading, Reply::Row(row)) => self.found(now, row),
             (Phase::Writing { sent }, Reply::Written(_)) => {
-                self.written(sent, now);
+                self.extend_grant(sent, now);
                 self.sleep(now)
             }
             (Phase::Leaving, Reply::Written(_)) => {
                 self.fence = 0;
                 self.sleep(now)
             }
-            // Whether a lost write took effect shows at the next read; until then the old right
-            // runs out by itself.
+            // The next read shows whether a lost write took effect. Until then the current grant
+            // ends at its own time.
             (_, Reply::Lost | Reply::Conflict) => self.retry(now),
             _ => self.sleep(now),
         }
@@ -181,7 +186,8 @@
         })
     }
 
-    /// Reads again soon: at the usual pace, two lost answers in a row would use up a right.
+    /// Reads again after a short delay: with the usual one, two consecutive lost answers would
+    /// let the grant expire.
     fn retry(&self, now: Micros) -> LeaseStep {
         LeaseStep::Sleep(now + Micros(self.config.term.0 / 20))
     }
@@ -193,16 +199,16 @@
     fn found(&mut self, now: Micros, row: Option<Row>) -> LeaseStep {
         let version = row.as_ref().map_or(0, |r| r.version);
         let held = row.and_then(|r| serde_json::from_slice(&r.value).ok());
-        let mut held: Held = held.unwrap_or_default();
-        let (who, number) = (self.who.clone(), self.fence);
-        let is_mine = |h: &Holder| h.who == who && h.fence == number;
+        let mut held: LeaseRow = held.unwrap_or_default();
+        let (process, fence) = (self.process.clone(), self.fence);
+        let is_mine = |h: &Holder| h.who == process && h.fence == fence;
         let mine = held.holders.iter().any(is_mine);
-        // Only this process knows since when those that it evicted are silent. Whoever it made room
-        // for at once would act while their orders may still be on their way.
-        if self.leaving && mine && now < self.settled {
+        // Only this process knows when it evicted others. If it left the row at once, the next
+        // holder wouldn't wait and could act while orders of the evicted are still on their way.
+        if self.released && mine && now < self.settled {
             return self.sleep(now);
         }
-        if self.leaving {
+        if self.released {
             held.holders.retain(|h| !is_mine(h));
             if mine {
                 self.phase = Phase::Leaving;
@@ -213,9 +219,10 @@
         }
         let before = held.holders.len();
         self.observe(now, &held);
-        held.holders.retain(|h| is_mine(h) || !self.silent(now, h));
+        held.holders
+            .retain(|h| is_mine(h) || !self.is_expired(now, h));
         if held.holders.len() < before {
-            // Kept here and not with the write, whose answer may be lost.
+            // Set before the write and not on its reply, which may be lost.
             self.settled = now + self.config.settle;
         }
         let room = held.holders.len() < self.config.size;
@@ -229,15 +236,15 @@
                 self.beat += 1;
                 self.fence = held.fence;
                 held.holders.push(Holder {
-                    who: self.who.clone(),
+                    who: self.process.clone(),
                     fence: held.fence,
                     beat: self.beat,
                 });
-                // A right that this process had before was under another number.
-                self.right = None;
+                // An earlier grant of this process had another fencing token.
+                self.grant = None;
             }
             None => {
-                self.right = None;
+                self.grant = None;
                 return self.sleep(now);
             }
         }
@@ -245,7 +252,7 @@
         self.write(version, &held)
     }
 
-    fn write(&self, version: u64, held: &Held) -> LeaseStep {
+    fn write(&self, version: u64, held: &LeaseRow) -> LeaseStep {
         LeaseStep::Call(Request::Write {
             key: self.key.clone(),
             version,
@@ -255,36 +262,39 @@
         })
     }
 
-    /// The right counts from when the write was sent: others may have seen its beat since then.
-    fn written(&mut self, sent: Micros, now: Micros) {
-        if self.leaving {
+    /// Extends the grant after a write. Its end is counted from the time at which the write was
+    /// sent, since others may have observed the new heartbeat at any time after that.
+    fn extend_grant(&mut self, sent: Micros, now: Micros) {
+        if self.released {
             return;
         }
         let until = sent + self.config.term - self.config.margin;
-        let from = match self.right {
-            Some(r) if r.fence == self.fence => r.from,
+        let from = match self.grant {
+            Some(g) if g.fence == self.fence => g.from,
             _ => now.max(self.settled),
         };
-        self.right = Some(Right {
+        self.grant = Some(Grant {
             fence: self.fence,
             from,
             until,
         });
     }
 
-    fn observe(&mut self, now: Micros, held: &Held) {
-        let here = |fence: &u64| held.holders.iter().any(|h| h.fence == *fence);
-        self.seen.retain(|fence, _| here(fence));
+    /// Records the heartbeats in the row.
+    fn observe(&mut self, now: Micros, held: &LeaseRow) {
+        let in_row = |fence: &u64| held.holders.iter().any(|h| h.fence == *fence);
+        self.beats.retain(|fence, _| in_row(fence));
         for h in &held.holders {
-            let seen = self.seen.entry(h.fence).or_insert((h.beat, now));
-            if seen.0 != h.beat {
-                *seen = (h.beat, now);
+            let last = self.beats.entry(h.fence).or_insert((h.beat, now));
+            if last.0 != h.beat {
+                *last = (h.beat, now);
             }
         }
     }
 
-    fn silent(&self, now: Micros, h: &Holder) -> bool {
-        let since = self.seen.get(&h.fence).map_or(now, |(_, since)| *since);
+    /// Whether a holder's heartbeat hasn't changed for a whole term.
+    fn is_expired(&self, now: Micros, h: &Holder) -> bool {
+        let since = self.beats.get(&h.fence).map_or(now, |(_, since)| *since);
         now.since(since) >= self.config.term
     }
 }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,9 +1,10 @@
-//! Agreements that outlive a process: they are rows of the platform's transactional table.
+//! Coordination between processes through rows of the platform's transactional table: claims on
+//! requests, leases and changes of the configuration.
 //!
-//! The modules are state machines without a clock or a network: a driver performs the
-//! [`Request`]s they ask for and feeds back each [`Reply`]. The table may be away, and an answer
-//! of it may be lost after the write took effect; every machine here resolves such a loss by
-//! reading the row back and looking for its own mark, never by writing again blindly.
+//! The modules are state machines without a clock or a network: a driver performs each [`Request`]
+//! and passes the [`Reply`] back. The table may be unavailable, and its answer may be lost after a
+//! write took effect. After a lost answer a state machine reads the row back and looks for its own
+//! token, number or operation id before it writes again.
 
 pub mod apply;
 pub mod claim;
--- a/crates/contract/src/table.rs
+++ b/crates/contract/src/table.rs
@@ -1,13 +1,13 @@
-//! What the state machines ask of the platform's table and what comes back.
+//! Calls of the state machines to the platform's table, and the replies.
 
 use bytes::Bytes;
 
-/// A row with the version that the table gave it; versions grow with each write of a row.
+/// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Raised by the table with each write; 0 stands for no row.
+    /// Version of the row, raised by the table with each write; 0 stands for a missing row.
     pub version: u64,
-    /// What it holds.
+    /// Content of the row.
     pub value: Bytes,
 }
 
@@ -16,30 +16,30 @@
 pub enum Request {
     /// Read a row.
     Read {
-        /// Its name.
+        /// Key of the row.
         key: String,
     },
-    /// Write a row if its version is still this one; 0 if it must not exist.
+    /// Write a row if it has the expected version (compare-and-set).
     Write {
-        /// Its name.
+        /// Key of the row.
         key: String,
-        /// The version expected.
+        /// Expected version; 0 if the row must not exist.
         version: u64,
-        /// What it shall hold.
+        /// New content of the row.
         value: Bytes,
     },
 }
 
-/// How the call went.
+/// Result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A read found this; `None` if there is no such row.
+    /// The row that was read; `None` if it doesn't exist.
     Row(Option<Row>),
-    /// The write took effect and the row has this version now.
+    /// The write took effect, and the row now has this version.
     Written(u64),
-    /// The write took no effect, since the row has another version.
+    /// The write took no effect, because the row has another version.
     Conflict,
-    /// The call surely took no effect.
+    /// The call certainly took no effect.
     Down,
     /// The call may have taken effect.
     Lost,
