--- a/crates/contract/tests/apply.rs
+++ b/crates/contract/tests/apply.rs
@@ -1,8 +1,8 @@
-//! An operator's change: every reply at every step, and random schedules.
+//! Changes of the configuration: sequences of replies, and random schedules of several operators.
 
 mod common;
 
-use common::{seeded, Loss, Table};
+use common::{seeded, Fault, Table};
 use contract::apply::{Apply, ApplyStep, Change, Head, PastChange, CONFIGURATION_KEY, MAX_READS};
 use contract::{Reply, Request, Row};
 use proptest::prelude::*;
@@ -34,7 +34,7 @@
     }))
 }
 
-/// A row in which an operation is an earlier one.
+/// A row whose history contains an operation.
 fn past(operation: &str) -> Reply {
     let earlier = PastChange {
         version: 5,
@@ -48,7 +48,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Want {
+enum Expected {
     Accepted(u64),
     Stale(u64, &'static str),
     Down,
@@ -58,83 +58,83 @@
     Write(u64),
 }
 
-fn matches(step: &ApplyStep, want: &Want) -> bool {
-    match (step, want) {
-        (ApplyStep::Accepted(v), Want::Accepted(w)) => v == w,
-        (ApplyStep::Stale(s), Want::Stale(v, operation)) => {
+fn matches(step: &ApplyStep, expected: &Expected) -> bool {
+    match (step, expected) {
+        (ApplyStep::Accepted(v), Expected::Accepted(w)) => v == w,
+        (ApplyStep::Stale(s), Expected::Stale(v, operation)) => {
             s.version == *v
                 && s.operation == *operation
                 && s.author == format!("author of {operation}")
         }
-        (ApplyStep::Down, Want::Down)
-        | (ApplyStep::Unknown, Want::Unknown)
-        | (ApplyStep::Corrupt, Want::Corrupt) => true,
-        (ApplyStep::Call(Request::Read { key }), Want::Read) => key == CONFIGURATION_KEY,
-        (ApplyStep::Call(Request::Write { key, version, .. }), Want::Write(w)) => {
+        (ApplyStep::Down, Expected::Down)
+        | (ApplyStep::Unknown, Expected::Unknown)
+        | (ApplyStep::Corrupt, Expected::Corrupt) => true,
+        (ApplyStep::Call(Request::Read { key }), Expected::Read) => key == CONFIGURATION_KEY,
+        (ApplyStep::Call(Request::Write { key, version, .. }), Expected::Write(w)) => {
             key == CONFIGURATION_KEY && version == w
         }
         _ => false,
     }
 }
 
-/// Two operators change the configuration at once, or the table's answer is lost. The wrong step
-/// overwrites one's change unnoticed, or tells one "failed" of a change that holds.
+/// Guards against a change that is overwritten unnoticed, and against reporting an accepted change
+/// as failed, when two operators make changes at once or an answer of the table is lost.
 #[test]
-fn each_reply_leads_where_it_should() {
+fn each_reply_leads_to_the_right_step() {
     use Reply::{Conflict, Down, Lost, Row, Written};
     struct Case {
         what: &'static str,
         base: Option<u64>,
         replies: Vec<Reply>,
-        want: Want,
+        expected: Expected,
     }
     let at = |v, o| row(&head(v, o));
     #[rustfmt::skip]
     let cases = [
-        Case { what: "nothing yet", base: None, replies: vec![], want: Want::Read },
-        Case { what: "the first ever", base: None, replies: vec![Row(None)], want: Want::Write(0) },
-        Case { what: "the first ever, accepted", base: None, replies: vec![Row(None), Written(1)], want: Want::Accepted(1) },
-        Case { what: "from this version", base: Some(4), replies: vec![at(4, "b")], want: Want::Write(4) },
-        Case { what: "from this version, accepted", base: Some(4), replies: vec![at(4, "b"), Written(5)], want: Want::Accepted(5) },
-        Case { what: "from an older version", base: Some(3), replies: vec![at(4, "b")], want: Want::Stale(4, "b") },
-        Case { what: "from a version that never was", base: Some(9), replies: vec![at(4, "b")], want: Want::Stale(4, "b") },
-        Case { what: "from whatever is there", base: None, replies: vec![at(4, "b")], want: Want::Write(4) },
-        Case { what: "another wrote in between", base: None, replies: vec![at(4, "b"), Conflict], want: Want::Read },
-        Case { what: "another wrote in between, told", base: None, replies: vec![at(4, "b"), Conflict, at(5, "c")], want: Want::Stale(5, "c") },
-        Case { what: "answer lost", base: Some(4), replies: vec![at(4, "b"), Lost], want: Want::Read },
-        Case { what: "lost, took effect", base: Some(4), replies: vec![at(4, "b"), Lost, at(5, "a")], want: Want::Accepted(5) },
-        Case { what: "lost, took effect, another since", base: Some(4), replies: vec![at(4, "b"), Lost, past("a")], want: Want::Accepted(5) },
-        Case { what: "lost, no effect", base: Some(4), replies: vec![at(4, "b"), Lost, at(4, "b")], want: Want::Write(4) },
-        Case { what: "lost, another was first", base: Some(4), replies: vec![at(4, "b"), Lost, at(5, "c")], want: Want::Stale(5, "c") },
-        Case { what: "sent again", base: Some(4), replies: vec![at(5, "a")], want: Want::Accepted(5) },
-        Case { what: "sent again after others", base: Some(4), replies: vec![past("a")], want: Want::Accepted(5) },
-        Case { what: "away from the start", base: None, replies: vec![Down; MAX_READS as usize], want: Want::Down },
-        Case { what: "lost reads only", base: None, replies: vec![Lost; MAX_READS as usize], want: Want::Down },
-        Case { what: "lost, then away", base: None, replies: [vec![at(4, "b")], vec![Lost; MAX_READS as usize]].concat(), want: Want::Unknown },
-        Case { what: "unreadable", base: None, replies: vec![Row(Some(contract::Row { version: 1, value: "x".into() }))], want: Want::Corrupt },
+        Case { what: "nothing yet", base: None, replies: vec![], expected: Expected::Read },
+        Case { what: "the first ever", base: None, replies: vec![Row(None)], expected: Expected::Write(0) },
+        Case { what: "the first ever, accepted", base: None, replies: vec![Row(None), Written(1)], expected: Expected::Accepted(1) },
+        Case { what: "from this version", base: Some(4), replies: vec![at(4, "b")], expected: Expected::Write(4) },
+        Case { what: "from this version, accepted", base: Some(4), replies: vec![at(4, "b"), Written(5)], expected: Expected::Accepted(5) },
+        Case { what: "from an older version", base: Some(3), replies: vec![at(4, "b")], expected: Expected::Stale(4, "b") },
+        Case { what: "from a version that doesn't exist", base: Some(9), replies: vec![at(4, "b")], expected: Expected::Stale(4, "b") },
+        Case { what: "from any version", base: None, replies: vec![at(4, "b")], expected: Expected::Write(4) },
+        Case { what: "another wrote in between", base: None, replies: vec![at(4, "b"), Conflict], expected: Expected::Read },
+        Case { what: "another wrote in between, reported", base: None, replies: vec![at(4, "b"), Conflict, at(5, "c")], expected: Expected::Stale(5, "c") },
+        Case { what: "answer lost", base: Some(4), replies: vec![at(4, "b"), Lost], expected: Expected::Read },
+        Case { what: "lost, took effect", base: Some(4), replies: vec![at(4, "b"), Lost, at(5, "a")], expected: Expected::Accepted(5) },
+        Case { what: "lost, took effect, another since", base: Some(4), replies: vec![at(4, "b"), Lost, past("a")], expected: Expected::Accepted(5) },
+        Case { what: "lost, no effect", base: Some(4), replies: vec![at(4, "b"), Lost, at(4, "b")], expected: Expected::Write(4) },
+        Case { what: "lost, another was first", base: Some(4), replies: vec![at(4, "b"), Lost, at(5, "c")], expected: Expected::Stale(5, "c") },
+        Case { what: "sent again", base: Some(4), replies: vec![at(5, "a")], expected: Expected::Accepted(5) },
+        Case { what: "sent again after others", base: Some(4), replies: vec![past("a")], expected: Expected::Accepted(5) },
+        Case { what: "table down from the start", base: None, replies: vec![Down; MAX_READS as usize], expected: Expected::Down },
+        Case { what: "lost reads only", base: None, replies: vec![Lost; MAX_READS as usize], expected: Expected::Down },
+        Case { what: "write lost, then reads lost", base: None, replies: [vec![at(4, "b")], vec![Lost; MAX_READS as usize]].concat(), expected: Expected::Unknown },
+        Case { what: "unreadable", base: None, replies: vec![Row(Some(contract::Row { version: 1, value: "x".into() }))], expected: Expected::Corrupt },
     ];
     for c in cases {
         let mut apply = Apply::new(change("a", c.base));
         let first = apply.start();
         let step = c.replies.into_iter().fold(first, |_, r| apply.step(r));
         assert!(
-            matches(&step, &c.want),
+            matches(&step, &c.expected),
             "{}: {step:?}, not {:?}",
             c.what,
-            c.want
+            c.expected
         );
     }
 }
 
-/// Operators at work on one row.
-struct Office {
+/// Operators that make changes to one row.
+struct Operators {
     table: Table,
     all: Vec<(Apply, ApplyStep, Option<u64>)>,
     /// Every state that the row has had.
     heads: Vec<Head>,
 }
 
-impl Office {
+impl Operators {
     fn new(bases: &[Option<u64>]) -> Self {
         let one = |(i, base): (usize, &Option<u64>)| {
             let mut apply = Apply::new(change(i.to_string(), *base));
@@ -148,14 +148,14 @@
         }
     }
 
-    fn step(&mut self, who: usize, loss: Loss) {
-        let (apply, step, _) = &mut self.all[who];
+    fn step(&mut self, operator: usize, fault: Fault) {
+        let (apply, step, _) = &mut self.all[operator];
         if let ApplyStep::Call(request) = step.clone() {
-            *step = apply.step(self.table.call(request, loss));
+            *step = apply.step(self.table.call(request, fault));
         }
     }
 
-    /// Takes note of the row and checks what must hold at every step.
+    /// Records the row's state and checks what must hold after every step.
     fn check(&mut self) {
         if let Ok(head) = serde_json::from_slice::<Head>(&self.table.value()) {
             let last = self.heads.last().expect("a first state");
@@ -163,7 +163,7 @@
                 assert_eq!(
                     head.version,
                     last.version + 1,
-                    "a version twice or left out"
+                    "a version was repeated or skipped"
                 );
                 self.heads.push(head);
             }
@@ -186,15 +186,12 @@
                     );
                 }
                 ApplyStep::Stale(s) => {
-                    assert_eq!(
-                        made, [0; 0],
-                        "change {i} was made, its author told otherwise"
-                    );
+                    assert_eq!(made, [0; 0], "change {i} was made but reported as stale");
                     let winner = self
                         .heads
                         .iter()
                         .any(|h| h.version == s.version && h.operation == s.operation);
-                    assert!(winner, "change {i}: nobody's change named as the winner");
+                    assert!(winner, "change {i}: the reported winner is not a change");
                 }
                 ApplyStep::Down => assert_eq!(made, [0; 0], "change {i}"),
                 _ => {}
@@ -204,39 +201,39 @@
 }
 
 #[derive(Clone, Debug)]
-enum Turn {
-    Step(usize, Loss),
+enum Op {
+    Step(usize, Fault),
     Deliver(usize),
 }
 
-fn turn() -> impl Strategy<Value = Turn> {
+fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
-        6 => (0..4_usize, Loss::any()).prop_map(|(i, f)| Turn::Step(i, f)),
-        1 => any::<usize>().prop_map(Turn::Deliver),
+        6 => (0..4_usize, Fault::any()).prop_map(|(i, f)| Op::Step(i, f)),
+        1 => any::<usize>().prop_map(Op::Deliver),
     ]
 }
 
 proptest! {
     #![proptest_config(seeded(4_000))]
 
-    /// Four operators, answers lost, writes late: no version twice, no change twice, none
-    /// overwritten by one who started from before it, and each told the truth.
+    /// Guards against repeated versions, changes made twice or overwritten, and wrong results for
+    /// operators when answers are lost and writes take effect late.
     #[test]
-    fn operators_are_told_the_truth_in_any_schedule(
+    fn operators_get_the_true_result_in_any_schedule(
         bases in prop::collection::vec(prop::option::of(0..4_u64), 4),
-        turns in prop::collection::vec(turn(), 1..80),
+        ops in prop::collection::vec(op(), 1..80),
     ) {
-        let mut office = Office::new(&bases);
-        for turn in turns {
-            match turn {
-                Turn::Step(who, loss) => office.step(who, loss),
-                Turn::Deliver(which) => office.table.deliver(which),
+        let mut operators = Operators::new(&bases);
+        for op in ops {
+            match op {
+                Op::Step(operator, fault) => operators.step(operator, fault),
+                Op::Deliver(which) => operators.table.deliver(which),
             }
-            office.check();
+            operators.check();
         }
-        while !office.table.late.is_empty() {
-            office.table.deliver(0);
-            office.check();
+        while !operators.table.late.is_empty() {
+            operators.table.deliver(0);
+            operators.check();
         }
     }
 }
--- a/crates/contract/tests/claim.rs
+++ b/crates/contract/tests/claim.rs
@@ -1,9 +1,9 @@
-//! A request that may run once: every reply at every step, and random schedules.
+//! Claims on requests: sequences of replies, and random schedules of several contenders.
 
 mod common;
 
 use bytes::Bytes;
-use common::{seeded, Loss, Table};
+use common::{seeded, Fault, Table};
 use contract::claim::{Claim, ClaimStep, Holder, MAX_READS};
 use contract::{Reply, Request, Row};
 use proptest::prelude::*;
@@ -37,67 +37,67 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Want {
-    Ours,
-    Theirs,
+enum Expected {
+    Acquired,
+    HeldByOther,
     Unreadable,
     Refuse,
     Read,
     Write(u64),
 }
 
-fn seen(step: &ClaimStep) -> Want {
+fn summary(step: &ClaimStep) -> Expected {
     match step {
-        ClaimStep::Acquired => Want::Ours,
-        ClaimStep::HeldByOther(Some(_)) => Want::Theirs,
-        ClaimStep::HeldByOther(None) => Want::Unreadable,
-        ClaimStep::Refuse => Want::Refuse,
-        ClaimStep::Call(Request::Read { .. }) => Want::Read,
-        ClaimStep::Call(Request::Write { version, .. }) => Want::Write(*version),
+        ClaimStep::Acquired => Expected::Acquired,
+        ClaimStep::HeldByOther(Some(_)) => Expected::HeldByOther,
+        ClaimStep::HeldByOther(None) => Expected::Unreadable,
+        ClaimStep::Refuse => Expected::Refuse,
+        ClaimStep::Call(Request::Read { .. }) => Expected::Read,
+        ClaimStep::Call(Request::Write { version, .. }) => Expected::Write(*version),
     }
 }
 
-/// The same vote comes twice through two entries, or the table's answer is lost. A step too many
-/// would count a voter twice; a step too few would refuse one who could be served.
+/// Guards against a second run of a vote that arrives through two entries or whose claim's answer is
+/// lost, and against refusing a vote that could run.
 #[test]
-fn each_reply_leads_where_it_should() {
+fn each_reply_leads_to_the_right_step() {
     use Reply::{Conflict, Down, Lost, Row, Written};
     struct Case {
         what: &'static str,
         replies: Vec<Reply>,
-        want: Want,
+        expected: Expected,
     }
     #[rustfmt::skip]
     let cases = [
-        Case { what: "nothing yet", replies: vec![], want: Want::Write(0) },
-        Case { what: "inserted", replies: vec![Written(1)], want: Want::Ours },
-        Case { what: "surely not inserted", replies: vec![Down], want: Want::Refuse },
-        Case { what: "another's row is there", replies: vec![Conflict], want: Want::Read },
-        Case { what: "another's row", replies: vec![Conflict, held("b")], want: Want::Theirs },
-        Case { what: "a row nobody can read", replies: vec![Conflict, row(1, "x")], want: Want::Unreadable },
-        Case { what: "answer lost", replies: vec![Lost], want: Want::Read },
-        Case { what: "lost, took effect", replies: vec![Lost, held("a")], want: Want::Ours },
-        Case { what: "lost, another was first", replies: vec![Lost, held("b")], want: Want::Theirs },
-        Case { what: "lost, no effect", replies: vec![Lost, Row(None)], want: Want::Write(0) },
-        Case { what: "lost, no effect, then late", replies: vec![Lost, Row(None), Conflict, held("a")], want: Want::Ours },
-        Case { what: "lost, then away", replies: vec![Lost, Down], want: Want::Read },
-        Case { what: "lost and away for good", replies: vec![Lost, Down, Lost, Down], want: Want::Refuse },
-        Case { what: "lost again and again", replies: vec![Lost, Row(None), Lost, Row(None), Lost, Row(None)], want: Want::Refuse },
-        Case { what: "given back", replies: vec![Conflict, held("")], want: Want::Write(3) },
-        Case { what: "given back, taken", replies: vec![Conflict, held(""), Written(4)], want: Want::Ours },
-        Case { what: "given back, another was first", replies: vec![Conflict, held(""), Conflict, held("b")], want: Want::Theirs },
-        Case { what: "given back, answer lost", replies: vec![Conflict, held(""), Lost, held("a")], want: Want::Ours },
+        Case { what: "nothing yet", replies: vec![], expected: Expected::Write(0) },
+        Case { what: "inserted", replies: vec![Written(1)], expected: Expected::Acquired },
+        Case { what: "certainly not inserted", replies: vec![Down], expected: Expected::Refuse },
+        Case { what: "another's row is there", replies: vec![Conflict], expected: Expected::Read },
+        Case { what: "another's row", replies: vec![Conflict, held("b")], expected: Expected::HeldByOther },
+        Case { what: "undecodable row", replies: vec![Conflict, row(1, "x")], expected: Expected::Unreadable },
+        Case { what: "answer lost", replies: vec![Lost], expected: Expected::Read },
+        Case { what: "lost, took effect", replies: vec![Lost, held("a")], expected: Expected::Acquired },
+        Case { what: "lost, another was first", replies: vec![Lost, held("b")], expected: Expected::HeldByOther },
+        Case { what: "lost, no effect", replies: vec![Lost, Row(None)], expected: Expected::Write(0) },
+        Case { what: "lost, no effect, then late", replies: vec![Lost, Row(None), Conflict, held("a")], expected: Expected::Acquired },
+        Case { what: "lost, then table down", replies: vec![Lost, Down], expected: Expected::Read },
+        Case { what: "lost, table stays down", replies: vec![Lost, Down, Lost, Down], expected: Expected::Refuse },
+        Case { what: "lost again and again", replies: vec![Lost, Row(None), Lost, Row(None), Lost, Row(None)], expected: Expected::Refuse },
+        Case { what: "released", replies: vec![Conflict, held("")], expected: Expected::Write(3) },
+        Case { what: "released, taken", replies: vec![Conflict, held(""), Written(4)], expected: Expected::Acquired },
+        Case { what: "released, another was first", replies: vec![Conflict, held(""), Conflict, held("b")], expected: Expected::HeldByOther },
+        Case { what: "released, answer lost", replies: vec![Conflict, held(""), Lost, held("a")], expected: Expected::Acquired },
     ];
     for c in cases {
         let step = run(&mut claim("a"), c.replies);
-        assert_eq!(seen(&step), c.want, "{}", c.what);
+        assert_eq!(summary(&step), c.expected, "{}", c.what);
     }
 }
 
-/// Whatever the table answers, in whatever order: a claim ends after a few calls, and it is ours
-/// only if the table has said so in the last reply.
+/// Guards against a claim that never ends, or that is held without proof from the last reply, for
+/// every sequence of replies.
 #[test]
-fn every_sequence_of_replies_ends_and_none_claims_without_proof() {
+fn every_sequence_of_replies_ends_and_none_acquires_without_proof() {
     fn walk(claim: &Claim, step: &ClaimStep, depth: u32, ends: &mut u32) {
         assert!(depth <= 3 * MAX_READS + 2, "no end");
         let replies = match step {
@@ -136,8 +136,8 @@
 struct Race {
     table: Table,
     all: Vec<(Claim, ClaimStep)>,
-    /// Those that gave their claim back before they ran.
-    back: Vec<bool>,
+    /// Contenders that released their claim before they ran the request.
+    released: Vec<bool>,
 }
 
 impl Race {
@@ -150,35 +150,35 @@
         Self {
             table: Table::default(),
             all: (0..n).map(one).collect(),
-            back: vec![false; n],
+            released: vec![false; n],
         }
     }
 
-    fn step(&mut self, who: usize, loss: Loss) {
-        let (claim, step) = &mut self.all[who];
+    fn step(&mut self, contender: usize, fault: Fault) {
+        let (claim, step) = &mut self.all[contender];
         if let ClaimStep::Call(request) = step.clone() {
-            *step = claim.step(self.table.call(request, loss));
+            *step = claim.step(self.table.call(request, fault));
         }
     }
 
-    /// Gives a claim back instead of running it.
-    fn release(&mut self, who: usize, loss: Loss) {
-        let (claim, step) = &self.all[who];
-        if *step == ClaimStep::Acquired && !self.back[who] {
-            self.back[who] = true;
-            self.table.call(claim.release(), loss);
+    /// Releases a claim instead of running the request.
+    fn release(&mut self, contender: usize, fault: Fault) {
+        let (claim, step) = &self.all[contender];
+        if *step == ClaimStep::Acquired && !self.released[contender] {
+            self.released[contender] = true;
+            self.table.call(claim.release(), fault);
         }
     }
 
-    /// Who runs it.
+    /// Contenders that run the request.
     fn owners(&self) -> Vec<usize> {
-        let ours = |i: &usize| self.all[*i].1 == ClaimStep::Acquired && !self.back[*i];
+        let ours = |i: &usize| self.all[*i].1 == ClaimStep::Acquired && !self.released[*i];
         (0..self.all.len()).filter(ours).collect()
     }
 
     fn check(&self) {
         let owners = self.owners();
-        assert!(owners.len() <= 1, "{owners:?} all run it");
+        assert!(owners.len() <= 1, "{owners:?} all run the request");
         if let Some(owner) = owners.first() {
             let held: Holder = serde_json::from_slice(&self.table.value()).expect("a holder");
             assert_eq!(held.token, owner.to_string(), "the owner's row was lost");
@@ -187,45 +187,44 @@
 }
 
 #[derive(Clone, Debug)]
-enum Turn {
-    Step(usize, Loss),
-    Release(usize, Loss),
+enum Op {
+    Step(usize, Fault),
+    Release(usize, Fault),
     Deliver(usize),
 }
 
-fn turn() -> impl Strategy<Value = Turn> {
+fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
-        8 => (0..3_usize, Loss::any()).prop_map(|(i, f)| Turn::Step(i, f)),
-        1 => (0..3_usize, Loss::any()).prop_map(|(i, f)| Turn::Release(i, f)),
-        2 => any::<usize>().prop_map(Turn::Deliver),
+        8 => (0..3_usize, Fault::any()).prop_map(|(i, f)| Op::Step(i, f)),
+        1 => (0..3_usize, Fault::any()).prop_map(|(i, f)| Op::Release(i, f)),
+        2 => any::<usize>().prop_map(Op::Deliver),
     ]
 }
 
 proptest! {
     #![proptest_config(seeded(4_000))]
 
-    /// Answers are lost, writes come late, contenders stand still for as long as they like: at
-    /// most one runs the request, and nobody takes its claim away.
+    /// Guards against two contenders that run the request, and against a lost claim, when answers
+    /// are lost, writes take effect late and contenders are paused.
     #[test]
-    fn at_most_one_claims_in_any_schedule(turns in prop::collection::vec(turn(), 1..60)) {
+    fn at_most_one_claims_in_any_schedule(ops in prop::collection::vec(op(), 1..60)) {
         let mut race = Race::new(3);
-        for turn in turns {
-            match turn {
-                Turn::Step(who, loss) => race.step(who, loss),
-                Turn::Release(who, loss) => race.release(who, loss),
-                Turn::Deliver(which) => race.table.deliver(which),
+        for op in ops {
+            match op {
+                Op::Step(contender, fault) => race.step(contender, fault),
+                Op::Release(contender, fault) => race.release(contender, fault),
+                Op::Deliver(which) => race.table.deliver(which),
             }
             race.check();
         }
     }
 
-    /// A table that answers lets somebody run the request: a claim that refused everybody would
-    /// keep the first promise too.
+    /// Guards against claims that refuse every contender, which would also prevent a second run.
     #[test]
     fn one_claims_if_the_table_answers(order in prop::collection::vec(0..3_usize, 40)) {
         let mut race = Race::new(3);
-        for who in order.into_iter().chain([0, 1, 2].repeat(4)) {
-            race.step(who, Loss::Good);
+        for contender in order.into_iter().chain([0, 1, 2].repeat(4)) {
+            race.step(contender, Fault::None);
             race.check();
         }
         prop_assert_eq!(race.owners().len(), 1);
--- a/crates/contract/tests/common/mod.rs
+++ b/crates/contract/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! One row of a table whose answers can be lost and whose writes can come late.
+//! A table with one row, whose answers can be lost and whose writes can take effect late.
 
 #![allow(
     dead_code,
@@ -11,30 +11,30 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// What becomes of a call.
+/// What happens to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
-    /// It is answered.
-    Good,
-    /// It is refused without effect.
-    Down,
-    /// It has no effect, but the caller can't know.
+pub enum Fault {
+    /// The call takes effect and is answered.
+    None,
+    /// The call is rejected without effect.
+    Rejected,
+    /// The call is lost and takes no effect.
     LostBefore,
-    /// It takes effect, but the answer is lost.
+    /// The call takes effect, but its answer is lost.
     LostAfter,
-    /// The answer is lost, and it takes effect whenever the network delivers it.
-    Late,
+    /// The answer is lost, and the call takes effect when it is delivered later.
+    AppliedLate,
 }
 
-impl Loss {
-    /// One of all, the good one as often as the others together.
+impl Fault {
+    /// Any of them; half of all calls have no fault.
     pub fn any() -> impl Strategy<Value = Self> {
         prop_oneof![
-            4 => Just(Self::Good),
-            1 => Just(Self::Down),
+            4 => Just(Self::None),
+            1 => Just(Self::Rejected),
             1 => Just(Self::LostBefore),
             1 => Just(Self::LostAfter),
-            1 => Just(Self::Late),
+            1 => Just(Self::AppliedLate),
         ]
     }
 }
@@ -47,24 +47,24 @@
 }
 
 impl Table {
-    /// Calls it.
-    pub fn call(&mut self, request: Request, loss: Loss) -> Reply {
-        match loss {
-            Loss::Good => self.act(request),
-            Loss::Down => Reply::Down,
-            Loss::LostBefore => Reply::Lost,
-            Loss::LostAfter => {
+    /// Performs a call with a fault.
+    pub fn call(&mut self, request: Request, fault: Fault) -> Reply {
+        match fault {
+            Fault::None => self.act(request),
+            Fault::Rejected => Reply::Down,
+            Fault::LostBefore => Reply::Lost,
+            Fault::LostAfter => {
                 self.act(request);
                 Reply::Lost
             }
-            Loss::Late => {
+            Fault::AppliedLate => {
                 self.late.push(request);
                 Reply::Lost
             }
         }
     }
 
-    /// Delivers a call that was on its way, if there is one.
+    /// Delivers one of the late calls, if there are any.
     pub fn deliver(&mut self, which: usize) {
         if !self.late.is_empty() {
             let request = self.late.swap_remove(which % self.late.len());
@@ -86,7 +86,7 @@
         }
     }
 
-    /// What the row holds.
+    /// Content of the row; empty if it doesn't exist.
     pub fn value(&self) -> Bytes {
         self.row
             .as_ref()
@@ -95,7 +95,7 @@
     }
 }
 
-/// The same cases in every run.
+/// Test configuration with a fixed seed, so that every run has the same cases.
 pub fn seeded(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
--- a/crates/contract/tests/lease.rs
+++ b/crates/contract/tests/lease.rs
@@ -1,36 +1,37 @@
-//! Leases: a holder that stands still, and random schedules of several.
+//! Leases: a paused holder, and random schedules of several contenders.
 
 mod common;
 
-use common::{seeded, Loss, Table};
+use common::{seeded, Fault, Table};
 use contract::lease::Config;
 use contract::{Lease, LeaseStep, Reply};
 use model::Micros;
 use proptest::prelude::*;
 
-/// A process that wants the lease, with its call on the way.
+/// A process that contends for the lease, with its call in flight.
 #[derive(Clone, Debug)]
 struct Holder {
     lease: Lease,
     step: LeaseStep,
-    /// The table's reply, still on its way back.
+    /// The table's reply, not yet received.
     reply: Option<Reply>,
-    /// The last time at which it had the right, with its number and whether it gave it up itself.
-    had: Option<(Micros, u64)>,
+    /// Last time at which the lease was valid, with its fencing token.
+    last_valid: Option<(Micros, u64)>,
+    /// Whether the process released the lease itself.
     released: bool,
-    /// Its clock is ahead by this.
+    /// Difference between the process's clock and the test's.
     ahead: Micros,
 }
 
 impl Holder {
-    fn new(config: Config, who: usize, ahead: Micros) -> Self {
-        let mut lease = Lease::new(config, "lease", who.to_string());
+    fn new(config: Config, process: usize, ahead: Micros) -> Self {
+        let mut lease = Lease::new(config, "lease", process.to_string());
         let step = lease.tick(ahead);
         Self {
             lease,
             step,
             reply: None,
-            had: None,
+            last_valid: None,
             released: false,
             ahead,
         }
@@ -45,10 +46,10 @@
         }
     }
 
-    /// The table takes its call; the reply is on its way.
-    fn call(&mut self, table: &mut Table, loss: Loss) {
+    /// Performs the call at the table; the reply is received later.
+    fn call(&mut self, table: &mut Table, fault: Fault) {
         if let (LeaseStep::Call(request), None) = (&self.step, &self.reply) {
-            self.reply = Some(table.call(request.clone(), loss));
+            self.reply = Some(table.call(request.clone(), fault));
         }
     }
 
@@ -62,11 +63,11 @@
         self.lease.valid(now + self.ahead)
     }
 
-    /// Takes all steps that it can take now, with a table that answers.
+    /// Makes all steps that are possible now, with a table that answers.
     fn settle(&mut self, table: &mut Table, now: Micros) {
         self.tick(now);
         while matches!(self.step, LeaseStep::Call(_)) {
-            self.call(table, Loss::Good);
+            self.call(table, Fault::None);
             self.receive(now);
         }
     }
@@ -90,14 +91,14 @@
     (Table::default(), one, two)
 }
 
-/// Guards against a holder that orders after a pause, over the weights of the new holder.
+/// Guards against a holder that sends orders after a pause and overwrites the new holder's weights.
 #[test]
-fn paused_holder_loses_its_right_before_another_has_one() {
+fn paused_holder_loses_the_lease_before_another_acquires_it() {
     let (mut table, mut one, mut two) = pair(config(1, Micros::ZERO));
     one.settle(&mut table, s(0));
     two.settle(&mut table, s(0));
     assert_eq!(one.valid(s(0)), Some(1));
-    // From here on the first one stands still.
+    // From now on the first process is paused.
     let mut lost = None;
     let mut won = None;
     for t in 0..30 {
@@ -107,39 +108,46 @@
     }
     let (lost, (won, fence)) = (lost.expect("lost"), won.expect("won"));
     assert!(lost < won, "lost at {lost} s, won at {won} s");
-    assert_eq!(fence, 2, "a number above the paused one's");
+    assert_eq!(fence, 2, "a token above the paused holder's");
     one.settle(&mut table, s(30));
-    assert_eq!(one.valid(s(30)), None, "it goes on and finds another");
+    assert_eq!(
+        one.valid(s(30)),
+        None,
+        "it resumes and finds another holder"
+    );
 }
 
 /// Guards against a late order of the old holder at an engine that ignores fencing tokens.
 #[test]
 fn new_holder_waits_out_the_old_ones_orders() {
-    for (settle, what) in [(s(0), "checks numbers"), (s(5), "ignores them")] {
+    for (settle, what) in [
+        (s(0), "checks fencing tokens"),
+        (s(5), "ignores fencing tokens"),
+    ] {
         let (mut table, mut one, mut two) = pair(config(1, settle));
         one.settle(&mut table, s(0));
         let mut won = None;
-        let mut right = None;
+        let mut valid_at = None;
         for t in 0..40 {
             two.settle(&mut table, s(t));
             let holds = String::from_utf8_lossy(&table.value()).contains("\"who\":\"2\"");
             won = won.or(holds.then_some(t));
-            right = right.or(two.valid(s(t)).map(|_| t));
+            valid_at = valid_at.or(two.valid(s(t)).map(|_| t));
         }
-        let (won, right) = (won.expect("won"), right.expect("right"));
-        assert_eq!(s(right - won), settle, "an engine that {what}");
+        let (won, valid_at) = (won.expect("won"), valid_at.expect("valid"));
+        assert_eq!(s(valid_at - won), settle, "an engine that {what}");
     }
 }
 
-/// Guards against acting while orders of an evicted holder may be on their way.
+/// Guards against acting while orders of an evicted holder may still be in flight.
 #[test]
-fn orders_of_the_silent_are_waited_out_by_all_who_follow() {
+fn orders_of_an_evicted_holder_are_waited_out_by_all_later_holders() {
     let set = config(1, s(5));
     let (mut table, mut one, mut two) = pair(set);
     let mut three = Holder::new(set, 3, s(50));
     one.settle(&mut table, s(0));
     let mut evicted = None;
-    let mut right = None;
+    let mut valid_at = None;
     for t in 0..40 {
         two.settle(&mut table, s(t));
         let holds = String::from_utf8_lossy(&table.value()).contains("\"who\":\"2\"");
@@ -148,18 +156,18 @@
             two.lease.release();
         }
         three.settle(&mut table, s(t));
-        right = right.or(three.valid(s(t)).map(|_| t));
+        valid_at = valid_at.or(three.valid(s(t)).map(|_| t));
     }
-    let (evicted, right) = (evicted.expect("evicted"), right.expect("right"));
+    let (evicted, valid_at) = (evicted.expect("evicted"), valid_at.expect("valid"));
     assert!(
-        right >= evicted + 5,
-        "evicted at {evicted} s, another acts at {right} s"
+        valid_at >= evicted + 5,
+        "evicted at {evicted} s, another acts at {valid_at} s"
     );
 }
 
 /// Guards against more loads at a time than a pool has permits.
 #[test]
-fn no_more_hold_permits_than_there_are() {
+fn permits_are_never_exceeded() {
     let set = config(2, Micros::ZERO);
     let mut table = Table::default();
     let mut all: Vec<_> = (0..5).map(|i| Holder::new(set, i, s(i as u64))).collect();
@@ -171,37 +179,37 @@
         let valid: Vec<usize> = (0..5).filter(|i| all[*i].valid(s(t)).is_some()).collect();
         assert!(valid.len() <= 2, "{valid:?} at {t} s");
         served.extend(valid.iter().copied());
-        // Each is done after some seconds.
+        // Each holder finishes after some seconds.
         if let (0, Some(first)) = (t % 5, valid.first()) {
             all[*first].lease.release();
         }
     }
-    assert_eq!(served.len(), 5, "each had its turn");
+    assert_eq!(served.len(), 5, "each process held a permit");
 }
 
-/// Guards against a right that outlives its term, or doesn't come back.
+/// Guards against a lease that is used after its term, or isn't acquired again.
 #[test]
-fn right_ends_by_itself_while_the_table_is_away() {
+fn lease_expires_while_the_table_is_down() {
     struct Case {
         what: &'static str,
-        loss: Loss,
+        fault: Fault,
     }
     let cases = [
         Case {
-            what: "away",
-            loss: Loss::Down,
+            what: "table down",
+            fault: Fault::Rejected,
         },
         Case {
             what: "answers lost, no effect",
-            loss: Loss::LostBefore,
+            fault: Fault::LostBefore,
         },
         Case {
             what: "answers lost after the effect",
-            loss: Loss::LostAfter,
+            fault: Fault::LostAfter,
         },
         Case {
-            what: "calls late",
-            loss: Loss::Late,
+            what: "calls delivered late",
+            fault: Fault::AppliedLate,
         },
     ];
     for c in cases {
@@ -210,7 +218,7 @@
         assert_eq!(one.valid(s(0)), Some(1), "{}", c.what);
         for t in 0..20 {
             one.tick(s(t));
-            one.call(&mut table, c.loss);
+            one.call(&mut table, c.fault);
             one.receive(s(t));
             assert_eq!(one.valid(s(t)).is_some(), t < 8, "{} at {t} s", c.what);
         }
@@ -221,7 +229,7 @@
     }
 }
 
-/// Guards against a holder that waits for itself after a lost answer.
+/// Guards against a process that waits for its own entry in the row to expire after a lost answer.
 #[test]
 fn lost_answer_of_any_write_costs_a_round_only() {
     for lost in 0..6 {
@@ -230,13 +238,13 @@
         for t in 0..8 {
             one.tick(s(t));
             while matches!(one.step, LeaseStep::Call(_)) {
-                let loss = if calls == lost {
-                    Loss::LostAfter
+                let fault = if calls == lost {
+                    Fault::LostAfter
                 } else {
-                    Loss::Good
+                    Fault::None
                 };
                 calls += 1;
-                one.call(&mut table, loss);
+                one.call(&mut table, fault);
                 one.receive(s(t));
             }
         }
@@ -246,7 +254,7 @@
     }
 }
 
-/// Guards against a process that acts on a place in the row which its own earlier lease gives up.
+/// Guards against a process that relies on an entry in the row which its earlier lease removes.
 #[test]
 fn later_lease_of_a_process_waits_for_its_earlier_one() {
     let (mut table, mut one, mut two) = pair(config(1, Micros::ZERO));
@@ -272,28 +280,28 @@
     assert!(served.iter().any(|s| *s), "neither acts");
 }
 
-/// Guards against a place in the row that is given up and stays taken until it expires.
+/// Guards against a released entry that stays in the row until it expires.
 #[test]
-fn lease_that_is_given_up_leaves_the_row() {
+fn released_lease_is_removed_from_the_row() {
     struct Case {
         what: &'static str,
-        /// Whether it is given up before its first write is answered.
+        /// Whether the lease is released before its first write is answered.
         early: bool,
-        loss: Loss,
+        fault: Fault,
     }
     #[rustfmt::skip]
     let cases = [
-        Case { what: "held", early: false, loss: Loss::Good },
-        Case { what: "held, the table away", early: false, loss: Loss::Down },
-        Case { what: "held, answer lost before the effect", early: false, loss: Loss::LostBefore },
-        Case { what: "held, answer lost after the effect", early: false, loss: Loss::LostAfter },
-        Case { what: "its first write on the way", early: true, loss: Loss::Good },
+        Case { what: "held", early: false, fault: Fault::None },
+        Case { what: "held, table down", early: false, fault: Fault::Rejected },
+        Case { what: "held, answer lost before the effect", early: false, fault: Fault::LostBefore },
+        Case { what: "held, answer lost after the effect", early: false, fault: Fault::LostAfter },
+        Case { what: "first write in flight", early: true, fault: Fault::None },
     ];
     for c in cases {
         let (mut table, mut one, _) = pair(config(1, Micros::ZERO));
-        one.call(&mut table, Loss::Good);
+        one.call(&mut table, Fault::None);
         one.receive(s(0));
-        one.call(&mut table, Loss::Good);
+        one.call(&mut table, Fault::None);
         if c.early {
             one.lease.release();
         }
@@ -301,9 +309,9 @@
         one.lease.release();
         for t in [2, 3] {
             one.tick(s(t));
-            one.call(&mut table, Loss::Good);
+            one.call(&mut table, Fault::None);
             one.receive(s(t));
-            one.call(&mut table, if t == 2 { c.loss } else { Loss::Good });
+            one.call(&mut table, if t == 2 { c.fault } else { Fault::None });
             one.receive(s(t));
         }
         for t in 4..8 {
@@ -315,56 +323,56 @@
     }
 }
 
-/// Guards against a right that runs out because a call without an answer is repeated too late.
+/// Guards against a lease that expires because a call without an answer is repeated too late.
 #[test]
 fn call_without_an_answer_is_repeated_soon() {
-    for loss in [Loss::LostBefore, Loss::LostAfter] {
+    for fault in [Fault::LostBefore, Fault::LostAfter] {
         let (mut table, mut one, _) = pair(config(1, Micros::ZERO));
-        one.call(&mut table, Loss::Good);
+        one.call(&mut table, Fault::None);
         one.receive(s(0));
-        one.call(&mut table, loss);
+        one.call(&mut table, fault);
         one.receive(s(0));
         assert_eq!(one.valid(s(0)), None);
         one.settle(&mut table, s(1));
-        assert_eq!(one.valid(s(1)), Some(1), "{loss:?}");
+        assert_eq!(one.valid(s(1)), Some(1), "{fault:?}");
     }
 }
 
 #[derive(Clone, Debug)]
-enum Turn {
+enum Op {
     Pass(u64),
     Tick(usize),
-    Call(usize, Loss),
+    Call(usize, Fault),
     Receive(usize),
     Deliver(usize),
     Release(usize),
-    /// A whole round with a table that answers.
+    /// All steps that are possible now, with a table that answers.
     Round(usize),
 }
 
 const CONTENDERS: usize = 3;
 
-fn turn() -> impl Strategy<Value = Turn> {
+fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
-        4 => (0..4_000_u64).prop_map(Turn::Pass),
-        6 => (0..CONTENDERS).prop_map(Turn::Tick),
-        6 => (0..CONTENDERS, Loss::any()).prop_map(|(i, f)| Turn::Call(i, f)),
-        6 => (0..CONTENDERS).prop_map(Turn::Receive),
-        1 => any::<usize>().prop_map(Turn::Deliver),
-        1 => (0..CONTENDERS).prop_map(Turn::Release),
-        8 => (0..CONTENDERS).prop_map(Turn::Round),
+        4 => (0..4_000_u64).prop_map(Op::Pass),
+        6 => (0..CONTENDERS).prop_map(Op::Tick),
+        6 => (0..CONTENDERS, Fault::any()).prop_map(|(i, f)| Op::Call(i, f)),
+        6 => (0..CONTENDERS).prop_map(Op::Receive),
+        1 => any::<usize>().prop_map(Op::Deliver),
+        1 => (0..CONTENDERS).prop_map(Op::Release),
+        8 => (0..CONTENDERS).prop_map(Op::Round),
     ]
 }
 
-/// Contenders on one row, watched at every step.
-struct Watch {
+/// Contenders for one row, checked after every step.
+struct Contenders {
     config: Config,
     table: Table,
     all: Vec<Holder>,
     now: Micros,
 }
 
-impl Watch {
+impl Contenders {
     fn new(config: Config) -> Self {
         let ahead = |i: usize| s(1_000 * i as u64);
         let one = |i: usize| Holder::new(config, i, ahead(i));
@@ -376,18 +384,18 @@
         }
     }
 
-    fn take(&mut self, turn: Turn) {
-        match turn {
-            Turn::Pass(ms) => self.now = self.now + Micros::from_millis(ms),
-            Turn::Tick(i) => self.all[i].tick(self.now),
-            Turn::Call(i, loss) => self.all[i].call(&mut self.table, loss),
-            Turn::Receive(i) => self.all[i].receive(self.now),
-            Turn::Deliver(which) => self.table.deliver(which),
-            Turn::Round(i) => {
+    fn take(&mut self, op: Op) {
+        match op {
+            Op::Pass(ms) => self.now = self.now + Micros::from_millis(ms),
+            Op::Tick(i) => self.all[i].tick(self.now),
+            Op::Call(i, fault) => self.all[i].call(&mut self.table, fault),
+            Op::Receive(i) => self.all[i].receive(self.now),
+            Op::Deliver(which) => self.table.deliver(which),
+            Op::Round(i) => {
                 self.all[i].receive(self.now);
                 self.all[i].settle(&mut self.table, self.now);
             }
-            Turn::Release(i) => {
+            Op::Release(i) => {
                 self.all[i].lease.release();
                 self.all[i].released = true;
             }
@@ -403,9 +411,9 @@
             let Some(fence) = fence else { continue };
             let before = self.all.iter().enumerate().filter(|(j, _)| *j != i);
             let ended = before.filter(|(j, _)| valid[*j].is_none());
-            for (j, other) in ended.filter_map(|(j, h)| Some((j, h.had?))) {
+            for (j, other) in ended.filter_map(|(j, h)| Some((j, h.last_valid?))) {
                 let ((at, number), gone) = (other, self.all[j].released);
-                let fresh = self.all[i].had.is_none_or(|(_, f)| f != *fence);
+                let fresh = self.all[i].last_valid.is_none_or(|(_, f)| f != *fence);
                 if fresh && self.config.size == 1 {
                     assert!(number < *fence, "{j} had {number}, {i} has {fence}");
                 }
@@ -416,7 +424,7 @@
             }
         }
         for (h, fence) in self.all.iter_mut().zip(valid) {
-            h.had = fence.map(|f| (now, f)).or(h.had);
+            h.last_valid = fence.map(|f| (now, f)).or(h.last_valid);
         }
     }
 }
@@ -424,18 +432,18 @@
 proptest! {
     #![proptest_config(seeded(3_000))]
 
-    /// Calls are lost and late, holders stand still: never do more act than may, numbers only
-    /// grow, and orders of a silent holder are waited out.
+    /// Guards against too many holders at a time, decreasing fencing tokens, and orders sent before
+    /// those of an evicted holder have ended, when calls are lost or late and holders are paused.
     #[test]
-    fn never_do_more_act_than_may(
+    fn holders_never_exceed_the_lease_size(
         size in 1..3_usize,
         settle in prop_oneof![Just(0_u64), Just(5)],
-        turns in prop::collection::vec(turn(), 1..300),
+        ops in prop::collection::vec(op(), 1..300),
     ) {
-        let mut watch = Watch::new(config(size, s(settle)));
-        for turn in turns {
-            watch.take(turn);
-            watch.check();
+        let mut contenders = Contenders::new(config(size, s(settle)));
+        for op in ops {
+            contenders.take(op);
+            contenders.check();
         }
     }
 }
