--- a/crates/wire/src/channel.rs
+++ b/crates/wire/src/channel.rs
@@ -15,13 +15,13 @@
 
 use crate::error::WireError;
 use crate::frame::{Body, Frame};
-use crate::seal::{opened, sealed, Key, Keys, SEAL};
+use crate::seal::{opened, sealed, Key, Keys, SEAL_LEN};
 use crate::FRAME_MAX;
 
 const NONCE: usize = 16;
 /// What a length prefix may say before the other side has shown that it has a key; the codec
 /// makes room for that much at once.
-const HELLO: usize = SEAL + NONCE;
+const HELLO: usize = SEAL_LEN + NONCE;
 
 type Stream = Framed<TcpStream, LengthDelimitedCodec>;
 
--- a/crates/wire/src/seal.rs
+++ b/crates/wire/src/seal.rs
@@ -11,7 +11,7 @@
 use crate::error::WireError;
 
 /// Bytes of a seal; 128 bits are beyond guessing.
-pub const SEAL: usize = 16;
+pub const SEAL_LEN: usize = 16;
 
 /// A secret shared by all processes of a fleet.
 #[derive(Clone)]
@@ -30,10 +30,10 @@
         &self.0
     }
 
-    fn seal(&self, count: u64, payload: &[u8]) -> [u8; SEAL] {
+    fn seal(&self, count: u64, payload: &[u8]) -> [u8; SEAL_LEN] {
         let mut h = blake3::Hasher::new_keyed(&self.0);
         h.update(&count.to_le_bytes()).update(payload);
-        let mut out = [0; SEAL];
+        let mut out = [0; SEAL_LEN];
         h.finalize_xof().fill(&mut out);
         out
     }
@@ -90,7 +90,7 @@
 
 /// Puts a seal before a payload.
 pub(crate) fn sealed(key: &Key, count: u64, payload: &[u8]) -> Bytes {
-    let mut out = BytesMut::with_capacity(SEAL + payload.len());
+    let mut out = BytesMut::with_capacity(SEAL_LEN + payload.len());
     out.put_slice(&key.seal(count, payload));
     out.put_slice(payload);
     out.freeze()
@@ -98,22 +98,22 @@
 
 /// Takes a seal off, if it fits.
 pub(crate) fn opened(key: &Key, count: u64, message: &Bytes) -> Result<Bytes, WireError> {
-    if message.len() < SEAL {
+    if message.len() < SEAL_LEN {
         return Err(WireError::Short(message.len()));
     }
-    let payload = message.slice(SEAL..);
-    let want = blake3_eq(&key.seal(count, &payload), &message[..SEAL]);
+    let payload = message.slice(SEAL_LEN..);
+    let want = blake3_eq(&key.seal(count, &payload), &message[..SEAL_LEN]);
     want.then_some(payload).ok_or(WireError::Seal)
 }
 
 /// Compares in constant time, so that a forger learns nothing from how long a refusal takes.
-fn blake3_eq(a: &[u8; SEAL], b: &[u8]) -> bool {
+fn blake3_eq(a: &[u8; SEAL_LEN], b: &[u8]) -> bool {
     a.iter().zip(b).fold(0, |d, (x, y)| d | (x ^ y)) == 0
 }
 
 fn short_or(message: &Bytes) -> WireError {
     match message.len() {
-        n if n < SEAL => WireError::Short(n),
+        n if n < SEAL_LEN => WireError::Short(n),
         _ => WireError::Seal,
     }
 }
--- a/crates/wire/tests/seal.rs
+++ b/crates/wire/tests/seal.rs
@@ -56,7 +56,7 @@
     #[test]
     fn random_bytes_are_no_packet(bytes in prop::collection::vec(any::<u8>(), 0..PACKET_MAX + 100)) {
         let long = bytes.len() > PACKET_MAX;
-        let short = bytes.len() < wire::seal::SEAL;
+        let short = bytes.len() < wire::seal::SEAL_LEN;
         let error = Packet::open(&Bytes::from(bytes), &keys(1, Some(2))).expect_err("no packet");
         let fits = match error {
             WireError::Large(_) => long,
