--- a/crates/wire/src/bind.rs
+++ b/crates/wire/src/bind.rs
@@ -1,22 +1,22 @@
-//! One port for both TCP and UDP.
+//! Binding the same port for TCP and UDP.
 
 use std::io;
 use std::net::SocketAddr;
 
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Tries to find a port that is free for both.
-const TRIES: u32 = 16;
+/// Number of retries to find a port that is free for both protocols.
+const MAX_RETRIES: u32 = 16;
 
-/// Binds an address for TCP and UDP; port 0 for any that both can have.
+/// Binds an address for TCP and UDP; port 0 selects a port that is free for both.
 pub async fn bind_both(at: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
-    let mut left = TRIES;
+    let mut retries_left = MAX_RETRIES;
     loop {
         let tcp = TcpListener::bind(at).await?;
         match UdpSocket::bind(tcp.local_addr()?).await {
             Ok(udp) => return Ok((tcp, udp)),
-            Err(e) if at.port() != 0 || left == 0 => return Err(e),
-            Err(_) => left -= 1,
+            Err(e) if at.port() != 0 || retries_left == 0 => return Err(e),
+            Err(_) => retries_left -= 1,
         }
     }
 }
--- a/crates/wire/src/channel.rs
+++ b/crates/wire/src/channel.rs
@@ -1,8 +1,8 @@
-//! A TCP connection between two of our processes, framed and sealed.
+//! Framed and authenticated TCP connection between two processes of a fleet.
 //!
-//! The connecting side sends a nonce sealed with the fleet's key, the accepting side answers with
-//! its own, and both derive one key for each direction. A frame's seal covers its number, so a
-//! connection that something tampered with ends in [`WireError::Seal`], never in wrong data.
+//! The connecting side sends a nonce sealed with the fleet's key, the accepting side replies with
+//! its own nonce, and both derive a key for each direction. A frame's seal covers its sequence
+//! number, so that tampering with a connection causes [`WireError::Seal`], never wrong data.
 
 use std::io;
 
@@ -18,14 +18,14 @@
 use crate::seal::{opened, sealed, Key, Keys, SEAL_LEN};
 use crate::FRAME_MAX;
 
-const NONCE: usize = 16;
-/// What a length prefix may say before the other side has shown that it has a key; the codec
-/// makes room for that much at once.
-const HELLO: usize = SEAL_LEN + NONCE;
+const NONCE_LEN: usize = 16;
+/// Maximum frame length before the peer has proved that it has a key. The codec allocates a buffer
+/// of the length in the prefix at once, so an unauthenticated peer must not choose a large one.
+const HANDSHAKE_LEN: usize = SEAL_LEN + NONCE_LEN;
 
 type Stream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// The sending half.
+/// The sending half of a connection.
 #[derive(Debug)]
 pub struct Tx {
     sink: SplitSink<Stream, Bytes>,
@@ -33,7 +33,7 @@
     count: u64,
 }
 
-/// The receiving half.
+/// The receiving half of a connection.
 #[derive(Debug)]
 pub struct Rx {
     stream: SplitStream<Stream>,
@@ -41,42 +41,42 @@
     count: u64,
 }
 
-/// Opens the connecting side of a connection; `nonce` must be fresh.
+/// Performs the handshake on the connecting side; `nonce` must be new for each connection.
 pub async fn connect(
     tcp: TcpStream,
     keys: &Keys,
-    nonce: [u8; NONCE],
+    nonce: [u8; NONCE_LEN],
 ) -> Result<(Tx, Rx), WireError> {
     let mut stream = framed(tcp)?;
     stream.send(keys.seal(&nonce)).await?;
     let message = next(&mut stream).await?;
     let (server, key) = keys.open(&message)?;
-    widen(&mut stream);
-    Ok(halves(stream, key, &nonce, &server, true))
+    allow_full_frames(&mut stream);
+    Ok(split(stream, key, &nonce, &server, true))
 }
 
-/// Opens the accepting side of a connection; `nonce` must be fresh.
+/// Performs the handshake on the accepting side; `nonce` must be new for each connection.
 pub async fn accept(
     tcp: TcpStream,
     keys: &Keys,
-    nonce: [u8; NONCE],
+    nonce: [u8; NONCE_LEN],
 ) -> Result<(Tx, Rx), WireError> {
     let mut stream = framed(tcp)?;
     let message = next(&mut stream).await?;
     let (client, key) = keys.open(&message)?;
-    widen(&mut stream);
+    allow_full_frames(&mut stream);
     stream.send(sealed(key, 0, &nonce)).await?;
-    Ok(halves(stream, key, &client, &nonce, false))
+    Ok(split(stream, key, &client, &nonce, false))
 }
 
 impl Tx {
-    /// Sends one frame now.
+    /// Sends one frame immediately.
     pub async fn send(&mut self, body: impl Into<Body>) -> Result<(), WireError> {
         self.feed(body).await?;
         self.flush().await
     }
 
-    /// Puts a frame into the buffer.
+    /// Adds a frame to the send buffer.
     pub async fn feed(&mut self, body: impl Into<Body>) -> Result<(), WireError> {
         let payload = Frame::new(body).encode_to_vec();
         if payload.len() > FRAME_MAX {
@@ -87,14 +87,14 @@
         Ok(self.sink.feed(out).await?)
     }
 
-    /// Sends what is in the buffer.
+    /// Sends the buffered frames.
     pub async fn flush(&mut self) -> Result<(), WireError> {
         Ok(self.sink.flush().await?)
     }
 }
 
 impl Rx {
-    /// The next frame; safe to drop while waiting.
+    /// Waits for the next frame; cancel-safe.
     pub async fn next(&mut self) -> Result<Body, WireError> {
         let message = received(self.stream.next().await)?;
         let payload = opened(&self.key, self.count, &message)?;
@@ -106,7 +106,7 @@
 fn framed(tcp: TcpStream) -> Result<Stream, WireError> {
     tcp.set_nodelay(true)?;
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(HELLO)
+        .max_frame_length(HANDSHAKE_LEN)
         .new_codec();
     Ok(Framed::new(tcp, codec))
 }
@@ -115,16 +115,16 @@
     received(stream.next().await)
 }
 
-/// Allows whole frames.
-fn widen(stream: &mut Stream) {
+/// Raises the length limit after the handshake.
+fn allow_full_frames(stream: &mut Stream) {
     stream.codec_mut().set_max_frame_length(FRAME_MAX + 64);
 }
 
-fn received(got: Option<io::Result<BytesMut>>) -> Result<Bytes, WireError> {
-    match got {
+fn received(item: Option<io::Result<BytesMut>>) -> Result<Bytes, WireError> {
+    match item {
         Some(Ok(message)) => Ok(message.freeze()),
         Some(Err(e)) => Err(match e.kind() {
-            // These two kinds are the codec's; faults of the connection have others.
+            // The codec uses these two kinds; errors of the connection have other kinds.
             io::ErrorKind::InvalidData => WireError::Length,
             io::ErrorKind::Other => WireError::Cut,
             _ => WireError::Io(e),
@@ -133,11 +133,11 @@
     }
 }
 
-fn halves(stream: Stream, key: &Key, client: &[u8], server: &[u8], ours: bool) -> (Tx, Rx) {
+fn split(stream: Stream, key: &Key, client: &[u8], server: &[u8], is_client: bool) -> (Tx, Rx) {
     let up = key.derive("up", client, server);
     let down = key.derive("down", client, server);
     let (sink, stream) = stream.split();
-    let (tx, rx) = if ours { (up, down) } else { (down, up) };
+    let (tx, rx) = if is_client { (up, down) } else { (down, up) };
     (
         Tx {
             sink,
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,41 +1,42 @@
-//! What can go wrong between two of our processes.
+//! Errors of connections and datagrams between processes of a fleet.
 
 use std::io;
 
 use thiserror::Error;
 
-/// A fault on a connection or in a datagram.
+/// An error on a connection or in a datagram.
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The connection broke.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// The bytes decode to no message.
+    /// The bytes can't be decoded as a message.
     #[error("undecodable message: {0}")]
     Decode(#[from] prost::DecodeError),
-    /// The seal fits none of our keys; a stranger, or a key that was rotated out.
+    /// The seal matches none of the accepted keys: the sender isn't part of the fleet, or its key
+    /// was rotated out.
     #[error("message is not sealed with the fleet's key")]
     Seal,
-    /// Too short to hold a seal.
+    /// The message is too short to contain a seal.
     #[error("message of {0} bytes is truncated")]
     Short(usize),
-    /// Larger than either side may send.
+    /// The message exceeds the size limit.
     #[error("message of {0} bytes is too large")]
     Large(usize),
-    /// A frame's length is beyond what either side sends, as when a stranger speaks another
+    /// A frame's length prefix exceeds the limit, for example because the peer uses another
     /// protocol.
-    #[error("frame is longer than any of ours")]
+    #[error("frame length exceeds the limit")]
     Length,
     /// The connection ended within a frame.
     #[error("connection ended within a frame")]
     Cut,
-    /// A message that doesn't belong here.
+    /// The message is not valid in this state of the connection.
     #[error("unexpected message")]
     Unexpected,
     /// The peer closed the connection.
     #[error("connection closed by peer")]
     Closed,
-    /// A key that isn't 64 hexadecimal digits.
+    /// The text of a key isn't 64 hexadecimal digits.
     #[error("a fleet key is 64 hexadecimal digits")]
     BadKey,
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Messages of an exchange, and of pulls between members.
+//! Frames of an exchange, and of state transfers between members of the fleet.
 
 use bytes::Bytes;
 use prost::{Message, Oneof};
@@ -6,7 +6,7 @@
 /// One message on a connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// What it says.
+    /// Content of the frame.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
     pub body: Option<Body>,
 }
@@ -22,11 +22,11 @@
 
 macro_rules! bodies {
     ($($name:ident = $tag:literal),* $(,)?) => {
-        /// What a frame says.
+        /// Content of a frame.
         #[derive(Clone, PartialEq, Oneof)]
         #[expect(
             clippy::large_enum_variant,
-            reason = "an Open is moved once a request, the small frames a thousand times"
+            reason = "a request moves the large Open once and small frames a thousand times"
         )]
         pub enum Body {
             $(
@@ -63,20 +63,20 @@
 /// Entry to sidecar: serve this request.
 #[derive(Clone, PartialEq, Message)]
 pub struct Open {
-    /// Names this exchange; drawn at random for every attempt, so that an answer can't reach
+    /// Token of the exchange; drawn at random for every attempt, so that an answer can't reach
     /// another request even if callers choose equal request ids.
     #[prost(bytes = "bytes", tag = "1")]
     pub token: Bytes,
-    /// The request's id, for logs.
+    /// Request id, for logs.
     #[prost(string, tag = "2")]
     pub request: String,
-    /// The attempt at it.
+    /// Number of the attempt.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
-    /// Sidecar's life that the entry means.
+    /// Sidecar incarnation that the entry addresses; 0 if not known.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Team.
+    /// Name of the team.
     #[prost(string, tag = "5")]
     pub team: String,
     /// Weight of the team in fair sharing.
@@ -85,10 +85,10 @@
     /// [`model::Class`] by index.
     #[prost(uint32, tag = "7")]
     pub class: u32,
-    /// Milliseconds left until the answer is of no use.
+    /// Time left until the request's deadline, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub deadline: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     #[prost(bool, tag = "9")]
     pub idempotent: bool,
     /// The caller's idempotency key, if any.
@@ -106,13 +106,13 @@
     /// Body for the target.
     #[prost(bytes = "bytes", tag = "14")]
     pub body: Bytes,
-    /// Cache scope, the engine's cache salt.
+    /// Cache scope, passed to the engine as its cache salt.
     #[prost(string, tag = "15")]
     pub scope: String,
-    /// Block hashes of the prompt, outermost first.
+    /// Block hashes of the prompt, in the order of its blocks.
     #[prost(fixed64, repeated, tag = "16")]
     pub chain: Vec<u64>,
-    /// Server-sent events that the caller already has from earlier attempts.
+    /// Number of server-sent events that the caller already has from earlier attempts.
     #[prost(uint64, tag = "17")]
     pub delivered: u64,
     /// Fingerprint of the request, to recognize one that crashes its targets.
@@ -124,32 +124,32 @@
     /// Whether the caller wants server-sent events.
     #[prost(bool, tag = "20")]
     pub stream: bool,
-    /// Tokens that the answer may have, to estimate its length.
+    /// Maximum number of tokens in the answer, to estimate its length.
     #[prost(uint32, tag = "21")]
     pub output: u32,
-    /// Earlier attempts whose target died under the request.
+    /// Number of earlier attempts whose target crashed while it ran the request.
     #[prost(uint32, tag = "22")]
     pub strikes: u32,
-    /// The probe whose offer this takes up; 0 if none was answered.
+    /// Id of the probe whose offer the entry accepts; 0 if there was no offer.
     #[prost(fixed64, tag = "23")]
     pub probe: u64,
-    /// Names of the crashes that the entry holds against the request.
+    /// Ids of the crashes that the entry attributes to the request.
     #[prost(fixed64, repeated, tag = "24")]
     pub crashes: Vec<u64>,
 }
 
-/// Sidecar to entry: the request waits for its turn.
+/// Sidecar to entry: the request is queued.
 #[derive(Clone, PartialEq, Message)]
 pub struct Accepted {
-    /// The sidecar's life.
+    /// Incarnation of the sidecar.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// The exchange it speaks of.
+    /// Token of the exchange.
     #[prost(bytes = "bytes", tag = "2")]
     pub token: Bytes,
 }
 
-/// Sidecar to entry: the target began its answer.
+/// Sidecar to entry: status and headers of the target's answer.
 #[derive(Clone, PartialEq, Message)]
 pub struct Head {
     /// HTTP status.
@@ -158,120 +158,120 @@
     /// Headers of the answer.
     #[prost(message, repeated, tag = "2")]
     pub headers: Vec<Header>,
-    /// Microseconds the request waited in the queue.
+    /// Time that the request waited in the queue, in microseconds.
     #[prost(uint64, tag = "3")]
     pub waited: u64,
 }
 
-/// Sidecar to entry: a piece of the answer's body; of a stream always whole events.
+/// Sidecar to entry: a chunk of the answer's body; a chunk of a stream has only complete events.
 #[derive(Clone, PartialEq, Message)]
 pub struct Chunk {
-    /// Position among the chunks of this exchange, from 0.
+    /// Position among the chunks of the exchange, starting at 0.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
-    /// The bytes.
+    /// Content of the chunk.
     #[prost(bytes = "bytes", tag = "2")]
     pub data: Bytes,
 }
 
-/// Sidecar to entry: the answer is whole.
+/// Sidecar to entry: the answer is complete.
 #[derive(Clone, PartialEq, Message)]
 pub struct End {
-    /// How many chunks there were.
+    /// Number of chunks.
     #[prost(uint64, tag = "1")]
     pub count: u64,
-    /// Hash of all their bytes.
+    /// Hash of the bytes of all chunks.
     #[prost(bytes = "bytes", tag = "2")]
     pub digest: Bytes,
 }
 
-/// Sidecar to entry: the request was not handed to the target and never will be.
+/// Sidecar to entry: the request was not sent to the target and never will be.
 #[derive(Clone, PartialEq, Message)]
 pub struct Refuse {
     /// [`model::Code`] by number.
     #[prost(uint32, tag = "1")]
     pub code: u32,
-    /// Milliseconds until it is worth coming back; 0 if not known.
+    /// Milliseconds after which the request should be sent again; 0 if not known.
     #[prost(uint64, tag = "2")]
     pub retry: u64,
-    /// Where an earlier attempt with the same idempotency key runs or ran.
+    /// Exchange of an earlier attempt with the same idempotency key.
     #[prost(message, optional, tag = "3")]
     pub owner: Option<Join>,
 }
 
-/// Sidecar to entry: the request was handed to the target and can't be completed here.
+/// Sidecar to entry: the request was sent to the target and can't be completed here.
 #[derive(Clone, PartialEq, Message)]
 pub struct Fail {
     /// [`model::Code`] by number.
     #[prost(uint32, tag = "1")]
     pub code: u32,
-    /// Whether the target said itself that it failed; else the outcome is unknown.
+    /// Whether the target itself reported the failure; otherwise the outcome is unknown.
     #[prost(bool, tag = "2")]
     pub known: bool,
-    /// Whether the target died under it.
+    /// Whether the target crashed while it ran the request.
     #[prost(bool, tag = "3")]
     pub crashed: bool,
-    /// Name of that crash; 0 if there is none.
+    /// Id of the crash; 0 if there was none.
     #[prost(fixed64, tag = "4")]
     pub crash: u64,
 }
 
-/// Entry to sidecar: go on with an exchange whose connection was lost.
+/// Entry to sidecar: continue an exchange whose connection was lost.
 #[derive(Clone, PartialEq, Message)]
 pub struct Resume {
-    /// The exchange.
+    /// Token of the exchange.
     #[prost(bytes = "bytes", tag = "1")]
     pub token: Bytes,
-    /// First chunk that is missing.
+    /// Position of the first chunk that is missing.
     #[prost(uint64, tag = "2")]
     pub next: u64,
-    /// The sidecar's life in which the exchange was opened.
+    /// Sidecar incarnation in which the exchange was opened; 0 if not known.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
 }
 
-/// Where the answer of a claimed request can be had.
+/// Where the answer of a claimed request can be fetched.
 #[derive(Clone, PartialEq, Message)]
 pub struct Join {
-    /// The exchange.
+    /// Token of the exchange.
     #[prost(bytes = "bytes", tag = "1")]
     pub token: Bytes,
-    /// The sidecar's exchange address.
+    /// Address at which the sidecar accepts exchanges.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// The sidecar's life.
+    /// Incarnation of the sidecar.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
 }
 
-/// Entry to sidecar: chunks before this one needn't be kept.
+/// Entry to sidecar: chunks before a position were delivered and needn't be kept.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ack {
-    /// First chunk that is still missing.
+    /// Position of the first chunk that is still missing.
     #[prost(uint64, tag = "1")]
     pub next: u64,
 }
 
-/// Sidecar to entry: alive, nothing to say yet.
+/// Sidecar to entry: heartbeat while there is no other frame to send.
 #[derive(Clone, PartialEq, Message)]
 pub struct Beat {}
 
-/// Entry to sidecar: the caller went away.
+/// Entry to sidecar: the caller disconnected.
 #[derive(Clone, PartialEq, Message)]
 pub struct Cancel {}
 
-/// Member to member: tell me what you know.
+/// Member to member: requests the other member's state.
 #[derive(Clone, PartialEq, Message)]
 pub struct Pull {
-    /// The asker's encoded question; its shape is the `fleet` package's.
+    /// Encoded query, as defined in the `fleet` crate.
     #[prost(bytes = "bytes", tag = "1")]
     pub data: Bytes,
 }
 
-/// Member to member: answer to a [`Pull`].
+/// Member to member: reply to a [`Pull`].
 #[derive(Clone, PartialEq, Message)]
 pub struct Text {
-    /// The encoded answer; its shape is the `fleet` package's.
+    /// Encoded reply, as defined in the `fleet` crate.
     #[prost(bytes = "bytes", tag = "1")]
     pub data: Bytes,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,11 +1,11 @@
-//! What the system's own processes say to one another, and how it is framed and authenticated.
+//! Messages between the processes of a fleet, with their framing and authentication.
 //!
-//! Two ways are used between an entry and a sidecar. *Probes* are single datagrams ([`Packet`])
-//! that may be lost; a lost probe costs one candidate. *Exchanges* are streams of [`Frame`]s on a
-//! TCP connection that carries one exchange at a time ([`Tx`], [`Rx`]). Both are sealed with the
-//! fleet's key ([`Keys`]), so that a stray or hostile sender can neither place work nor forge an
-//! answer. The message types are written by hand with `prost`'s derive, so that the build needs
-//! no generator.
+//! An entry and a sidecar communicate in two ways. *Probes* are single datagrams ([`Packet`]) that
+//! may be lost; a lost probe only means one candidate fewer. *Exchanges* are streams of [`Frame`]s
+//! on a TCP connection that carries one exchange at a time ([`Tx`], [`Rx`]). Both are
+//! authenticated with the fleet's key ([`Keys`]), so that a stray or hostile sender can neither
+//! submit requests nor forge answers. The message types are written by hand with the derive macros
+//! of `prost`, so that the build needs no code generator.
 
 pub mod bind;
 pub mod channel;
@@ -24,7 +24,7 @@
 pub use packet::{Finding, Findings, Inquiry, Mark, Message, Offer, Packet, Probe, State, Suspect};
 pub use seal::{Key, Keys};
 
-/// Largest frame either side accepts, in bytes.
+/// Maximum size of a frame, in bytes.
 pub const FRAME_MAX: usize = 16 << 20;
-/// Largest datagram either side sends or accepts, in bytes; fits one Ethernet frame.
+/// Maximum size of a datagram, in bytes; fits into one Ethernet frame.
 pub const PACKET_MAX: usize = 1_200;
--- a/crates/wire/src/packet.rs
+++ b/crates/wire/src/packet.rs
@@ -1,4 +1,4 @@
-//! Datagrams between entries and sidecars, and among sidecars.
+//! Datagrams between entries and sidecars, and between sidecars.
 
 use bytes::Bytes;
 use prost::{Message as _, Oneof};
@@ -10,180 +10,180 @@
 /// One datagram.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Packet {
-    /// What it says.
+    /// Content of the datagram.
     #[prost(oneof = "Message", tags = "1, 2, 3, 4")]
     pub message: Option<Message>,
 }
 
-/// What a datagram says.
+/// Content of a datagram.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Message {
-    /// Entry to sidecar.
+    /// Entry to sidecar: asks what it would take to serve a request.
     #[prost(message, tag = "1")]
     Probe(Probe),
-    /// Sidecar to entry.
+    /// Sidecar to entry: the reply to a probe.
     #[prost(message, tag = "2")]
     Offer(Offer),
-    /// Sidecar to sidecar.
+    /// Sidecar to sidecar: asks about requests that may crash their targets.
     #[prost(message, tag = "3")]
     Inquiry(Inquiry),
-    /// Sidecar to sidecar.
+    /// Sidecar to sidecar: the reply to an inquiry.
     #[prost(message, tag = "4")]
     Findings(Findings),
 }
 
-/// A prompt's first blocks, as one number.
+/// A prefix of a prompt, identified by the hash of its last block.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Mark {
-    /// How many blocks.
+    /// Number of blocks in the prefix.
     #[prost(uint32, tag = "1")]
     pub blocks: u32,
-    /// Hash of the last of them, which stands for all.
+    /// Hash of the last block, which covers all blocks before it.
     #[prost(fixed64, tag = "2")]
     pub hash: u64,
 }
 
-/// What would it take to serve this request?
+/// Asks a sidecar what it would take to serve a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Probe {
-    /// Returned with the offer.
+    /// Id of the probe, returned in the offer.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
     /// [`model::Class`] by index.
     #[prost(uint32, tag = "2")]
     pub class: u32,
-    /// Points of the prompt, the shortest first.
+    /// Prefixes of the prompt, the shortest first.
     #[prost(message, repeated, tag = "3")]
     pub marks: Vec<Mark>,
-    /// Blocks of the whole prompt.
+    /// Number of blocks in the whole prompt.
     #[prost(uint32, tag = "4")]
     pub blocks: u32,
     /// Fingerprint of the request.
     #[prost(fixed64, tag = "5")]
     pub fingerprint: u64,
-    /// The team asking.
+    /// Team that sent the request.
     #[prost(string, tag = "6")]
     pub team: String,
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum State {
-    /// It does.
+    /// Accepts new requests.
     Serving = 0,
-    /// It will after its weights are loaded.
+    /// Will accept requests after its weights are loaded.
     Loading = 1,
-    /// It finishes what it has and goes.
+    /// Finishes its requests and then stops.
     Leaving = 2,
-    /// Its engine doesn't answer.
+    /// The engine doesn't respond.
     Down = 3,
-    /// Its queue is full.
+    /// The queue is full.
     Full = 4,
 }
 
-/// What it would take.
+/// Reply to a probe: what it would take to serve the request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Offer {
-    /// The probe's.
+    /// Id of the probe.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
-    /// The sidecar's life.
+    /// Incarnation of the sidecar.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The engine's life.
+    /// Incarnation of the engine.
     #[prost(uint64, tag = "3")]
     pub engine: u64,
-    /// Blocks of the prompt that the engine holds.
+    /// Number of the prompt's blocks that are in the engine's cache.
     #[prost(uint32, tag = "4")]
     pub matched: u32,
-    /// Microseconds a request of this class would wait for its turn.
+    /// Time in microseconds that a request of this class would wait in the queue.
     #[prost(uint64, tag = "5")]
     pub wait: u64,
-    /// Nanoseconds of prefill a block, as measured.
+    /// Measured prefill time per block, in nanoseconds.
     #[prost(uint64, tag = "6")]
     pub prefill: u64,
-    /// Whether it takes new work.
+    /// State of the target.
     #[prost(enumeration = "State", tag = "7")]
     pub state: i32,
-    /// The request is known to crash targets.
+    /// Whether the request is known to crash targets.
     #[prost(bool, tag = "8")]
     pub convicted: bool,
-    /// Milliseconds until it is worth coming back, if full.
+    /// Milliseconds after which the request should be sent again, if the queue is full.
     #[prost(uint64, tag = "9")]
     pub retry: u64,
-    /// Thousandths of the last seconds in which the engine computed prompts.
+    /// Share of the last seconds in which the engine computed prompts, in thousandths.
     #[prost(uint32, tag = "10")]
     pub busy: u32,
 }
 
-/// May these requests run, which may crash their targets?
+/// Asks other sidecars whether requests that may crash their targets may run.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Inquiry {
-    /// The target that asks, by its rank.
+    /// Rank of the target whose sidecar sends the inquiry.
     #[prost(fixed64, tag = "1")]
     pub from: u64,
-    /// Draw of the round, returned with the answer.
+    /// Random id of the round, returned in the reply.
     #[prost(fixed64, tag = "2")]
     pub round: u64,
-    /// Microseconds on the asking process's clock, returned with the answer.
+    /// Send time on the sender's clock in microseconds, returned in the reply.
     #[prost(uint64, tag = "3")]
     pub sent: u64,
-    /// The requests.
+    /// Requests that the inquiry is about.
     #[prost(message, repeated, tag = "4")]
     pub suspects: Vec<Suspect>,
 }
 
-/// A request that may crash its target, and that a sidecar would run.
+/// A request that may crash its target and that a sidecar would run.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Suspect {
-    /// Its fingerprint.
+    /// Fingerprint of the request.
     #[prost(fixed64, tag = "1")]
     pub fingerprint: u64,
-    /// Of two claims the lower one goes ahead.
+    /// Priority of the sidecar's claim: of two claims, the one with the lower rank may run.
     #[prost(fixed64, tag = "2")]
     pub rank: u64,
-    /// Names of the crashes that are held against it.
+    /// Ids of the crashes that are attributed to the request.
     #[prost(fixed64, repeated, tag = "3")]
     pub crashes: Vec<u64>,
 }
 
-/// The answer to an inquiry.
+/// Reply to an inquiry.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Findings {
-    /// The target that answers, by its rank.
+    /// Rank of the target whose sidecar replies.
     #[prost(fixed64, tag = "1")]
     pub from: u64,
-    /// The inquiry's.
+    /// Id of the inquiry's round.
     #[prost(fixed64, tag = "2")]
     pub round: u64,
-    /// The inquiry's.
+    /// Send time of the inquiry.
     #[prost(uint64, tag = "3")]
     pub sent: u64,
-    /// What is known of each request.
+    /// Finding for each request.
     #[prost(message, repeated, tag = "4")]
     pub findings: Vec<Finding>,
 }
 
-/// What a sidecar knows of a request.
+/// What a sidecar has recorded about a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Finding {
-    /// Its fingerprint.
+    /// Fingerprint of the request.
     #[prost(fixed64, tag = "1")]
     pub fingerprint: u64,
-    /// Names of the crashes that are held against it.
+    /// Ids of the crashes that are attributed to the request.
     #[prost(fixed64, repeated, tag = "2")]
     pub crashes: Vec<u64>,
-    /// Whether it runs there, or a claim of that sidecar goes ahead.
+    /// Whether the request runs at that sidecar, or that sidecar's claim has priority.
     #[prost(bool, tag = "3")]
     pub busy: bool,
-    /// Whether it was answered well there of late.
+    /// Whether the request was recently answered there without a crash.
     #[prost(bool, tag = "4")]
     pub good: bool,
 }
 
 impl Packet {
-    /// Encodes and seals.
+    /// Encodes and seals a message.
     pub fn seal(message: impl Into<Message>, keys: &Keys) -> Result<Bytes, WireError> {
         let out = keys.seal(
             &Self {
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Checks the seal and decodes.
+    /// Verifies a datagram's seal and decodes its message.
     pub fn open(bytes: &Bytes, keys: &Keys) -> Result<Message, WireError> {
         if bytes.len() > PACKET_MAX {
             return Err(WireError::Large(bytes.len()));
--- a/crates/wire/src/seal.rs
+++ b/crates/wire/src/seal.rs
@@ -1,8 +1,8 @@
-//! Seals: a keyed hash before each message.
+//! Seals: a message authentication code (keyed hash) before each message.
 //!
-//! Datagrams are sealed with the fleet's key itself. Connections first agree on a key of their
-//! own from two nonces; each direction then counts its messages inside the seal, so that a
-//! message replayed, dropped or swapped within a connection is noticed at once.
+//! Datagrams are sealed with the fleet's key itself. The two sides of a connection first derive a
+//! key of their own from two nonces. On a connection the seal also covers the message's sequence
+//! number, so that a replayed, dropped or reordered message is detected at once.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 
 use crate::error::WireError;
 
-/// Bytes of a seal; 128 bits are beyond guessing.
+/// Length of a seal in bytes; 128 bits can't be guessed.
 pub const SEAL_LEN: usize = 16;
 
 /// A secret shared by all processes of a fleet.
@@ -18,7 +18,7 @@
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// Reads 64 hexadecimal digits; surrounding white space is ignored.
+    /// Parses 64 hexadecimal digits; surrounding white space is ignored.
     pub fn from_hex(text: impl AsRef<str>) -> Result<Self, WireError> {
         blake3::Hash::from_hex(text.as_ref().trim())
             .map(|h| Self(*h.as_bytes()))
@@ -38,7 +38,7 @@
         out
     }
 
-    /// A key for one direction of one connection.
+    /// Derives the key for one direction of a connection.
     pub(crate) fn derive(&self, label: &str, client: &[u8], server: &[u8]) -> Self {
         let mut h = blake3::Hasher::new_keyed(&self.0);
         h.update(label.as_bytes()).update(client).update(server);
@@ -52,7 +52,7 @@
     }
 }
 
-/// The keys a process accepts; it seals with the first. Two of them while keys are rotated.
+/// The keys that a process accepts; it seals with the first. There are two during a key rotation.
 #[derive(Clone, Debug)]
 pub struct Keys {
     first: Key,
@@ -60,7 +60,7 @@
 }
 
 impl Keys {
-    /// Seals with `first` and also accepts `second`.
+    /// Creates keys that seal with `first` and also accept `second`.
     pub fn new(first: Key, second: Option<Key>) -> Self {
         Self { first, second }
     }
@@ -70,7 +70,7 @@
         &self.first
     }
 
-    /// Every accepted key.
+    /// All accepted keys.
     pub fn all(&self) -> impl Iterator<Item = &Key> {
         std::iter::once(&self.first).chain(&self.second)
     }
@@ -80,15 +80,15 @@
         sealed(&self.first, 0, payload)
     }
 
-    /// Checks a message's seal; gives its payload and the key that fitted.
+    /// Verifies a message's seal; returns the payload and the key that matched.
     pub fn open(&self, message: &Bytes) -> Result<(Bytes, &Key), WireError> {
         self.all()
             .find_map(|k| Some((opened(k, 0, message).ok()?, k)))
-            .ok_or_else(|| short_or(message))
+            .ok_or_else(|| open_error(message))
     }
 }
 
-/// Puts a seal before a payload.
+/// Prepends a seal to a payload.
 pub(crate) fn sealed(key: &Key, count: u64, payload: &[u8]) -> Bytes {
     let mut out = BytesMut::with_capacity(SEAL_LEN + payload.len());
     out.put_slice(&key.seal(count, payload));
@@ -96,22 +96,22 @@
     out.freeze()
 }
 
-/// Takes a seal off, if it fits.
+/// Verifies and removes a seal.
 pub(crate) fn opened(key: &Key, count: u64, message: &Bytes) -> Result<Bytes, WireError> {
     if message.len() < SEAL_LEN {
         return Err(WireError::Short(message.len()));
     }
     let payload = message.slice(SEAL_LEN..);
-    let want = blake3_eq(&key.seal(count, &payload), &message[..SEAL_LEN]);
-    want.then_some(payload).ok_or(WireError::Seal)
+    let valid = constant_time_eq(&key.seal(count, &payload), &message[..SEAL_LEN]);
+    valid.then_some(payload).ok_or(WireError::Seal)
 }
 
-/// Compares in constant time, so that a forger learns nothing from how long a refusal takes.
-fn blake3_eq(a: &[u8; SEAL_LEN], b: &[u8]) -> bool {
+/// Compares in constant time, so that the time of a rejection reveals nothing about the seal.
+fn constant_time_eq(a: &[u8; SEAL_LEN], b: &[u8]) -> bool {
     a.iter().zip(b).fold(0, |d, (x, y)| d | (x ^ y)) == 0
 }
 
-fn short_or(message: &Bytes) -> WireError {
+fn open_error(message: &Bytes) -> WireError {
     match message.len() {
         n if n < SEAL_LEN => WireError::Short(n),
         _ => WireError::Seal,
--- a/crates/wire/tests/channel.rs
+++ b/crates/wire/tests/channel.rs
@@ -1,4 +1,4 @@
-//! Connections between two of our processes, with somebody in between.
+//! Connections between two processes of a fleet, with a man in the middle.
 
 use bytes::Bytes;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,12 +19,12 @@
 
 type Ends = (Result<(Tx, Rx), WireError>, Result<(Tx, Rx), WireError>);
 
-async fn shake(client: &Keys, server: &Keys) -> Ends {
+async fn handshake(client: &Keys, server: &Keys) -> Ends {
     let (one, two) = pair().await;
     tokio::join!(connect(one, client, [1; 16]), accept(two, server, [2; 16]))
 }
 
-/// One message as it is on the cable.
+/// One message as sent on the network, with its length prefix.
 async fn frame(from: &mut TcpStream) -> Vec<u8> {
     let n = from.read_u32().await.expect("a length");
     let mut bytes = n.to_be_bytes().to_vec();
@@ -33,16 +33,16 @@
     bytes
 }
 
-/// A handshake through somebody who records and changes what the connecting side sends.
-async fn tapped() -> ((Tx, Rx), (Tx, Rx), TcpStream, TcpStream) {
+/// A handshake through a man in the middle, who can record and change the client's frames.
+async fn intercepted() -> ((Tx, Rx), (Tx, Rx), TcpStream, TcpStream) {
     let (one, mut near) = pair().await;
     let (mut far, two) = pair().await;
     let (client, server) = (keys(1, None), keys(1, None));
     let pass = async {
-        let hello = frame(&mut near).await;
-        far.write_all(&hello).await.expect("pass on");
-        let hello = frame(&mut far).await;
-        near.write_all(&hello).await.expect("pass on");
+        let handshake_message = frame(&mut near).await;
+        far.write_all(&handshake_message).await.expect("pass on");
+        let handshake_message = frame(&mut far).await;
+        near.write_all(&handshake_message).await.expect("pass on");
     };
     let (a, b, ()) = tokio::join!(
         connect(one, &client, [1; 16]),
@@ -53,25 +53,25 @@
 }
 
 #[tokio::test]
-async fn handshake_holds_between_those_with_a_common_key() {
+async fn handshake_succeeds_only_with_a_common_key() {
     struct Case {
         what: &'static str,
         client: Keys,
         server: Keys,
-        fits: bool,
+        matches: bool,
     }
     #[rustfmt::skip]
     let cases = [
-        Case { what: "one key", client: keys(1, None), server: keys(1, None), fits: true },
-        Case { what: "client still has the old one", client: keys(1, None), server: keys(2, Some(1)), fits: true },
-        Case { what: "server still has the old one", client: keys(2, Some(1)), server: keys(1, Some(2)), fits: true },
-        Case { what: "no common key", client: keys(1, None), server: keys(2, None), fits: false },
+        Case { what: "one key", client: keys(1, None), server: keys(1, None), matches: true },
+        Case { what: "client still has the old one", client: keys(1, None), server: keys(2, Some(1)), matches: true },
+        Case { what: "server still has the old one", client: keys(2, Some(1)), server: keys(1, Some(2)), matches: true },
+        Case { what: "no common key", client: keys(1, None), server: keys(2, None), matches: false },
     ];
     for c in cases {
-        let (a, b) = shake(&c.client, &c.server).await;
-        assert_eq!(b.is_ok(), c.fits, "{}: {:?}", c.what, b.err());
+        let (a, b) = handshake(&c.client, &c.server).await;
+        assert_eq!(b.is_ok(), c.matches, "{}: {:?}", c.what, b.err());
         let (Ok((mut tx, _)), Ok((_, mut rx))) = (a, b) else {
-            assert!(!c.fits, "{}", c.what);
+            assert!(!c.matches, "{}", c.what);
             continue;
         };
         tx.send(Ack { next: 7 }).await.expect("send");
@@ -80,18 +80,18 @@
     }
 }
 
-/// What somebody in between does with the frames of a connection.
+/// What the man in the middle does with the frames of a connection.
 struct Tampering {
     what: &'static str,
-    /// Which of the three frames arrive, in order; with a bit flipped if so told.
+    /// Which of the three frames arrive, in order, and whether a bit of the frame is flipped.
     order: &'static [(usize, bool)],
-    /// Frames that arrive before the fault.
+    /// Number of valid frames before the fault.
     good: u64,
     ends: fn(&WireError) -> bool,
 }
 
-/// Frames are replayed, swapped, left out, changed or cut off in between. A reader that went on
-/// would give a caller another answer's words.
+/// Guards against a reader that continues after frames were replayed, reordered, dropped or
+/// changed: a caller would get parts of another answer.
 #[tokio::test]
 async fn tampered_frames_end_the_connection() {
     let seal: fn(&WireError) -> bool = |e| matches!(e, WireError::Seal);
@@ -101,11 +101,11 @@
         Tampering { what: "replayed", order: &[(0, false), (0, false)], good: 1, ends: seal },
         Tampering { what: "replayed later", order: &[(0, false), (1, false), (0, false)], good: 2, ends: seal },
         Tampering { what: "swapped", order: &[(1, false), (0, false)], good: 0, ends: seal },
-        Tampering { what: "left out", order: &[(0, false), (2, false)], good: 1, ends: seal },
+        Tampering { what: "dropped", order: &[(0, false), (2, false)], good: 1, ends: seal },
         Tampering { what: "changed", order: &[(0, false), (1, true)], good: 1, ends: seal },
     ];
     for c in cases {
-        let ((mut tx, _keep), (_tx, mut rx), mut near, mut far) = tapped().await;
+        let ((mut tx, _keep), (_tx, mut rx), mut near, mut far) = intercepted().await;
         let mut sent = Vec::new();
         for next in 0..3 {
             tx.send(Ack { next }).await.expect("send");
@@ -128,29 +128,36 @@
     }
 }
 
-/// A whole connection is recorded and played again to the accepting side. The nonce that it draws
-/// is another one, so that the first frame doesn't fit any more.
+/// Guards against a recorded connection that is replayed to the accepting side. The accepting side
+/// draws a new nonce, so the seal of the first replayed frame is invalid.
 #[tokio::test]
 async fn replayed_connection_is_refused_at_its_first_frame() {
-    let ours = keys(1, None);
-    let ((mut tx, _rx), _server, mut near, _far) = tapped().await;
+    let fleet_keys = keys(1, None);
+    let ((mut tx, _rx), _server, mut near, _far) = intercepted().await;
     tx.send(Ack { next: 1 }).await.expect("send");
     let first = frame(&mut near).await;
-    // The connecting side's hello is its nonce under the fleet's key, as on every connection.
-    let hello = ours.seal(&[1; 16]);
-    let hello = [&(hello.len() as u32).to_be_bytes()[..], &hello].concat();
+    // The client's handshake message is its nonce, sealed with the fleet's key.
+    let handshake_message = fleet_keys.seal(&[1; 16]);
+    let handshake_message = [
+        &(handshake_message.len() as u32).to_be_bytes()[..],
+        &handshake_message,
+    ]
+    .concat();
     let (mut again, one) = pair().await;
     // The replay.
-    again.write_all(&hello).await.expect("write");
+    again.write_all(&handshake_message).await.expect("write");
     again.write_all(&first).await.expect("write");
-    let (_tx, mut rx) = accept(one, &ours, [9; 16]).await.expect("the hello fits");
-    let error = rx.next().await.expect_err("the frame doesn't");
+    let (_tx, mut rx) = accept(one, &fleet_keys, [9; 16])
+        .await
+        .expect("the handshake message is valid");
+    let error = rx.next().await.expect_err("the frame is invalid");
     assert!(matches!(error, WireError::Seal), "{error:?}");
 }
 
-/// Anybody can connect and send anything, or leave within a frame.
+/// Guards against panics and large allocations when an unauthenticated peer sends arbitrary bytes
+/// or disconnects within a frame.
 #[tokio::test]
-async fn strangers_end_in_typed_errors() {
+async fn unauthenticated_peers_cause_typed_errors() {
     struct Case {
         what: &'static str,
         bytes: Vec<u8>,
@@ -167,7 +174,7 @@
         Case { what: "half a frame", bytes: framed(&[7; 32])[..20].to_vec(), ends: |e| matches!(e, WireError::Cut) },
         Case { what: "an empty frame", bytes: framed(&[]), ends: |e| matches!(e, WireError::Short(0)) },
         Case { what: "a short frame", bytes: framed(&[7; 9]), ends: |e| matches!(e, WireError::Short(9)) },
-        Case { what: "no seal of ours", bytes: framed(&[7; 32]), ends: |e| matches!(e, WireError::Seal) },
+        Case { what: "invalid seal", bytes: framed(&[7; 32]), ends: |e| matches!(e, WireError::Seal) },
     ];
     for c in cases {
         let (mut one, two) = pair().await;
@@ -175,15 +182,15 @@
         drop(one);
         let error = accept(two, &keys(1, None), [2; 16])
             .await
-            .expect_err("a stranger");
+            .expect_err("an unauthenticated peer");
         assert!((c.ends)(&error), "{}: {error:?}", c.what);
     }
 }
 
-/// A frame larger than any of ours is refused before it is sent, and the connection still works.
+/// Guards against a frame over the size limit that is sent, or that makes the connection unusable.
 #[tokio::test]
 async fn oversize_frame_is_not_sent() {
-    let (a, b) = shake(&keys(1, None), &keys(1, None)).await;
+    let (a, b) = handshake(&keys(1, None), &keys(1, None)).await;
     let ((mut tx, _a), (_b, mut rx)) = (a.expect("client"), b.expect("server"));
     let data = Bytes::from(vec![0; FRAME_MAX + 1]);
     let error = tx.send(wire::Text { data }).await.expect_err("too large");
--- a/crates/wire/tests/seal.rs
+++ b/crates/wire/tests/seal.rs
@@ -1,4 +1,4 @@
-//! Seals and codecs against whatever comes.
+//! Seals and decoding, with arbitrary input.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -51,23 +51,22 @@
 proptest! {
     #![proptest_config(seeded(2_000))]
 
-    /// Anybody can send anything to a port. It must end in a typed error, never in a panic, and
-    /// never in a message.
+    /// Guards against a panic, or an accepted message, when a stray sender's datagram arrives.
     #[test]
-    fn random_bytes_are_no_packet(bytes in prop::collection::vec(any::<u8>(), 0..PACKET_MAX + 100)) {
+    fn random_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..PACKET_MAX + 100)) {
         let long = bytes.len() > PACKET_MAX;
         let short = bytes.len() < wire::seal::SEAL_LEN;
         let error = Packet::open(&Bytes::from(bytes), &keys(1, Some(2))).expect_err("no packet");
-        let fits = match error {
+        let matches = match error {
             WireError::Large(_) => long,
             WireError::Short(_) => short,
             WireError::Seal => !long && !short,
             _ => false,
         };
-        prop_assert!(fits, "{:?}", error);
+        prop_assert!(matches, "{:?}", error);
     }
 
-    /// A peer of another release, or one with a fault, seals bytes that are no message.
+    /// Guards against a panic when a faulty peer or another release seals an undecodable message.
     #[test]
     fn sealed_random_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..1_000)) {
         let _ = Frame::decode(&bytes[..]);
@@ -77,42 +76,42 @@
         }
     }
 
-    /// What is sent is what arrives.
+    /// Guards against a packet that changes when it is sealed, opened and decoded.
     #[test]
-    fn packets_come_back_as_they_were(p in probe(), id in any::<u64>(), wait in any::<u64>()) {
-        let ours = keys(1, None);
+    fn packets_round_trip(p in probe(), id in any::<u64>(), wait in any::<u64>()) {
+        let fleet_keys = keys(1, None);
         let offer = Offer { id, wait, ..Offer::default() };
         for message in [Message::Probe(p), Message::Offer(offer)] {
-            let sealed = Packet::seal(message.clone(), &ours).expect("small enough");
+            let sealed = Packet::seal(message.clone(), &fleet_keys).expect("small enough");
             prop_assert!(sealed.len() <= PACKET_MAX);
-            prop_assert_eq!(Packet::open(&sealed, &ours).expect("ours"), message);
+            prop_assert_eq!(Packet::open(&sealed, &fleet_keys).expect("fleet_keys"), message);
         }
     }
 
-    /// A cable, a switch or a stranger changes one bit.
+    /// Guards against accepting a packet in which the network or an attacker flipped a bit.
     #[test]
     fn a_flipped_bit_is_an_error(p in probe(), at in any::<prop::sample::Index>(), bit in 0..8_u8) {
-        let ours = keys(1, Some(2));
-        let mut bytes = Packet::seal(p, &ours).expect("small enough").to_vec();
+        let fleet_keys = keys(1, Some(2));
+        let mut bytes = Packet::seal(p, &fleet_keys).expect("small enough").to_vec();
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
-        let error = Packet::open(&Bytes::from(bytes), &ours).expect_err("changed");
+        let error = Packet::open(&Bytes::from(bytes), &fleet_keys).expect_err("changed");
         prop_assert!(matches!(error, WireError::Seal), "{:?}", error);
     }
 
-    /// A datagram is cut short on its way.
+    /// Guards against accepting a truncated datagram.
     #[test]
     fn a_truncated_packet_is_an_error(p in probe(), at in any::<prop::sample::Index>()) {
-        let ours = keys(1, None);
-        let bytes = Packet::seal(p, &ours).expect("small enough");
+        let fleet_keys = keys(1, None);
+        let bytes = Packet::seal(p, &fleet_keys).expect("small enough");
         let cut = bytes.slice(..at.index(bytes.len()));
-        let error = Packet::open(&cut, &ours).expect_err("cut");
+        let error = Packet::open(&cut, &fleet_keys).expect_err("cut");
         prop_assert!(matches!(error, WireError::Seal | WireError::Short(_)), "{:?}", error);
     }
 
-    /// Frames decode to what was encoded.
+    /// Guards against a frame that changes when it is encoded and decoded.
     #[test]
-    fn frames_come_back_as_they_were(seq in any::<u64>(), data in prop::collection::vec(any::<u8>(), 0..500)) {
+    fn frames_round_trip(seq in any::<u64>(), data in prop::collection::vec(any::<u8>(), 0..500)) {
         let chunk = Chunk { seq, data: Bytes::from(data) };
         for body in [Body::from(chunk), Body::from(Ack { next: seq })] {
             let bytes = Frame::new(body.clone()).encode_to_vec();
@@ -121,31 +120,31 @@
     }
 }
 
-/// Keys are rotated process by process: first each accepts both, then each seals with the new
-/// one, then each forgets the old one. A step that cut some off would split the fleet.
+/// Guards against a split fleet during a key rotation: first each process accepts both keys, then
+/// each seals with the new one, then each drops the old one.
 #[test]
 fn keys_can_be_rotated_without_a_gap() {
     struct Case {
         what: &'static str,
         from: Keys,
         to: Keys,
-        fits: bool,
+        matches: bool,
     }
     #[rustfmt::skip]
     let cases = [
-        Case { what: "before", from: keys(1, None), to: keys(1, None), fits: true },
-        Case { what: "accepts both already", from: keys(1, None), to: keys(1, Some(2)), fits: true },
-        Case { what: "seals with the new one", from: keys(2, Some(1)), to: keys(1, Some(2)), fits: true },
-        Case { what: "still seals with the old one", from: keys(1, Some(2)), to: keys(2, Some(1)), fits: true },
-        Case { what: "has forgotten the old one", from: keys(2, Some(1)), to: keys(2, None), fits: true },
-        Case { what: "after", from: keys(2, None), to: keys(2, Some(1)), fits: true },
-        Case { what: "one that was left out", from: keys(1, None), to: keys(2, None), fits: false },
-        Case { what: "a stranger", from: keys(3, None), to: keys(2, Some(1)), fits: false },
+        Case { what: "before", from: keys(1, None), to: keys(1, None), matches: true },
+        Case { what: "accepts both already", from: keys(1, None), to: keys(1, Some(2)), matches: true },
+        Case { what: "seals with the new one", from: keys(2, Some(1)), to: keys(1, Some(2)), matches: true },
+        Case { what: "still seals with the old one", from: keys(1, Some(2)), to: keys(2, Some(1)), matches: true },
+        Case { what: "has dropped the old one", from: keys(2, Some(1)), to: keys(2, None), matches: true },
+        Case { what: "after", from: keys(2, None), to: keys(2, Some(1)), matches: true },
+        Case { what: "missed the rotation", from: keys(1, None), to: keys(2, None), matches: false },
+        Case { what: "not part of the fleet", from: keys(3, None), to: keys(2, Some(1)), matches: false },
     ];
     for c in cases {
         let sealed = Packet::seal(Probe::default(), &c.from).expect("small enough");
         let opened = Packet::open(&sealed, &c.to);
-        assert_eq!(opened.is_ok(), c.fits, "{}: {opened:?}", c.what);
+        assert_eq!(opened.is_ok(), c.matches, "{}: {opened:?}", c.what);
     }
 }
 
