--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client over `hyper-util`, with one time limit a call.
+//! A small HTTP client based on `hyper-util`, with a timeout for each call.
 
 use std::error::Error as _;
 use std::io;
@@ -12,25 +12,25 @@
 use hyper_util::rt::TokioExecutor;
 use thiserror::Error;
 
-/// Why a call has no answer.
+/// Error of a call that got no response.
 #[derive(Debug, Error)]
 pub enum HttpError {
-    /// The address or a header can't be used.
-    #[error("unusable call: {0}")]
+    /// The URI or a header is invalid.
+    #[error("invalid call: {0}")]
     Call(#[from] hyper::http::Error),
-    /// Nobody could be reached; nothing was sent.
+    /// The connection couldn't be established; nothing was sent.
     #[error("can't connect: {0}")]
     Connect(hyper_util::client::legacy::Error),
     /// The connection broke after the call may have been sent.
     #[error("connection lost: {0}")]
     Lost(String),
-    /// No answer in time; the call may have been carried out.
+    /// There was no response in time; the call may have been executed.
     #[error("no answer within {0:?}")]
     Timeout(Duration),
 }
 
 impl HttpError {
-    /// Whether nothing listens at the address.
+    /// Whether the connection was refused, so that no process listens at the address.
     pub fn is_refused(&self) -> bool {
         let Self::Connect(e) = self else {
             return false;
@@ -43,34 +43,34 @@
     }
 }
 
-/// One call.
+/// An HTTP request with a timeout.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// HTTP method.
     pub method: Method,
-    /// Whole URI.
+    /// Absolute URI.
     pub uri: String,
-    /// Headers.
+    /// Names and values of the headers.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Content of the request; may be empty.
     pub body: Bytes,
-    /// Longest wait for the whole answer.
-    pub limit: Duration,
+    /// Maximum time until the whole response has arrived.
+    pub timeout: Duration,
 }
 
 impl Call {
-    /// A call without headers or body.
-    pub fn new(method: Method, uri: impl Into<String>, limit: Duration) -> Self {
+    /// Creates a call without headers and body.
+    pub fn new(method: Method, uri: impl Into<String>, timeout: Duration) -> Self {
         Self {
             method,
             uri: uri.into(),
             headers: Vec::new(),
             body: Bytes::new(),
-            limit,
+            timeout,
         }
     }
 
-    /// Adds a body.
+    /// Sets the body.
     pub fn body(mut self, body: impl Into<Bytes>) -> Self {
         self.body = body.into();
         self
@@ -83,7 +83,7 @@
     }
 }
 
-/// A pooled client.
+/// An HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: Legacy<HttpConnector, Full<Bytes>>,
@@ -100,7 +100,7 @@
 }
 
 impl Client {
-    /// Sends a call and reads the whole answer.
+    /// Sends a call and reads the whole response.
     pub async fn call(&self, call: Call) -> Result<(StatusCode, Bytes), HttpError> {
         let mut req = hyper::Request::builder().method(call.method).uri(call.uri);
         for (name, value) in &call.headers {
@@ -108,19 +108,19 @@
         }
         let req = req.body(Full::new(call.body))?;
         let whole = async {
-            let res = self.inner.request(req).await.map_err(refused)?;
+            let res = self.inner.request(req).await.map_err(send_error)?;
             let status = res.status();
             let body = res.into_body().collect().await;
             let body = body.map_err(|e| HttpError::Lost(e.to_string()))?;
             Ok((status, body.to_bytes()))
         };
-        tokio::time::timeout(call.limit, whole)
+        tokio::time::timeout(call.timeout, whole)
             .await
-            .unwrap_or(Err(HttpError::Timeout(call.limit)))
+            .unwrap_or(Err(HttpError::Timeout(call.timeout)))
     }
 }
 
-fn refused(e: hyper_util::client::legacy::Error) -> HttpError {
+fn send_error(e: hyper_util::client::legacy::Error) -> HttpError {
     match e.is_connect() {
         true => HttpError::Connect(e),
         false => HttpError::Lost(e.to_string()),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform's services: transactional table, object store and host list.
+//! Client for the platform's transactional table and host list.
 //!
-//! [`Table`] is the seam: everything above it speaks in [`contract::Request`] and
-//! [`contract::Reply`], so that another platform needs one adapter like [`Platform`] and nothing
-//! else. The adapter's one duty beyond translation is honesty about losses: a call that may have
-//! taken effect is [`contract::Reply::Lost`], never [`contract::Reply::Down`].
+//! [`Table`] is the interface to the platform: other crates only use [`contract::Request`] and
+//! [`contract::Reply`], so supporting another platform takes one adapter like [`Platform`] and
+//! nothing else. An adapter must report [`contract::Reply::Lost`] for each call that may have taken
+//! effect, never [`contract::Reply::Down`].
 
 pub mod http;
 pub mod platform;
@@ -17,6 +17,6 @@
 
 /// A transactional table.
 pub trait Table: Send + Sync + 'static {
-    /// Performs one call; it ends in bounded time.
+    /// Performs one call and returns in bounded time.
     fn call(&self, request: Request) -> impl Future<Output = Reply> + Send;
 }
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP and JSON.
+//! Adapter for a platform that is accessed with HTTP and JSON.
 //!
 //! | call | body | answer |
 //! | --- | --- | --- |
@@ -7,7 +7,7 @@
 //! | `GET /hosts` | | 200 `[{"name","state":"live" or "leaving"}]` |
 //! | `GET /objects/{key}`, `PUT /objects/{key}` | bytes | 200, 404 |
 //!
-//! 503 stands for a call that surely took no effect.
+//! Status 503 means that the call certainly took no effect.
 
 use std::time::Duration;
 
@@ -19,33 +19,33 @@
 use crate::http::{Call, Client, HttpError};
 use crate::Table;
 
-/// Longest wait for the platform. A caller on the line waits for a claim; beyond this a refusal
-/// serves better.
-pub const LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout for calls to the platform. A caller may wait on the phone while its request is claimed;
+/// after this time a refusal is better than a longer wait.
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Whether the platform keeps a host.
+/// State of a host in the platform's host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
-    /// It stays.
+    /// The platform keeps the host.
     Live,
-    /// It goes.
+    /// The platform will remove the host.
     Leaving,
 }
 
-/// A line of the platform's host list, which lags behind reality.
+/// An entry of the platform's host list, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Name.
+    /// Name of the host.
     pub name: String,
-    /// State.
+    /// State of the host.
     pub state: HostState,
-    /// Peer addresses of our processes on it.
+    /// Peer addresses of the fleet's processes on the host.
     #[serde(default)]
     pub peers: Vec<std::net::SocketAddr>,
 }
 
-/// The platform at one address.
+/// Client for the platform at one address.
 #[derive(Clone, Debug)]
 pub struct Platform {
     base: String,
@@ -76,7 +76,7 @@
 }
 
 impl Platform {
-    /// The platform at `base`, such as `http://127.0.0.1:7000`.
+    /// Creates a client for the platform at `base`, such as `http://127.0.0.1:7000`.
     pub fn new(base: impl Into<String>, client: Client) -> Self {
         Self {
             base: base.into().trim_end_matches('/').to_owned(),
@@ -84,9 +84,9 @@
         }
     }
 
-    /// Hosts as the platform lists them.
+    /// Reads the platform's host list; `None` if the call fails.
     pub async fn hosts(&self) -> Option<Vec<ListedHost>> {
-        let call = Call::new(Method::GET, format!("{}/hosts", self.base), LIMIT);
+        let call = Call::new(Method::GET, format!("{}/hosts", self.base), CALL_TIMEOUT);
         match self.client.call(call).await {
             Ok((StatusCode::OK, body)) => serde_json::from_slice(&body).ok(),
             _ => None,
@@ -94,7 +94,11 @@
     }
 
     async fn read(&self, key: &str) -> Reply {
-        let call = Call::new(Method::GET, format!("{}/table/{key}", self.base), LIMIT);
+        let call = Call::new(
+            Method::GET,
+            format!("{}/table/{key}", self.base),
+            CALL_TIMEOUT,
+        );
         match self.client.call(call).await {
             Ok((StatusCode::NOT_FOUND, _)) => Reply::Row(None),
             Ok((StatusCode::OK, body)) => match serde_json::from_slice::<ReadBody>(&body) {
@@ -122,9 +126,14 @@
         let Ok(body) = serde_json::to_vec(&body) else {
             return Reply::Down;
         };
-        let call = Call::new(Method::POST, format!("{}/transact", self.base), LIMIT).body(body);
+        let call = Call::new(
+            Method::POST,
+            format!("{}/transact", self.base),
+            CALL_TIMEOUT,
+        )
+        .body(body);
         match self.client.call(call).await {
-            Ok((StatusCode::OK, body)) => written(&body),
+            Ok((StatusCode::OK, body)) => write_reply(&body),
             Ok((StatusCode::CONFLICT, _)) => Reply::Conflict,
             Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => Reply::Down,
             Err(HttpError::Connect(_) | HttpError::Call(_)) => Reply::Down,
@@ -146,7 +155,7 @@
     }
 }
 
-fn written(body: &Bytes) -> Reply {
+fn write_reply(body: &Bytes) -> Reply {
     match serde_json::from_slice::<TransactReply>(body) {
         Ok(r) => r
             .versions
