--- a/crates/daemon/tests/cache.rs
+++ b/crates/daemon/tests/cache.rs
@@ -175,7 +175,7 @@
 fn held(blocks: &[Value], prompt: &str) -> u32 {
     let mut parent = Value::Null;
     let mut n = 0;
-    for text in prompt.as_bytes().chunks_exact(prefix::BLOCK) {
+    for text in prompt.as_bytes().chunks_exact(prefix::BLOCK_BYTES) {
         let text = String::from_utf8_lossy(text);
         let found = blocks
             .iter()
--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -7,7 +7,7 @@
 use daemon::sidecar::decide::{Decide, Finding, Found, Question, RunKey, State, Work};
 use model::{Class, Incarnation, MemberId, Micros};
 use policy::trial::Claim;
-use prefix::{chain, Block, Event, Marks, Seed, BLOCK};
+use prefix::{chain, Block, Event, Marks, Seed, BLOCK_BYTES};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
@@ -78,7 +78,7 @@
 /// Guards against claims on blocks of an engine that has crashed or has other weights.
 #[test]
 fn claims_end_with_the_life_and_the_weights() {
-    let prompt = "x".repeat(3 * BLOCK);
+    let prompt = "x".repeat(3 * BLOCK_BYTES);
     let [marks, newer] = ["1", "2"].map(|weights| {
         let points = chain(Seed::new("team-one", "lekha", weights), &prompt);
         Marks::new(&points)
@@ -111,7 +111,7 @@
 }
 
 fn store(d: &mut Decide<u32>, prompt: &str) {
-    for (i, text) in prompt.as_bytes().chunks_exact(BLOCK).enumerate() {
+    for (i, text) in prompt.as_bytes().chunks_exact(BLOCK_BYTES).enumerate() {
         let hash = i as u64 + 1;
         let block = Block {
             hash,
@@ -312,7 +312,7 @@
         probe: u64::from(name),
         team: "team-one".to_owned(),
         class: Class::Normal,
-        marks: Marks::new(&chain(seed, [name; BLOCKS * BLOCK])),
+        marks: Marks::new(&chain(seed, [name; BLOCKS * BLOCK_BYTES])),
         blocks: BLOCKS as u32,
         fingerprint: 0,
     };
@@ -321,7 +321,7 @@
     for name in 1..=20 {
         let mut rng = SmallRng::seed_from_u64(1);
         let work = Work {
-            chain: chain(seed, [name; BLOCKS * BLOCK]),
+            chain: chain(seed, [name; BLOCKS * BLOCK_BYTES]),
             ..work(u64::from(name), 0)
         };
         d.open(now, work, u32::from(name), &mut rng).expect("taken");
--- a/crates/policy/examples/replay/sim/trace.rs
+++ b/crates/policy/examples/replay/sim/trace.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use model::{BlockHash, Class};
-use prefix::{next, root, Seed, BLOCK};
+use prefix::{next, root, Seed, BLOCK_BYTES};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -53,8 +53,8 @@
             }
         }
         let text = Bytes::from(text);
-        let texts: Vec<Bytes> = (0..text.len() / BLOCK)
-            .map(|i| text.slice(i * BLOCK..(i + 1) * BLOCK))
+        let texts: Vec<Bytes> = (0..text.len() / BLOCK_BYTES)
+            .map(|i| text.slice(i * BLOCK_BYTES..(i + 1) * BLOCK_BYTES))
             .collect();
         let mut parent = root(Seed::new(&self.team, "m", "1"));
         let chain = texts.iter().map(|t| {
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -3,7 +3,7 @@
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
 use policy::place::{candidates, choose, fallback, Ask, Config, Offer, Peer, State};
 use policy::recent::{self, Recent};
-use prefix::{chain, Seed, BLOCK};
+use prefix::{chain, Seed, BLOCK_BYTES};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use slotmap::SlotMap;
@@ -19,7 +19,7 @@
 }
 
 fn hashes(blocks: usize, fill: u8) -> Vec<BlockHash> {
-    chain(Seed::new("a", "m", "1"), vec![fill; blocks * BLOCK])
+    chain(Seed::new("a", "m", "1"), vec![fill; blocks * BLOCK_BYTES])
 }
 
 fn offer(target: TargetKey, matched: u32, wait_ms: u64) -> Offer {
--- a/crates/prefix/examples/prefix_bench.rs
+++ b/crates/prefix/examples/prefix_bench.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use model::{BlockHash, Incarnation, Micros};
-use prefix::{chain, Block, Config, Event, Index, Kind, Marks, Seed, BLOCK};
+use prefix::{chain, Block, Config, Event, Index, Kind, Marks, Seed, BLOCK_BYTES};
 
 /// Blocks of one prompt; 16,000 tokens.
 const PROMPT: usize = 1_000;
@@ -15,15 +15,15 @@
 /// Prompts that share their first half in groups of ten.
 fn prompt(number: usize) -> Vec<u8> {
     let fill = |i: usize| {
-        let part = if i < PROMPT / 2 * BLOCK {
+        let part = if i < PROMPT / 2 * BLOCK_BYTES {
             number / 10
         } else {
             number
         };
         (part.wrapping_mul(31).wrapping_add(i / 8) % 251) as u8
     };
-    let mut text: Vec<u8> = (0..PROMPT * BLOCK).map(fill).collect();
-    let half = PROMPT / 2 * BLOCK;
+    let mut text: Vec<u8> = (0..PROMPT * BLOCK_BYTES).map(fill).collect();
+    let half = PROMPT / 2 * BLOCK_BYTES;
     text[..8].copy_from_slice(&(number as u64 / 10).to_le_bytes());
     text[half..half + 8].copy_from_slice(&(number as u64).to_le_bytes());
     text
@@ -41,7 +41,7 @@
             hash: hashes[i].0,
             parent: parent(i),
             scope: "team".to_owned(),
-            text: text.slice(i * BLOCK..(i + 1) * BLOCK),
+            text: text.slice(i * BLOCK_BYTES..(i + 1) * BLOCK_BYTES),
         })
         .collect()
 }
--- a/crates/prefix/src/chain.rs
+++ b/crates/prefix/src/chain.rs
@@ -9,9 +9,9 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Bytes in a block.
-pub const BLOCK: usize = 64;
+pub const BLOCK_BYTES: usize = 64;
 /// Tokens in a block, at the usual four bytes a token.
-pub const TOKENS: u32 = 16;
+pub const BLOCK_TOKENS: u32 = 16;
 
 /// What the first block of a chain is hashed with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -46,7 +46,7 @@
 pub fn chain(seed: Seed, prompt: impl AsRef<[u8]>) -> Vec<BlockHash> {
     prompt
         .as_ref()
-        .chunks_exact(BLOCK)
+        .chunks_exact(BLOCK_BYTES)
         .scan(root(seed), |parent, block| {
             *parent = next(*parent, block);
             Some(*parent)
--- a/crates/prefix/src/expect.rs
+++ b/crates/prefix/src/expect.rs
@@ -7,7 +7,7 @@
 
 use model::{BlockHash, Micros};
 
-use crate::mix::Map;
+use crate::int_hasher::Map;
 
 /// Expected blocks with the time at which each is given up.
 #[derive(Debug, Default)]
--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -11,7 +11,7 @@
 
 use model::{BlockHash, Incarnation, Micros};
 
-use crate::chain::{next, root, Seed, BLOCK};
+use crate::chain::{next, root, Seed, BLOCK_BYTES};
 use crate::event::{Block, Event, Kind};
 use crate::expect::Expect;
 use crate::marks::Marks;
@@ -333,7 +333,7 @@
             None => Some(root(Seed::new(&block.scope, &self.model, &self.weights))),
         };
         match parent {
-            Some(parent) if block.text.len() == BLOCK => {
+            Some(parent) if block.text.len() == BLOCK_BYTES => {
                 let hash = next(parent, &block.text);
                 self.tree.insert(block.hash, block.parent, hash);
                 self.expect.settle(hash);
--- a/crates/prefix/src/mix.rs
+++ b/crates/prefix/src/int_hasher.rs
@@ -8,16 +8,16 @@
 use std::hash::{BuildHasherDefault, Hasher};
 
 /// A map keyed by block hashes or engines' ids.
-pub type Map<K, V> = HashMap<K, V, BuildHasherDefault<Mix>>;
+pub type Map<K, V> = HashMap<K, V, BuildHasherDefault<IntHasher>>;
 
 /// Hashes one 64-bit number.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mix(u64);
+pub struct IntHasher(u64);
 
 /// An odd number with evenly spread bits: 2^64 divided by the golden ratio.
 const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
 
-impl Hasher for Mix {
+impl Hasher for IntHasher {
     fn finish(&self) -> u64 {
         self.0
     }
--- a/crates/prefix/src/marks.rs
+++ b/crates/prefix/src/marks.rs
@@ -1,7 +1,7 @@
 //! Points of a chain that stand for the whole of it.
 //!
 //! A prompt of 16,000 tokens has a chain of 1,000 hashes, 8 KB. At four probes a request that
-//! would be more than a node may spend on all control, so that a probe carries at most [`MARKS`]
+//! would be more than a node may spend on all control, so that a probe carries at most [`MAX_MARKS`]
 //! points of it, some 200 bytes. Half of them lie ever closer to the end, since most prompts
 //! differ from an earlier one only in a short last part; the others halve the depth towards the
 //! beginning, for the outer levels of a nested prefix.
@@ -9,7 +9,7 @@
 use model::BlockHash;
 
 /// Most points in a probe.
-pub const MARKS: usize = 16;
+pub const MAX_MARKS: usize = 16;
 /// Points that are spaced from the end: the end itself and 1, 2, 4, … 128 blocks before it.
 const TAIL: u32 = 9;
 /// Significant bits of the depths on the grid; four depths an octave.
@@ -46,15 +46,15 @@
         depths.sort_unstable();
         depths.dedup();
         let first = depths.first().copied().unwrap_or(0);
-        let room = MARKS - depths.len();
+        let room = MAX_MARKS - depths.len();
         depths.extend(halves(first).take(room));
         depths.sort_unstable_by_key(|d| std::cmp::Reverse(*d));
         Self(depths.into_iter().map(|d| mark(chain, d)).collect())
     }
 
-    /// Takes points that came in a message; those beyond [`MARKS`] are ignored.
+    /// Takes points that came in a message; those beyond [`MAX_MARKS`] are ignored.
     pub fn from_points(points: impl IntoIterator<Item = Mark>) -> Self {
-        let mut points: Vec<Mark> = points.into_iter().take(MARKS).collect();
+        let mut points: Vec<Mark> = points.into_iter().take(MAX_MARKS).collect();
         points.sort_unstable_by_key(|m| std::cmp::Reverse(m.blocks));
         Self(points)
     }
--- a/crates/prefix/src/tree.rs
+++ b/crates/prefix/src/tree.rs
@@ -8,7 +8,7 @@
 use model::BlockHash;
 use slab::Slab;
 
-use crate::mix::Map;
+use crate::int_hasher::Map;
 
 /// A place in the arena; half as wide as a pointer, since there are five in each node.
 type Slot = u32;
--- a/crates/prefix/tests/chain.rs
+++ b/crates/prefix/tests/chain.rs
@@ -1,10 +1,12 @@
 //! Chains, marks and levels.
 
 use model::BlockHash;
-use prefix::{chain, grid, levels, next, root, Marks, Seed, BLOCK, MARKS};
+use prefix::{chain, grid, levels, next, root, Marks, Seed, BLOCK_BYTES, MAX_MARKS};
 
 fn text(blocks: usize) -> Vec<u8> {
-    (0..blocks * BLOCK).map(|i| (i / 7 % 251) as u8).collect()
+    (0..blocks * BLOCK_BYTES)
+        .map(|i| (i / 7 % 251) as u8)
+        .collect()
 }
 
 /// Two teams send the same prompt, or one team sends it before and after a change of weights. If
@@ -49,9 +51,12 @@
 fn only_whole_blocks_are_hashed_each_on_the_one_before() {
     let seed = Seed::new("a", "m", "1");
     let prompt = text(3);
-    let hashes = chain(seed, &prompt[..3 * BLOCK - 1]);
-    let first = next(root(seed), &prompt[..BLOCK]);
-    assert_eq!(hashes, [first, next(first, &prompt[BLOCK..2 * BLOCK])]);
+    let hashes = chain(seed, &prompt[..3 * BLOCK_BYTES - 1]);
+    let first = next(root(seed), &prompt[..BLOCK_BYTES]);
+    assert_eq!(
+        hashes,
+        [first, next(first, &prompt[BLOCK_BYTES..2 * BLOCK_BYTES])]
+    );
     assert!(chain(seed, "short").is_empty());
 }
 
@@ -61,7 +66,7 @@
         let hashes: Vec<BlockHash> = (1..=n as u64).map(BlockHash).collect();
         let marks = Marks::with(&hashes, Some(n as u32 / 3));
         let depths: Vec<u32> = marks.points().iter().map(|m| m.blocks).collect();
-        assert!(depths.len() <= MARKS, "{n}: {depths:?}");
+        assert!(depths.len() <= MAX_MARKS, "{n}: {depths:?}");
         assert!(depths.windows(2).all(|w| w[0] > w[1]), "{n}: {depths:?}");
         assert!(marks
             .points()
@@ -70,7 +75,7 @@
         assert_eq!(marks.blocks(), n as u32);
         assert_eq!(depths.contains(&(n as u32 / 3)), n >= 3, "{n}: {depths:?}");
         let shallow = depths.last().copied().unwrap_or(0) as usize;
-        assert!(shallow <= n / 8 || n <= MARKS, "{n}: {depths:?}");
+        assert!(shallow <= n / 8 || n <= MAX_MARKS, "{n}: {depths:?}");
     }
 }
 
--- a/crates/prefix/tests/index.rs
+++ b/crates/prefix/tests/index.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use model::{BlockHash, Incarnation, Micros};
-use prefix::{chain, Block, Config, Event, Index, Kind, Marks, Need, Seed, BLOCK};
+use prefix::{chain, Block, Config, Event, Index, Kind, Marks, Need, Seed, BLOCK_BYTES};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -12,7 +12,7 @@
 const LATER: Micros = Micros(1_000_000);
 
 fn text(id: u64) -> Bytes {
-    Bytes::from(vec![id as u8; BLOCK])
+    Bytes::from(vec![id as u8; BLOCK_BYTES])
 }
 
 fn block(id: u64, parent: Option<u64>, scope: &str) -> Block {
