--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -190,7 +190,7 @@
     }
 
     /// Takes back what [`Index::expect`] said, for a prompt that wasn't run.
-    pub fn unexpect(&mut self, chain: &[BlockHash]) {
+    pub fn cancel_expected(&mut self, chain: &[BlockHash]) {
         for hash in chain.iter().copied() {
             self.expect.settle(hash);
         }
