--- a/crates/prefix/examples/prefix_bench.rs
+++ b/crates/prefix/examples/prefix_bench.rs
@@ -1,4 +1,6 @@
-//! Time and memory of hashing, look-ups and events: `cargo run --release -p prefix --example prefix_bench`.
+//! Benchmark of time and memory for hashing, lookups and events.
+//!
+//! Run with `cargo run --release -p prefix --example prefix_bench`.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -7,23 +9,23 @@
 use model::{BlockHash, Incarnation, Micros};
 use prefix::{chain, Block, Config, Event, Index, Kind, Marks, Seed, BLOCK_BYTES};
 
-/// Blocks of one prompt; 16,000 tokens.
-const PROMPT: usize = 1_000;
-/// Bytes in a KiB.
+/// Number of blocks in one prompt, about 16,000 tokens.
+const PROMPT_BLOCKS: usize = 1_000;
+/// Number of bytes in a KiB.
 const KIB: f64 = 1_024.0;
 
-/// Prompts that share their first half in groups of ten.
+/// A prompt that shares its first half with nine others.
 fn prompt(number: usize) -> Vec<u8> {
     let fill = |i: usize| {
-        let part = if i < PROMPT / 2 * BLOCK_BYTES {
+        let part = if i < PROMPT_BLOCKS / 2 * BLOCK_BYTES {
             number / 10
         } else {
             number
         };
         (part.wrapping_mul(31).wrapping_add(i / 8) % 251) as u8
     };
-    let mut text: Vec<u8> = (0..PROMPT * BLOCK_BYTES).map(fill).collect();
-    let half = PROMPT / 2 * BLOCK_BYTES;
+    let mut text: Vec<u8> = (0..PROMPT_BLOCKS * BLOCK_BYTES).map(fill).collect();
+    let half = PROMPT_BLOCKS / 2 * BLOCK_BYTES;
     text[..8].copy_from_slice(&(number as u64 / 10).to_le_bytes());
     text[half..half + 8].copy_from_slice(&(number as u64).to_le_bytes());
     text
@@ -33,7 +35,7 @@
     Seed::new("team", "model", "1")
 }
 
-/// The events of a prompt's blocks, with our hashes as the engine's ids.
+/// A prompt's blocks, with the chain's hashes as the engine's ids.
 fn blocks(text: &Bytes, hashes: &[BlockHash]) -> Vec<Block> {
     let parent = |i: usize| i.checked_sub(1).map(|p| hashes[p].0);
     (0..hashes.len())
@@ -56,7 +58,7 @@
     let ns = start.elapsed().as_nanos() as f64 / f64::from(rounds);
     let per = ns / (text.len() as f64 / KIB);
     println!(
-        "hash      {per:.0} ns/KiB, {:.1} us for {PROMPT} blocks",
+        "hash      {per:.0} ns/KiB, {:.1} us for {PROMPT_BLOCKS} blocks",
         ns / 1e3
     );
     let hashes = chain(seed(), &text);
@@ -107,7 +109,7 @@
 
     let marks: Vec<Marks> = prompts
         .iter()
-        .map(|p| Marks::new(&p[..PROMPT - 7]))
+        .map(|p| Marks::new(&p[..PROMPT_BLOCKS - 7]))
         .collect();
     let missing = Marks::new(&chain(seed(), prompt(9_999_999)));
     let rounds = 200_000;
@@ -126,7 +128,7 @@
     let start = Instant::now();
     let mut removed = 0u128;
     for hashes in prompts.iter().rev().take(60) {
-        for hash in hashes[PROMPT / 2..].iter().rev() {
+        for hash in hashes[PROMPT_BLOCKS / 2..].iter().rev() {
             seq += 1;
             let kind = Kind::Removed { hash: hash.0 };
             let _ = index.apply(
--- a/crates/prefix/src/event.rs
+++ b/crates/prefix/src/event.rs
@@ -1,4 +1,4 @@
-//! What an engine says of its cache.
+//! Events by which an engine reports changes of its cache.
 
 use bytes::Bytes;
 use model::Incarnation;
@@ -6,13 +6,13 @@
 /// A block in an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Block {
-    /// The engine's own id of the block.
+    /// The engine's id for the block.
     pub hash: u64,
-    /// The engine's id of the block before it; none for the first of a prompt.
+    /// The engine's id for the preceding block; `None` for the first block of a prompt.
     pub parent: Option<u64>,
-    /// The cache salt, given with blocks that have no parent.
+    /// The cache salt; only given for blocks without a parent.
     pub scope: String,
-    /// The bytes of the block.
+    /// The prompt bytes in the block.
     pub text: Bytes,
 }
 
@@ -21,27 +21,27 @@
 pub enum Kind {
     /// The block can be reused from now on.
     Stored(Block),
-    /// The block with this id is gone.
+    /// The block was removed from the cache.
     Removed {
-        /// The engine's id.
+        /// The engine's id for the block.
         hash: u64,
     },
-    /// The cache is empty.
+    /// All blocks were removed from the cache.
     Cleared,
-    /// Other weights are loaded and the cache is empty.
+    /// Other weights were loaded, which emptied the cache.
     Weights {
-        /// Their version.
+        /// Version of the loaded weights.
         version: String,
     },
 }
 
-/// A change together with its place in the engine's stream of changes.
+/// A change with its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Position in the stream; the first of a life is 0 or 1, each later one higher by one.
+    /// Sequence number; starts at 0 or 1 in each incarnation and increases by one.
     pub seq: u64,
-    /// The engine's life.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// The change.
+    /// The change that the event reports.
     pub kind: Kind,
 }
--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -1,11 +1,12 @@
-//! The index of one engine's cache, from events that come late, reordered and with gaps.
+//! Index of one engine's cache, built from events that may be late, reordered or lost.
 //!
-//! The index must never claim a block that the engine, as far as it has reported, doesn't hold: a
-//! request sent there for it would wait for a recomputation that nobody planned. So events are
-//! applied strictly in the order of their numbers. A number that stays missing may have been a
-//! removal; then the index asks for a snapshot, takes only removals until it comes, and goes on
-//! from there. A block whose parent is unknown is left out. A new life of the engine or new
-//! weights empty the index, and what a dead engine's connection still delivers is dropped.
+//! The index must never contain a block that, according to the engine's events, is not in the
+//! cache: a request sent to the engine for that block would wait for an unplanned recomputation. So
+//! events are applied strictly in the order of their sequence numbers. A missing event may be a
+//! removal: if it doesn't arrive in time, the index requests a snapshot, applies only removals until
+//! the snapshot arrives, and continues from it. A block whose parent is unknown is ignored. A new
+//! incarnation of the engine or new weights empty the index, and late events of an earlier
+//! incarnation are dropped.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,75 +14,81 @@
 
 use crate::chain::{next, root, Seed, BLOCK_BYTES};
 use crate::event::{Block, Event, Kind};
-use crate::expect::Expect;
+use crate::expected::Expected;
 use crate::marks::Marks;
 use crate::tree::Tree;
 
-/// How an index treats gaps and expectations.
+/// Settings for gaps in the events and for expected blocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Events held back behind a missing one before a snapshot is asked for; 256, about half a
-    /// second of one engine's share of the events at the target size.
+    /// Maximum number of events buffered behind a missing one before a snapshot is requested;
+    /// default 256, about half a second of one engine's events in a fleet of the planned size.
     pub window: usize,
-    /// How long a missing event is waited for; 200 ms, above any reordering within a region.
-    pub patience: Micros,
-    /// How long a prompt in flight counts as cached without the engine's confirmation; 2 s, a
-    /// long prefill with the delay of its event.
-    pub expected: Micros,
+    /// How long to wait for a missing event; default 200 ms, longer than any reordering within a
+    /// region.
+    pub gap_timeout: Micros,
+    /// How long an expected block counts as cached without the engine's confirmation; default 2 s,
+    /// a long prefill plus the delay of its event.
+    pub expected_ttl: Micros,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
             window: 256,
-            patience: Micros::from_millis(200),
-            expected: Micros::from_secs(2),
+            gap_timeout: Micros::from_millis(200),
+            expected_ttl: Micros::from_secs(2),
         }
     }
 }
 
-/// What the index wants from its driver.
+/// What the index needs from its driver.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// The engine's full list of blocks, for [`Index::reset`]; a repeated wish is the same one.
+    /// The engine's full list of blocks, for [`Index::reset`]. The same need is returned repeatedly
+    /// until the list arrives.
     Snapshot,
 }
 
-/// What has happened to events so far.
+/// Counts of handled events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Applied.
+    /// Events that were applied.
     pub applied: u64,
-    /// Dropped as duplicates or of an earlier life.
+    /// Events that were dropped as duplicates, as events of an earlier incarnation, or while a
+    /// snapshot was needed.
     pub stale: u64,
-    /// Blocks left out, for want of their parent or for their size.
+    /// Blocks that were ignored because of an unknown parent or a wrong size.
     pub orphans: u64,
-    /// Times that a snapshot became needed.
+    /// Number of times that a snapshot became necessary.
     pub gaps: u64,
 }
 
-/// The blocks that one engine holds.
+/// The blocks in one engine's cache, as far as its events show.
 #[derive(Debug)]
 pub struct Index {
     config: Config,
     model: String,
     weights: String,
     incarnation: Incarnation,
+    /// Sequence number of the next event to apply.
     next: Option<u64>,
-    late: BTreeMap<u64, Kind>,
-    since: Option<Micros>,
+    /// Changes that wait for a missing event, by sequence number.
+    buffered: BTreeMap<u64, Kind>,
+    /// Time since which the next event is missing.
+    gap_since: Option<Micros>,
     /// While a snapshot is needed, the last event that it must cover.
-    broken: Option<u64>,
+    snapshot_from: Option<u64>,
     tree: Tree,
-    expect: Expect,
+    expected: Expected,
     stats: Stats,
 }
 
 impl Index {
-    /// An empty index of an engine that runs this model with these weights.
+    /// Creates an empty index for an engine that runs this model with these weights.
     pub fn new(config: Config, model: impl Into<String>, weights: impl Into<String>) -> Self {
         Self {
             config,
@@ -89,59 +96,60 @@
             weights: weights.into(),
             incarnation: Incarnation::default(),
             next: None,
-            late: BTreeMap::new(),
-            since: None,
-            broken: None,
+            buffered: BTreeMap::new(),
+            gap_since: None,
+            snapshot_from: None,
             tree: Tree::default(),
-            expect: Expect::default(),
+            expected: Expected::default(),
             stats: Stats::default(),
         }
     }
 
-    /// Takes an event.
+    /// Applies an event, or buffers it if an earlier one is missing.
     pub fn apply(&mut self, now: Micros, event: Event) -> Need {
         match event.incarnation.cmp(&self.incarnation) {
             std::cmp::Ordering::Less => {
                 self.stats.stale += 1;
                 return self.need();
             }
-            std::cmp::Ordering::Greater => self.begin(event.incarnation),
+            std::cmp::Ordering::Greater => self.start_incarnation(event.incarnation),
             std::cmp::Ordering::Equal => {}
         }
-        // A life begins with an empty cache, so that a missing first event can't be a removal.
+        // An incarnation starts with an empty cache, so a missing first event can't be a removal.
         let next = *self.next.get_or_insert(event.seq.min(1));
         match event.seq {
-            _ if self.broken.is_some() => self.apply_broken(event),
+            _ if self.snapshot_from.is_some() => self.apply_removals(event),
             seq if seq < next => self.stats.stale += 1,
             seq if seq > next => {
-                self.late.insert(seq, event.kind);
-                self.since.get_or_insert(now);
+                self.buffered.insert(seq, event.kind);
+                self.gap_since.get_or_insert(now);
             }
             _ => {
                 self.apply_kind(event.kind);
                 self.next = Some(next + 1);
-                self.apply_late(now);
+                self.apply_buffered(now);
             }
         }
         self.tick(now)
     }
 
-    /// Lets time pass: gives up missing events and expectations.
+    /// Stops waiting for missing events and expected blocks that are overdue.
     pub fn tick(&mut self, now: Micros) -> Need {
-        self.expect.expire(now);
+        self.expected.expire(now);
         let overdue = self
-            .since
-            .is_some_and(|t| now.since(t) >= self.config.patience);
-        if self.late.len() > self.config.window || overdue {
-            self.give_up();
+            .gap_since
+            .is_some_and(|t| now.since(t) >= self.config.gap_timeout);
+        if self.buffered.len() > self.config.window || overdue {
+            self.request_snapshot();
         }
         self.need()
     }
 
-    /// Takes the engine's full list as it was after event `seq`.
+    /// Replaces the blocks by the engine's full list as of event `seq`.
     ///
-    /// A list of an earlier life, or from before an event that is known to be missing, changes
-    /// nothing and the wish stands. If the list names the weights, [`Index::set_weights`] goes first.
+    /// A list of an earlier incarnation, or from before an event that is known to be missing, is
+    /// ignored and a snapshot is still needed. If the list contains the version of the weights,
+    /// call [`Index::set_weights`] first.
     pub fn reset(
         &mut self,
         now: Micros,
@@ -149,28 +157,28 @@
         seq: u64,
         blocks: impl IntoIterator<Item = Block>,
     ) -> Need {
-        let old = incarnation == self.incarnation
-            && match (self.broken, self.next) {
+        let outdated = incarnation == self.incarnation
+            && match (self.snapshot_from, self.next) {
                 (Some(last), _) => seq < last,
                 (None, Some(next)) => seq + 1 < next,
                 (None, None) => false,
             };
-        if incarnation < self.incarnation || old {
+        if incarnation < self.incarnation || outdated {
             return self.need();
         }
         if incarnation > self.incarnation {
-            self.begin(incarnation);
+            self.start_incarnation(incarnation);
         }
         self.tree.clear();
         self.insert_all(blocks);
-        self.broken = None;
+        self.snapshot_from = None;
         self.next = Some(seq + 1);
-        self.late = self.late.split_off(&(seq + 1));
-        self.apply_late(now);
+        self.buffered = self.buffered.split_off(&(seq + 1));
+        self.apply_buffered(now);
         Need::Nothing
     }
 
-    /// Sets the weights that the engine runs, when they are learned by another way than events.
+    /// Sets the version of the engine's weights if it is known from another source than events.
     pub fn set_weights(&mut self, version: impl Into<String>) {
         let version = version.into();
         if version != self.weights {
@@ -179,49 +187,53 @@
         }
     }
 
-    /// Counts a prompt as cached for a while from `now` on, or from when its prefill should begin.
+    /// Counts a prompt's blocks as cached for a while; `now` is the current time or the time at
+    /// which its prefill should start.
     pub fn expect(&mut self, now: Micros, chain: &[BlockHash]) {
-        let until = now + self.config.expected;
+        let until = now + self.config.expected_ttl;
         for hash in chain.iter().copied() {
             if !self.tree.contains(hash) {
-                self.expect.add(hash, until);
+                self.expected.add(hash, until);
             }
         }
     }
 
-    /// Takes back what [`Index::expect`] said, for a prompt that wasn't run.
+    /// Reverts [`Index::expect`] for a prompt that wasn't run.
     pub fn cancel_expected(&mut self, chain: &[BlockHash]) {
         for hash in chain.iter().copied() {
-            self.expect.settle(hash);
+            self.expected.remove(hash);
         }
     }
 
-    /// Blocks of a prompt that are cached or being computed, as far as its marks tell.
+    /// Number of a prompt's blocks that are cached or expected, according to its marks.
     pub fn matched(&self, marks: &Marks) -> u32 {
-        self.deepest(marks, |hash| self.claims(hash))
+        self.deepest(marks, |hash| self.contains(hash))
     }
 
-    /// Blocks of a prompt that the engine has confirmed, as far as its marks tell.
+    /// Number of a prompt's blocks that the engine has confirmed, according to its marks.
     pub fn held(&self, marks: &Marks) -> u32 {
         self.deepest(marks, |hash| self.tree.contains(hash))
     }
 
-    /// Blocks of a prompt that are cached or being computed.
+    /// Number of a prompt's blocks that are cached or expected.
     pub fn matched_chain(&self, chain: &[BlockHash]) -> u32 {
-        chain.iter().take_while(|hash| self.claims(**hash)).count() as u32
+        chain
+            .iter()
+            .take_while(|hash| self.contains(**hash))
+            .count() as u32
     }
 
-    /// The life of the engine that the index describes.
+    /// Incarnation of the engine that the index describes.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The version of the weights that the index describes.
+    /// Version of the weights that the index describes.
     pub fn weights(&self) -> &str {
         &self.weights
     }
 
-    /// Blocks that the engine has confirmed.
+    /// Number of blocks that the engine has confirmed.
     pub fn len(&self) -> usize {
         self.tree.len()
     }
@@ -231,53 +243,53 @@
         self.len() == 0
     }
 
-    /// Blocks that are expected and not yet confirmed.
+    /// Number of blocks that are expected and not yet confirmed.
     pub fn expected(&self) -> usize {
-        self.expect.len()
+        self.expected.len()
     }
 
-    /// Bytes of memory behind the confirmed blocks.
+    /// Memory used for the confirmed blocks, in bytes.
     pub fn bytes(&self) -> usize {
         self.tree.bytes()
     }
 
-    /// What has happened to events so far.
+    /// Counts of handled events.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
     fn need(&self) -> Need {
-        match self.broken {
+        match self.snapshot_from {
             Some(_) => Need::Snapshot,
             None => Need::Nothing,
         }
     }
 
-    fn claims(&self, hash: BlockHash) -> bool {
-        self.tree.contains(hash) || self.expect.contains(hash)
+    fn contains(&self, hash: BlockHash) -> bool {
+        self.tree.contains(hash) || self.expected.contains(hash)
     }
 
-    fn deepest(&self, marks: &Marks, claims: impl Fn(BlockHash) -> bool) -> u32 {
-        let found = marks.points().iter().find(|m| claims(m.hash));
+    fn deepest(&self, marks: &Marks, contains: impl Fn(BlockHash) -> bool) -> u32 {
+        let found = marks.points().iter().find(|m| contains(m.hash));
         found.map_or(0, |m| m.blocks)
     }
 
-    fn begin(&mut self, incarnation: Incarnation) {
+    fn start_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.next = None;
-        self.late.clear();
-        self.since = None;
-        self.broken = None;
+        self.buffered.clear();
+        self.gap_since = None;
+        self.snapshot_from = None;
         self.clear();
     }
 
     fn clear(&mut self) {
         self.tree.clear();
-        self.expect.clear();
+        self.expected.clear();
     }
 
-    fn apply_late(&mut self, now: Micros) {
-        while let Some(entry) = self.late.first_entry() {
+    fn apply_buffered(&mut self, now: Micros) {
+        while let Some(entry) = self.buffered.first_entry() {
             if Some(*entry.key()) != self.next {
                 break;
             }
@@ -285,8 +297,8 @@
             self.next = self.next.map(|n| n + 1);
             self.apply_kind(kind);
         }
-        // A gap that is left begins its own wait.
-        self.since = (!self.late.is_empty()).then_some(now);
+        // A remaining gap gets a timeout of its own.
+        self.gap_since = (!self.buffered.is_empty()).then_some(now);
     }
 
     fn apply_kind(&mut self, kind: Kind) {
@@ -302,24 +314,25 @@
         }
     }
 
-    /// Takes what is safe without knowing the missing events: what can only lessen the claims.
-    fn apply_broken(&mut self, event: Event) {
-        let newest = self.broken < Some(event.seq);
-        self.broken = self.broken.max(Some(event.seq));
+    /// Applies an event while a snapshot is needed. Without the missing events only changes that
+    /// remove blocks are safe.
+    fn apply_removals(&mut self, event: Event) {
+        let newest = self.snapshot_from < Some(event.seq);
+        self.snapshot_from = self.snapshot_from.max(Some(event.seq));
         match event.kind {
             Kind::Stored(_) => self.stats.stale += 1,
-            // Out of order, it could bring back older weights than those already reported.
+            // An event out of order could restore weights older than those already reported.
             Kind::Weights { .. } if !newest => self.clear(),
             kind => self.apply_kind(kind),
         }
     }
 
-    fn give_up(&mut self) {
+    fn request_snapshot(&mut self) {
         self.stats.gaps += 1;
-        self.since = None;
-        self.broken = self.next;
-        for (seq, kind) in std::mem::take(&mut self.late) {
-            self.apply_broken(Event {
+        self.gap_since = None;
+        self.snapshot_from = self.next;
+        for (seq, kind) in std::mem::take(&mut self.buffered) {
+            self.apply_removals(Event {
                 seq,
                 incarnation: self.incarnation,
                 kind,
@@ -336,7 +349,7 @@
             Some(parent) if block.text.len() == BLOCK_BYTES => {
                 let hash = next(parent, &block.text);
                 self.tree.insert(block.hash, block.parent, hash);
-                self.expect.settle(hash);
+                self.expected.remove(hash);
             }
             _ => self.stats.orphans += 1,
         }
@@ -344,7 +357,7 @@
 
     fn remove(&mut self, id: u64) {
         if let Some(hash) = self.tree.hash(id) {
-            self.expect.settle(hash);
+            self.expected.remove(hash);
         }
         self.tree.remove(id);
     }
--- a/crates/prefix/src/lib.rs
+++ b/crates/prefix/src/lib.rs
@@ -1,19 +1,19 @@
-//! Which part of a prompt an engine has already computed.
+//! Index of the prompt prefixes in an engine's cache.
 //!
-//! Prompts of one team share long beginnings, nested in several levels, and an engine that still
-//! holds the blocks of such a beginning answers in a fraction of the time. The router has no
-//! tokenizer: it cuts the bytes of a prompt into blocks of [`BLOCK_BYTES`] bytes and hashes them into a
-//! [`chain`], in which each hash stands for its block and all that precedes it. The first hash is
-//! seeded with the team's cache scope, the model and the version of its weights, so that equal
-//! text of another team or of older weights has other hashes throughout and can't match.
+//! Prompts of a team share long prefixes, nested in several levels, and an engine with the blocks
+//! of such a prefix in its cache answers in a fraction of the time. The router has no tokenizer: it
+//! splits a prompt into blocks of [`BLOCK_BYTES`] bytes and hashes them into a [`chain`], in which
+//! each hash covers its block and all blocks before it. The first hash is seeded with the team's
+//! cache scope, the model and the version of its weights, so that the same text of another team or
+//! for older weights has different hashes and can't match.
 //!
-//! The sidecar beside an engine keeps the [`Index`] of that engine's cache, built from the
-//! engine's events. An entry asks about a prompt with [`Marks`], a few points of its chain, and
-//! places it by [`levels`], the points that prompts with a common beginning have in common.
+//! The sidecar of an engine keeps the [`Index`] of the engine's cache, built from the engine's
+//! events. An entry describes a prompt by [`Marks`], a few points of its chain, and selects
+//! replicas by [`levels`], the points at which prompts with a common prefix are grouped.
 
 mod chain;
 mod event;
-mod expect;
+mod expected;
 mod index;
 mod int_hasher;
 mod marks;
--- a/crates/prefix/src/marks.rs
+++ b/crates/prefix/src/marks.rs
@@ -1,43 +1,43 @@
-//! Points of a chain that stand for the whole of it.
+//! Selected points of a chain that represent the whole chain.
 //!
-//! A prompt of 16,000 tokens has a chain of 1,000 hashes, 8 KB. At four probes a request that
-//! would be more than a node may spend on all control, so that a probe carries at most [`MAX_MARKS`]
-//! points of it, some 200 bytes. Half of them lie ever closer to the end, since most prompts
-//! differ from an earlier one only in a short last part; the others halve the depth towards the
-//! beginning, for the outer levels of a nested prefix.
+//! A prompt of 16,000 tokens has a chain of 1,000 hashes, which is 8 KB. With four probes for each
+//! request, this would exceed a node's budget for all control traffic, so a probe has at most
+//! [`MAX_MARKS`] points, about 200 bytes. Half of them are spaced exponentially from the end, since
+//! most prompts differ from an earlier one only in a short last part. The depths of the others are
+//! powers of two, down to the beginning, for the outer levels of nested prefixes.
 
 use model::BlockHash;
 
-/// Most points in a probe.
+/// Maximum number of points in a probe.
 pub const MAX_MARKS: usize = 16;
-/// Points that are spaced from the end: the end itself and 1, 2, 4, … 128 blocks before it.
-const TAIL: u32 = 9;
-/// Significant bits of the depths on the grid; four depths an octave.
-const BITS: u32 = 3;
+/// Number of points spaced from the end: the end itself and 1, 2, 4, … 128 blocks before it.
+const TAIL_MARKS: u32 = 9;
+/// Number of significant bits of the depths on the grid: four depths between two powers of two.
+const GRID_BITS: u32 = 3;
 
 /// One point of a chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark {
-    /// Blocks up to and with this one.
+    /// Depth of the point: number of blocks up to and including it.
     pub blocks: u32,
-    /// The hash at this depth.
+    /// Hash of the chain at this depth.
     pub hash: BlockHash,
 }
 
-/// Points of one chain, the deepest first.
+/// Selected points of one chain, the deepest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Marks(Vec<Mark>);
 
 impl Marks {
-    /// Takes the points of a chain.
+    /// Selects the points of a chain.
     pub fn new(chain: &[BlockHash]) -> Self {
         Self::with(chain, None)
     }
 
-    /// Takes the points of a chain, with one at a depth that is known to be shared.
+    /// Selects the points of a chain, including one at a depth known to be shared with others.
     pub fn with(chain: &[BlockHash], known: Option<u32>) -> Self {
         let n = chain.len() as u32;
-        let tail = (0..TAIL).map(|i| match i {
+        let tail = (0..TAIL_MARKS).map(|i| match i {
             0 => n,
             i => n.saturating_sub(1 << (i - 1)),
         });
@@ -46,13 +46,13 @@
         depths.sort_unstable();
         depths.dedup();
         let first = depths.first().copied().unwrap_or(0);
-        let room = MAX_MARKS - depths.len();
-        depths.extend(halves(first).take(room));
+        let remaining = MAX_MARKS - depths.len();
+        depths.extend(powers_below(first).take(remaining));
         depths.sort_unstable_by_key(|d| std::cmp::Reverse(*d));
         Self(depths.into_iter().map(|d| mark(chain, d)).collect())
     }
 
-    /// Takes points that came in a message; those beyond [`MAX_MARKS`] are ignored.
+    /// Creates marks from the points in a message; points beyond [`MAX_MARKS`] are ignored.
     pub fn from_points(points: impl IntoIterator<Item = Mark>) -> Self {
         let mut points: Vec<Mark> = points.into_iter().take(MAX_MARKS).collect();
         points.sort_unstable_by_key(|m| std::cmp::Reverse(m.blocks));
@@ -64,29 +64,29 @@
         &self.0
     }
 
-    /// Blocks of the whole chain.
+    /// Number of blocks in the whole chain.
     pub fn blocks(&self) -> u32 {
         self.0.first().map_or(0, |m| m.blocks)
     }
 }
 
-/// The depths of at most `n` blocks that all prompts have points at, the deepest first.
+/// The depths up to `n` blocks that are the same for all prompts, the deepest first.
 ///
-/// Prompts with a common beginning but of different lengths find each other at these depths:
+/// Prompts with a common prefix but different lengths have points in common at these depths:
 /// 1, 2, 3, 4, 5, 6, 7, 8, 10, 12, 14, 16, 20, …
 pub fn grid(n: u32) -> impl Iterator<Item = u32> {
-    std::iter::successors(floor(n), |d| floor(d - 1))
+    std::iter::successors(round_to_grid(n), |d| round_to_grid(d - 1))
 }
 
-/// The points by which prompts are grouped: deep, middle and shallow.
+/// The points by which prompts are grouped, the deepest first: at most three.
 ///
-/// Placement uses the deep one; grouped by the others, copies spread too far (docs/DECISIONS.md).
-/// The deep one leaves out the last eighth, which is mostly the caller's own question: its hash
-/// would be seen once and never again.
+/// Placement uses the deepest point; grouping by the others spreads copies of a prefix over too
+/// many replicas (docs/DECISIONS.md). The deepest point excludes the last eighth of the prompt,
+/// which is mostly the caller's own question: a hash that covers it would never occur again.
 pub fn levels(chain: &[BlockHash]) -> impl Iterator<Item = Mark> + '_ {
     let n = chain.len() as u32;
-    let mut depths = [n - n / 8, n / 3, n / 12].map(|d| floor(d).unwrap_or(0));
-    // A short prompt has fewer levels than three.
+    let mut depths = [n - n / 8, n / 3, n / 12].map(|d| round_to_grid(d).unwrap_or(0));
+    // A short prompt has fewer than three levels.
     if depths[1] == depths[0] {
         depths[1] = 0;
     }
@@ -107,14 +107,14 @@
 }
 
 /// Powers of two below `n`, the highest first.
-fn halves(n: u32) -> impl Iterator<Item = u32> {
+fn powers_below(n: u32) -> impl Iterator<Item = u32> {
     (0..u32::BITS).rev().map(|i| 1 << i).filter(move |d| *d < n)
 }
 
 /// `n` rounded down to the grid.
-fn floor(n: u32) -> Option<u32> {
+fn round_to_grid(n: u32) -> Option<u32> {
     match n.checked_ilog2()? {
-        top if top < BITS => Some(n),
-        top => Some(n >> (top + 1 - BITS) << (top + 1 - BITS)),
+        top if top < GRID_BITS => Some(n),
+        top => Some(n >> (top + 1 - GRID_BITS) << (top + 1 - GRID_BITS)),
     }
 }
--- a/crates/prefix/src/tree.rs
+++ b/crates/prefix/src/tree.rs
@@ -1,16 +1,17 @@
-//! The blocks of one engine's cache, linked as their prompts are.
+//! Tree of the blocks in one engine's cache, linked by the prompts that they belong to.
 //!
-//! An engine can reuse a block only while it holds all blocks before it, and a mark claims all of
-//! them. So a removed block takes its descendants out of the claims, although the engine still
-//! holds them; they come back when the engine stores the removed block again. A removed block
-//! with descendants is therefore kept, unclaimed, until the last of these is gone.
+//! An engine can reuse a block only while its cache contains all blocks before it, and a mark
+//! stands for all of them. So when a block is removed, its descendants can't be reused either,
+//! although they are still in the cache; they become reusable again when the engine stores the
+//! removed block again. Therefore a removed block is kept in the tree, as not reusable, until its
+//! last descendant is removed.
 
 use model::BlockHash;
 use slab::Slab;
 
 use crate::int_hasher::Map;
 
-/// A place in the arena; half as wide as a pointer, since there are five in each node.
+/// Index into the arena; half the size of a pointer, since each node contains several.
 type Slot = u32;
 const NIL: Slot = Slot::MAX;
 
@@ -22,78 +23,79 @@
     child: Slot,
     next: Slot,
     prev: Slot,
-    /// The engine has it.
+    /// Whether the block is in the cache.
     held: bool,
-    /// The engine has it and all blocks before it.
-    live: bool,
+    /// Whether the block and all blocks before it are in the cache.
+    reusable: bool,
 }
 
-/// All blocks, found by the engine's ids and by our hashes.
+/// All blocks, with lookup by the engine's ids and by hashes of the router.
 #[derive(Debug, Default)]
 pub(crate) struct Tree {
     nodes: Slab<Node>,
     ids: Map<u64, Slot>,
-    live: Map<BlockHash, Slot>,
+    reusable: Map<BlockHash, Slot>,
 }
 
 impl Tree {
-    /// The hash of a block that the engine has reported.
+    /// The hash of a block by the engine's id.
     pub(crate) fn hash(&self, id: u64) -> Option<BlockHash> {
         self.ids.get(&id).map(|s| self.node(*s).hash)
     }
 
     /// Whether the engine can reuse the prompt up to this block.
     pub(crate) fn contains(&self, hash: BlockHash) -> bool {
-        self.live.contains_key(&hash)
+        self.reusable.contains_key(&hash)
     }
 
-    /// Blocks that can be reused.
+    /// Number of blocks that can be reused.
     pub(crate) fn len(&self) -> usize {
-        self.live.len()
+        self.reusable.len()
     }
 
-    /// Bytes that the arena and maps take.
+    /// Memory used by the arena and the maps, in bytes.
     pub(crate) fn bytes(&self) -> usize {
-        // A map's bucket takes its pair and one byte of control data; an eighth is kept free.
+        // A bucket of a map takes its key-value pair and one control byte; an eighth of the
+        // buckets is kept free.
         let bucket = size_of::<(u64, Slot)>() + 1;
         let buckets = |capacity: usize| (capacity * 8 / 7).next_power_of_two();
         self.nodes.capacity() * (size_of::<Node>())
-            + (buckets(self.ids.capacity()) + buckets(self.live.capacity())) * bucket
+            + (buckets(self.ids.capacity()) + buckets(self.reusable.capacity())) * bucket
     }
 
-    /// Takes a block in whose parent, if it has one, is known.
+    /// Inserts a block; its parent, if it has one, must be known.
     pub(crate) fn insert(&mut self, id: u64, parent: Option<u64>, hash: BlockHash) {
         let parent = parent.map_or(NIL, |p| self.ids.get(&p).copied().unwrap_or(NIL));
         let known = self.ids.get(&id).copied();
         let slot = match known {
             Some(s) if self.node(s).hash == hash && self.node(s).parent == parent => s,
             Some(s) => {
-                // The engine has given the id to another block.
-                self.drop_branch(s);
+                // The engine has reused the id for another block.
+                self.remove_subtree(s);
                 self.create(id, parent, hash)
             }
             None => self.create(id, parent, hash),
         };
         self.node_mut(slot).held = true;
-        if parent == NIL || self.node(parent).live {
-            self.enliven(slot);
+        if parent == NIL || self.node(parent).reusable {
+            self.mark_reusable(slot);
         }
     }
 
-    /// Takes a block out.
+    /// Removes a block.
     pub(crate) fn remove(&mut self, id: u64) {
         if let Some(slot) = self.ids.get(&id).copied() {
             self.node_mut(slot).held = false;
-            self.deaden(slot);
+            self.mark_unusable(slot);
             self.prune(slot);
         }
     }
 
-    /// Takes all blocks out.
+    /// Removes all blocks.
     pub(crate) fn clear(&mut self) {
         self.nodes.clear();
         self.ids.clear();
-        self.live.clear();
+        self.reusable.clear();
     }
 
     fn node(&self, slot: Slot) -> &Node {
@@ -117,7 +119,7 @@
             next,
             prev: NIL,
             held: false,
-            live: false,
+            reusable: false,
         }) as Slot;
         if parent != NIL {
             self.node_mut(parent).child = slot;
@@ -136,53 +138,55 @@
         })
     }
 
-    fn enliven(&mut self, slot: Slot) {
+    /// Marks a block as reusable, and its descendants as far as they are in the cache.
+    fn mark_reusable(&mut self, slot: Slot) {
         let mut todo = vec![slot];
         while let Some(slot) = todo.pop() {
-            if !self.node(slot).held || self.node(slot).live {
+            if !self.node(slot).held || self.node(slot).reusable {
                 continue;
             }
             todo.extend(self.children(slot));
             let node = self.node_mut(slot);
-            node.live = true;
+            node.reusable = true;
             let hash = node.hash;
-            self.live.insert(hash, slot);
+            self.reusable.insert(hash, slot);
         }
     }
 
-    fn deaden(&mut self, slot: Slot) {
+    /// Marks a block and its descendants as not reusable.
+    fn mark_unusable(&mut self, slot: Slot) {
         let mut todo = vec![slot];
         while let Some(slot) = todo.pop() {
-            if !self.node(slot).live {
+            if !self.node(slot).reusable {
                 continue;
             }
             todo.extend(self.children(slot));
             let node = self.node_mut(slot);
-            node.live = false;
+            node.reusable = false;
             let hash = node.hash;
-            if self.live.get(&hash) == Some(&slot) {
-                self.live.remove(&hash);
+            if self.reusable.get(&hash) == Some(&slot) {
+                self.reusable.remove(&hash);
             }
         }
     }
 
-    /// Frees a block and its ancestors as far as they are neither held nor needed.
+    /// Frees a block and its ancestors as far as they are not in the cache and have no children.
     fn prune(&mut self, mut slot: Slot) {
         while slot != NIL && !self.node(slot).held && self.node(slot).child == NIL {
             slot = self.unlink(slot);
         }
     }
 
-    fn drop_branch(&mut self, slot: Slot) {
-        self.deaden(slot);
-        let mut branch = vec![slot];
+    fn remove_subtree(&mut self, slot: Slot) {
+        self.mark_unusable(slot);
+        let mut subtree = vec![slot];
         let mut i = 0;
-        while i < branch.len() {
-            let children: Vec<Slot> = self.children(branch[i]).collect();
-            branch.extend(children);
+        while i < subtree.len() {
+            let children: Vec<Slot> = self.children(subtree[i]).collect();
+            subtree.extend(children);
             i += 1;
         }
-        for slot in branch.into_iter().rev() {
+        for slot in subtree.into_iter().rev() {
             self.unlink(slot);
         }
     }
--- a/crates/prefix/tests/chain.rs
+++ b/crates/prefix/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Chains, marks and levels.
+//! Tests of chains, marks and levels.
 
 use model::BlockHash;
 use prefix::{chain, grid, levels, next, root, Marks, Seed, BLOCK_BYTES, MAX_MARKS};
@@ -9,11 +9,10 @@
         .collect()
 }
 
-/// Two teams send the same prompt, or one team sends it before and after a change of weights. If
-/// any hash were equal, a team could learn from its latency what another has asked, or be
-/// counted on for blocks that older weights have computed.
+/// Guards against equal hashes for the same prompt of two teams, models or versions of weights: a
+/// team could infer another's prompts from latency, or blocks of older weights would count as cached.
 #[test]
-fn other_scope_model_or_weights_share_no_hash() {
+fn different_scope_model_or_weights_share_no_hash() {
     struct Case {
         name: &'static str,
         seed: Seed,
@@ -36,19 +35,19 @@
             seed: Seed::new("am", "", "1"),
         },
         Case {
-            name: "nothing",
+            name: "empty fields",
             seed: Seed::new("", "", ""),
         },
     ];
-    let ours = chain(Seed::new("a", "m", "1"), text(40));
+    let hashes = chain(Seed::new("a", "m", "1"), text(40));
     for case in cases {
-        let theirs = chain(case.seed, text(40));
-        assert!(ours.iter().all(|h| !theirs.contains(h)), "{}", case.name);
+        let others = chain(case.seed, text(40));
+        assert!(hashes.iter().all(|h| !others.contains(h)), "{}", case.name);
     }
 }
 
 #[test]
-fn only_whole_blocks_are_hashed_each_on_the_one_before() {
+fn only_complete_blocks_are_hashed_each_with_its_parent() {
     let seed = Seed::new("a", "m", "1");
     let prompt = text(3);
     let hashes = chain(seed, &prompt[..3 * BLOCK_BYTES - 1]);
@@ -79,8 +78,8 @@
     }
 }
 
-/// Prompts with a common beginning but questions of different lengths must be placed by the same
-/// hashes, or each would be computed at a replica of its own.
+/// Guards against levels that differ between prompts with a common prefix but questions of
+/// different lengths: each prompt would be computed at another replica.
 #[test]
 fn levels_agree_between_prompts_of_different_lengths() {
     let long: Vec<BlockHash> = (1..=1_012).map(BlockHash).collect();
--- a/crates/prefix/tests/index.rs
+++ b/crates/prefix/tests/index.rs
@@ -1,4 +1,4 @@
-//! The index of one engine's cache against an engine that tells late, twice or not at all.
+//! The index of one engine's cache, with events that are late, repeated or lost.
 
 use std::collections::BTreeMap;
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// Ids 1, 2, … up to `n`, each the parent of the next.
-fn line(n: u64) -> Vec<Block> {
+/// Blocks with the ids 1, 2, … up to `n`, each the parent of the next.
+fn block_chain(n: u64) -> Vec<Block> {
     (1..=n)
         .map(|id| block(id, (id > 1).then(|| id - 1), "a"))
         .collect()
@@ -35,10 +35,10 @@
     event(seq, 1, Kind::Stored(block(id, parent, "a")))
 }
 
-fn event(seq: u64, life: u64, kind: Kind) -> Event {
+fn event(seq: u64, incarnation: u64, kind: Kind) -> Event {
     Event {
         seq,
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         kind,
     }
 }
@@ -56,10 +56,10 @@
     Kind::Removed { hash }
 }
 
-/// Events come through a lossy, reordering stream. What a caller would notice of a wrong claim is
-/// a request that waits for a full prefill at a replica chosen for its cache.
+/// Guards against blocks that are wrongly indexed as cached when events are lost or reordered: a
+/// request would wait for a full prefill at a replica that was chosen for its cache.
 #[test]
-fn claims_follow_the_events() {
+fn index_follows_the_events() {
     struct Case {
         name: &'static str,
         events: Vec<Event>,
@@ -84,7 +84,7 @@
             need: Need::Nothing,
         },
         Case {
-            name: "reordered and doubled",
+            name: "reordered and repeated",
             events: vec![
                 stored(1, 1, None),
                 stored(3, 3, Some(2)),
@@ -147,13 +147,13 @@
             need: Need::Nothing,
         },
         Case {
-            name: "joined in the middle of a life",
+            name: "first event is not the first of its incarnation",
             events: vec![stored(7, 1, None)],
             blocks: 0,
             need: Need::Snapshot,
         },
         Case {
-            name: "a loss, with a removal behind it",
+            name: "a lost event, followed by a removal",
             events: vec![
                 stored(1, 1, None),
                 stored(2, 2, Some(1)),
@@ -182,31 +182,32 @@
     }
 }
 
-/// An engine crashes and comes back empty, while its old connection still delivers. A claim from
-/// the dead life would send a caller to an empty cache.
+/// Guards against blocks of a crashed engine that stay in the index, or are added by late events of
+/// its old connection: requests would be sent to an empty cache.
 #[test]
-fn a_dead_engines_blocks_and_late_events_are_dropped() {
+fn blocks_and_late_events_of_an_earlier_incarnation_are_dropped() {
     let mut index = index();
     let _ = index.apply(T0, stored(1, 1, None));
     let _ = index.apply(T0, event(1, 2, Kind::Cleared));
     let _ = index.apply(T0, stored(2, 1, None));
-    let _ = index.reset(T0, Incarnation(1), 9, line(3));
+    let _ = index.reset(T0, Incarnation(1), 9, block_chain(3));
     assert_eq!(index.matched_chain(&hashes("a", "1", &[1])), 0);
     assert_eq!((index.len(), index.incarnation()), (0, Incarnation(2)));
 }
 
-/// A snapshot may have been taken before the loss it is to mend, or be listed children first.
+/// Guards against a snapshot that was taken before the lost event, and against lost blocks if a
+/// snapshot lists children before their parents.
 #[test]
-fn a_snapshot_counts_only_if_it_covers_the_loss() {
+fn snapshot_is_used_only_if_it_covers_the_lost_event() {
     let mut index = index();
     let _ = index.apply(T0, stored(1, 1, None));
     let _ = index.apply(T0, event(5, 1, removed(9)));
     assert_eq!(index.tick(LATER), Need::Snapshot);
     assert_eq!(
-        index.reset(LATER, Incarnation(1), 4, line(3)),
+        index.reset(LATER, Incarnation(1), 4, block_chain(3)),
         Need::Snapshot
     );
-    let backwards = line(3).into_iter().rev();
+    let backwards = block_chain(3).into_iter().rev();
     assert_eq!(
         index.reset(LATER, Incarnation(1), 5, backwards),
         Need::Nothing
@@ -216,10 +217,10 @@
     assert_eq!(index.len(), 4);
 }
 
-/// A burst shares a new prefix. Until the first of it is computed, only the expectation keeps
-/// the others from being sent elsewhere; a prompt that never ran must not be counted on for long.
+/// Guards against a burst with a new prefix that is spread over replicas before the prefix is
+/// computed, and against a prompt that never ran but counts as cached for long.
 #[test]
-fn an_expected_prompt_counts_until_it_is_confirmed_or_given_up() {
+fn expected_prompt_counts_until_it_is_confirmed_or_expires() {
     let chain = hashes("a", "1", &[1, 2]);
     let mut index = index();
     let _ = index.apply(T0, event(1, 1, Kind::Cleared));
@@ -230,7 +231,7 @@
     );
     let _ = index.apply(T0, stored(2, 1, None));
     assert_eq!((index.matched_chain(&chain), index.expected()), (2, 1));
-    let _ = index.tick(T0 + Config::default().expected);
+    let _ = index.tick(T0 + Config::default().expected_ttl);
     assert_eq!((index.matched_chain(&chain), index.expected()), (1, 0));
     index.expect(LATER, &chain);
     index.set_weights("2");
@@ -246,9 +247,9 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Deliver,
-    Drop,
+enum Delivery {
+    Once,
+    Never,
     Twice,
     Delay(u8),
 }
@@ -262,19 +263,19 @@
     ]
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        8 => Just(Fate::Deliver),
-        1 => Just(Fate::Drop),
-        1 => Just(Fate::Twice),
-        2 => (1u8..20).prop_map(Fate::Delay),
+        8 => Just(Delivery::Once),
+        1 => Just(Delivery::Never),
+        1 => Just(Delivery::Twice),
+        2 => (1u8..20).prop_map(Delivery::Delay),
     ]
 }
 
 /// An engine whose block `id` follows block `id / 2`, so that the ids form a tree.
 #[derive(Default)]
 struct Engine {
-    life: u64,
+    incarnation: u64,
     seq: u64,
     held: BTreeMap<u64, Block>,
 }
@@ -302,16 +303,16 @@
             }
             Step::Restart => {
                 self.held.clear();
-                self.life += 1;
+                self.incarnation += 1;
                 self.seq = 0;
                 return None;
             }
         };
         self.seq += 1;
-        Some(event(self.seq, self.life, kind))
+        Some(event(self.seq, self.incarnation, kind))
     }
 
-    /// The paths to all blocks that can be reused.
+    /// The paths from the first block to each block that can be reused.
     fn reusable(&self) -> Vec<Vec<u64>> {
         let whole = |ids: &Vec<u64>| ids.iter().all(|i| self.held.contains_key(i));
         self.held
@@ -333,57 +334,56 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Whatever is lost, doubled or late: once every event up to some point has arrived, or a
-    /// snapshot was taken, the index equals the engine's cache, and before that it claims no block
-    /// that was never reported in this life.
+    /// Guards against an index that differs from the cache after all events or a snapshot arrived,
+    /// or that ever contains a block not reported in the current incarnation.
     #[test]
-    fn the_index_agrees_with_the_engine(steps in prop::collection::vec((step(), fate()), 1..200)) {
-        let mut engine = Engine { life: 1, ..Engine::default() };
+    fn the_index_agrees_with_the_engine(steps in prop::collection::vec((step(), delivery()), 1..200)) {
+        let mut engine = Engine { incarnation: 1, ..Engine::default() };
         let mut index = index();
         let mut queue: Vec<(usize, Event)> = Vec::new();
-        let mut told: BTreeMap<u64, u64> = BTreeMap::new();
-        for (i, (step, fate)) in steps.iter().copied().enumerate() {
+        let mut reported: BTreeMap<u64, u64> = BTreeMap::new();
+        for (i, (step, delivery)) in steps.iter().copied().enumerate() {
             if let Some(event) = engine.step(step) {
-                match fate {
-                    Fate::Deliver => queue.push((i, event)),
-                    Fate::Drop => {}
-                    Fate::Twice => queue.extend([(i, event.clone()), (i + 3, event)]),
-                    Fate::Delay(n) => queue.push((i + usize::from(n), event)),
+                match delivery {
+                    Delivery::Once => queue.push((i, event)),
+                    Delivery::Never => {}
+                    Delivery::Twice => queue.extend([(i, event.clone()), (i + 3, event)]),
+                    Delivery::Delay(n) => queue.push((i + usize::from(n), event)),
                 }
             }
             let (due, rest) = queue.into_iter().partition(|(at, _)| *at <= i);
             queue = rest;
             for (_, event) in due {
                 if let Kind::Stored(b) = &event.kind {
-                    let life = told.entry(b.hash).or_default();
-                    *life = event.incarnation.0.max(*life);
+                    let incarnation = reported.entry(b.hash).or_default();
+                    *incarnation = event.incarnation.0.max(*incarnation);
                 }
                 let _ = index.apply(Micros(i as u64 * 20_000), event);
             }
-            let life = index.incarnation().0;
+            let incarnation = index.incarnation().0;
             for id in 1..=40u64 {
                 let path = path_to(id);
                 if index.matched_chain(&hashes("a", "1", &path)) == path.len() as u32 {
-                    prop_assert!(path.iter().all(|i| told.get(i) == Some(&life)), "{path:?}");
+                    prop_assert!(path.iter().all(|i| reported.get(i) == Some(&incarnation)), "{path:?}");
                 }
             }
         }
-        // One more event comes through for certain, so that no loss stays unseen.
+        // A last event always arrives, so that the index detects each lost event before it.
         queue.extend(engine.step(Step::Store(0)).map(|event| (0, event)));
         for (_, event) in queue {
             let _ = index.apply(Micros::from_secs(10), event);
         }
         if index.tick(Micros::from_secs(20)) == Need::Snapshot {
             let blocks: Vec<Block> = engine.held.values().rev().cloned().collect();
-            let life = Incarnation(engine.life);
-            let need = index.reset(Micros::from_secs(20), life, engine.seq, blocks);
+            let incarnation = Incarnation(engine.incarnation);
+            let need = index.reset(Micros::from_secs(20), incarnation, engine.seq, blocks);
             prop_assert_eq!(need, Need::Nothing);
         }
-        let truth = engine.reusable();
-        for path in &truth {
+        let reusable = engine.reusable();
+        for path in &reusable {
             let chain = hashes("a", "1", path);
             prop_assert_eq!(index.matched_chain(&chain), path.len() as u32, "{:?}", path);
         }
-        prop_assert_eq!(index.len(), truth.len());
+        prop_assert_eq!(index.len(), reusable.len());
     }
 }
