--- a/crates/contract/src/lease.rs
+++ b/crates/contract/src/lease.rs
@@ -85,7 +85,7 @@
         sent: Micros,
     },
     /// A write that removes the holder's entry was sent.
-    Leaving,
+    Removing,
 }
 
 /// Period in which the holder may send orders.
@@ -168,7 +168,7 @@
                 self.extend_grant(sent, now);
                 self.sleep(now)
             }
-            (Phase::Leaving, Reply::Written(_)) => {
+            (Phase::Removing, Reply::Written(_)) => {
                 self.fence = 0;
                 self.sleep(now)
             }
@@ -211,7 +211,7 @@
         if self.released {
             held.holders.retain(|h| !is_mine(h));
             if mine {
-                self.phase = Phase::Leaving;
+                self.phase = Phase::Removing;
                 return self.write(version, &held);
             }
             self.fence = 0;
--- a/crates/contract/tests/claim.rs
+++ b/crates/contract/tests/claim.rs
@@ -172,8 +172,8 @@
 
     /// Contenders that run the request.
     fn owners(&self) -> Vec<usize> {
-        let ours = |i: &usize| self.all[*i].1 == ClaimStep::Acquired && !self.released[*i];
-        (0..self.all.len()).filter(ours).collect()
+        let runs = |i: &usize| self.all[*i].1 == ClaimStep::Acquired && !self.released[*i];
+        (0..self.all.len()).filter(runs).collect()
     }
 
     fn check(&self) {
--- a/crates/exchange/src/registry.rs
+++ b/crates/exchange/src/registry.rs
@@ -141,7 +141,7 @@
     }
 
     /// The active exchanges.
-    pub fn live(&self) -> impl Iterator<Item = &T> {
+    pub fn active(&self) -> impl Iterator<Item = &T> {
         self.active.values()
     }
 
--- a/crates/exchange/tests/common/entry.rs
+++ b/crates/exchange/tests/common/entry.rs
@@ -23,7 +23,7 @@
         };
         let conn = self.callers[i].conn.expect("the caller has a connection");
         let sender = self.conns[conn].sender.as_ref();
-        assert!(sender.is_none_or(|c| c.over), "the answer stalled");
+        assert!(sender.is_none_or(|c| c.finished), "the answer stalled");
         self.conns[conn].broken = true;
         true
     }
@@ -61,12 +61,12 @@
     }
 
     fn attempt(&mut self, i: usize) {
-        let ask = self.callers[i].ask;
+        let spec = self.callers[i].spec;
         let sidecar = self.callers[i].tried.len();
         self.callers[i].tried.push(sidecar);
         self.tokens += 1;
         let token = Token(Bytes::copy_from_slice(&self.tokens.to_le_bytes()));
-        let incarnation = if ask.incarnation_known {
+        let incarnation = if spec.incarnation_known {
             self.sidecars[sidecar].incarnation
         } else {
             0
@@ -123,10 +123,10 @@
                 let c = &mut self.callers[i];
                 c.conn = None;
                 c.skip = delivered;
-                if !c.ask.streamed {
+                if !c.spec.streamed {
                     c.received.clear();
                 }
-                match more && (c.ask.idempotent || failure.outcome == Outcome::NotRun) {
+                match more && (c.spec.idempotent || failure.outcome == Outcome::NotRun) {
                     true => c.at = None,
                     false => c.end = Some(Err(failure)),
                 }
@@ -142,7 +142,7 @@
     fn confirm(&mut self, i: usize) {
         let c = &mut self.callers[i];
         let due = c.relay().confirm();
-        let next = due.or(c.ask.confirm_each.then(|| c.relay().next()));
+        let next = due.or(c.spec.confirm_each.then(|| c.relay().next()));
         if let (Some(n), Some(conn)) = (next, c.conn) {
             self.send(conn, ToSidecar::Ack(n));
         }
--- a/crates/exchange/tests/common/mod.rs
+++ b/crates/exchange/tests/common/mod.rs
@@ -75,13 +75,15 @@
     sender: Option<Sender>,
 }
 
+/// The sidecar's sender on a connection: which execution it sends, and how far it is.
 #[derive(Debug, Default)]
 struct Sender {
-    run: usize,
+    execution: usize,
     accepted: bool,
     head: bool,
+    /// Next chunk to be sent.
     seq: u64,
-    over: bool,
+    finished: bool,
 }
 
 #[derive(Debug, Default)]
@@ -94,17 +96,22 @@
     Failed(Failed),
 }
 
+/// An exchange at a sidecar incarnation.
 #[derive(Debug)]
 struct Execution {
     sidecar: usize,
     incarnation: u64,
     caller: usize,
     token: Token,
+    /// Events of the answer that the caller already has.
     skip: u64,
+    /// Incarnation of the target that runs the request.
     engine: u64,
     state: State,
-    retain: ReplayBuffer,
+    replay: ReplayBuffer,
+    /// Whether the target has sent the head of its answer.
     head: bool,
+    /// Whether the last frame was sent to an entry.
     sent: bool,
 }
 
@@ -112,6 +119,7 @@
 #[derive(Debug, Default)]
 pub struct Sidecar {
     pub incarnation: u64,
+    /// No process answers at the sidecar's address.
     pub gone: bool,
     /// The process is frozen: it neither reads nor sends.
     pub paused: bool,
@@ -142,7 +150,7 @@
 
 #[derive(Debug, Default)]
 pub struct Caller {
-    pub ask: RequestSpec,
+    pub spec: RequestSpec,
     pub relay: Option<Relay>,
     pub received: Vec<u8>,
     pub end: Option<Result<(), Failure>>,
@@ -232,10 +240,10 @@
         }
     }
 
-    pub fn call(&mut self, ask: RequestSpec) {
+    pub fn call(&mut self, spec: RequestSpec) {
         self.callers.push(Caller {
-            ask,
-            relay: Some(Relay::new(ask.idempotent, ask.streamed)),
+            spec,
+            relay: Some(Relay::new(spec.idempotent, spec.streamed)),
             ..Caller::default()
         });
     }
@@ -306,21 +314,21 @@
     pub fn check(&self) {
         for (i, c) in self.callers.iter().enumerate() {
             let ran = self.log.iter().filter(|(caller, _)| *caller == i).count();
-            let whole: Vec<u8> = (0..c.ask.events).collect();
+            let whole: Vec<u8> = (0..c.spec.events).collect();
             assert!(
                 whole.starts_with(&c.received),
                 "once and in order: {:?}",
                 c.received
             );
-            if !c.ask.idempotent {
-                let same = |j: usize| j == i || c.ask.key.is_some_and(|k| self.key(j) == Some(k));
+            if !c.spec.idempotent {
+                let same = |j: usize| j == i || c.spec.key.is_some_and(|k| self.key(j) == Some(k));
                 let all = self.log.iter().filter(|(caller, _)| same(*caller)).count();
                 assert!(all <= 1, "ran {all} times");
             }
             match &c.end {
                 Some(Ok(())) => {
                     assert_eq!(c.received, whole, "finished early");
-                    assert!(ran > 0 || c.ask.key.is_some(), "an answer from nowhere");
+                    assert!(ran > 0 || c.spec.key.is_some(), "an answer from nowhere");
                 }
                 Some(Err(f)) if f.outcome == Outcome::NotRun => {
                     assert_eq!(ran, 0, "false not run: {f:?}");
@@ -410,6 +418,6 @@
     }
 
     fn key(&self, caller: usize) -> Option<u32> {
-        self.callers[caller].ask.key
+        self.callers[caller].spec.key
     }
 }
--- a/crates/exchange/tests/common/sidecar.rs
+++ b/crates/exchange/tests/common/sidecar.rs
@@ -14,7 +14,7 @@
     /// Lets an abandoned execution continue although its replay buffer is full and no entry reads
     /// it, as `lifetime` in the sidecar does after a while.
     pub(super) fn confirm_abandoned(&mut self) -> bool {
-        let stuck = |r: &Execution| matches!(r.state, State::Dispatched(..)) && r.retain.full();
+        let stuck = |r: &Execution| matches!(r.state, State::Dispatched(..)) && r.replay.full();
         let Some(i) = self
             .executions
             .iter()
@@ -22,7 +22,7 @@
         else {
             return false;
         };
-        self.executions[i].retain.confirm(u64::MAX);
+        self.executions[i].replay.confirm(u64::MAX);
         true
     }
 
@@ -53,7 +53,7 @@
                     .resume(self.now, matched, token)
                 {
                     Lookup::Active(run) => {
-                        self.executions[run].retain.confirm(next);
+                        self.executions[run].replay.confirm(next);
                         self.attach_sender(conn, run, next);
                     }
                     Lookup::Voided | Lookup::New => self.refuse(conn, Code::NoTarget),
@@ -61,15 +61,15 @@
                 }
             }
             ToSidecar::Ack(n) => {
-                if let Some(c) = self.conns[conn].sender.as_ref().filter(|c| !c.over) {
-                    self.executions[c.run].retain.confirm(n);
+                if let Some(c) = self.conns[conn].sender.as_ref().filter(|c| !c.finished) {
+                    self.executions[c.execution].replay.confirm(n);
                 }
             }
         }
     }
 
     fn arrived(&self, sidecar: usize, caller: usize, token: Token, skip: u64) -> Execution {
-        let keyed = self.callers[caller].ask.key.is_some();
+        let keyed = self.callers[caller].spec.key.is_some();
         Execution {
             sidecar,
             incarnation: self.sidecars[sidecar].incarnation,
@@ -77,7 +77,7 @@
             token,
             skip,
             state: State::Queued(Exchange::new()),
-            retain: if keyed {
+            replay: if keyed {
                 ReplayBuffer::keep_all()
             } else {
                 ReplayBuffer::default()
@@ -102,7 +102,7 @@
 
     fn attach_sender(&mut self, conn: usize, run: usize, seq: u64) {
         self.conns[conn].sender = Some(Sender {
-            run,
+            execution: run,
             seq,
             ..Sender::default()
         });
@@ -120,21 +120,21 @@
     fn next(&mut self, conn: usize) -> Option<ToEntry> {
         let sidecar = self.conns[conn].sidecar;
         let incarnation = self.sidecars[sidecar].incarnation;
-        let c = self.conns[conn].sender.as_mut().filter(|c| !c.over)?;
-        let r = &mut self.executions[c.run];
+        let c = self.conns[conn].sender.as_mut().filter(|c| !c.finished)?;
+        let r = &mut self.executions[c.execution];
         if !std::mem::replace(&mut c.accepted, true) {
             return Some(ToEntry::Accepted(incarnation));
         }
         if r.head && !std::mem::replace(&mut c.head, true) {
             return Some(ToEntry::Head);
         }
-        let chunk = r.retain.get(c.seq);
+        let chunk = r.replay.get(c.seq);
         if let Ok(Some(data)) = chunk {
             c.seq += 1;
             return Some(ToEntry::Chunk(c.seq - 1, data));
         }
         if let Err(e) = chunk {
-            c.over = true;
+            c.finished = true;
             let known = matches!(e, ReplayError::Gone(_));
             assert!(known, "{e}");
             let f = Exchange::new()
@@ -145,13 +145,13 @@
         let last = match &r.state {
             State::Queued(_) | State::Dispatched(..) => return None,
             State::Done => {
-                let (count, digest) = r.retain.total().expect("ended");
+                let (count, digest) = r.replay.total().expect("ended");
                 ToEntry::End(count, digest)
             }
             State::NotRun(n, owner) => ToEntry::Refuse(n.clone(), owner.clone()),
             State::Failed(f) => ToEntry::Fail(f.clone()),
         };
-        c.over = true;
+        c.finished = true;
         r.sent = true;
         Some(last)
     }
@@ -159,7 +159,7 @@
     pub(super) fn busy(&self, i: usize) -> bool {
         let r = &self.executions[i];
         let open = matches!(r.state, State::Queued(_) | State::Dispatched(..));
-        open && self.live(r) && (!r.retain.full() || self.engine_died(i))
+        open && self.live(r) && (!r.replay.full() || self.engine_died(i))
     }
 
     pub(super) fn live(&self, r: &Execution) -> bool {
@@ -176,7 +176,7 @@
         let sidecar = self.executions[i].sidecar;
         let s = &mut self.sidecars[sidecar];
         if s.dies_after.is_some_and(|n| {
-            n as u64 == self.executions[i].retain.next() && self.executions[i].head
+            n as u64 == self.executions[i].replay.next() && self.executions[i].head
         }) {
             s.dies_after = None;
             s.engine += 1;
@@ -194,16 +194,16 @@
             }
             State::Dispatched(ex, mut left) => match left.pop_front() {
                 Some(data) => {
-                    self.executions[i].retain.push(data);
+                    self.executions[i].replay.push(data);
                     State::Dispatched(ex, left)
                 }
                 None => {
-                    self.executions[i].retain.end();
+                    self.executions[i].replay.end();
                     ex.complete();
                     State::Done
                 }
             },
-            over => over,
+            finished => finished,
         };
         self.executions[i].state = state;
     }
@@ -213,13 +213,13 @@
         if self.sidecars[sidecar].refuses {
             return State::NotRun(ex.refuse(Code::NoTarget, None), None);
         }
-        let ask = self.callers[caller].ask;
+        let spec = self.callers[caller].spec;
         let mine = Owner {
             token: self.executions[i].token.0.clone(),
             address: sidecar.to_string(),
             incarnation: self.sidecars[sidecar].incarnation,
         };
-        if let Some(key) = ask.key.filter(|_| !ask.idempotent) {
+        if let Some(key) = spec.key.filter(|_| !spec.idempotent) {
             let lose_next_claim = std::mem::take(&mut self.lose_next_claim);
             let owner = self.claims.entry(key).or_insert(mine.clone());
             if lose_next_claim {
@@ -235,7 +235,7 @@
         let from = self.executions[i].skip as u8;
         State::Dispatched(
             ex.dispatch(),
-            chunks(from..ask.events, 1 + sidecar, ask.size),
+            chunks(from..spec.events, 1 + sidecar, spec.size),
         )
     }
 }
--- a/crates/exchange/tests/cuts.rs
+++ b/crates/exchange/tests/cuts.rs
@@ -5,7 +5,7 @@
 use common::{AfterCut, Corruption, Cut, LateDelivery, RequestSpec, Simulation, Step};
 use model::{Code, Outcome};
 
-const ASK: RequestSpec = RequestSpec {
+const SPEC: RequestSpec = RequestSpec {
     idempotent: true,
     streamed: true,
     key: None,
@@ -16,7 +16,7 @@
 };
 
 /// Every kind of request whose answer may depend on its properties.
-fn asks(events: u8) -> Vec<RequestSpec> {
+fn specs(events: u8) -> Vec<RequestSpec> {
     let mut all = Vec::new();
     for bits in 0..12 {
         all.push(RequestSpec {
@@ -25,7 +25,7 @@
             key: (bits / 4 == 1).then_some(7),
             incarnation_known: bits / 4 != 2,
             events,
-            ..ASK
+            ..SPEC
         });
     }
     all
@@ -45,7 +45,7 @@
 }
 
 fn run(
-    ask: RequestSpec,
+    spec: RequestSpec,
     sidecars: usize,
     after_cut: AfterCut,
     cuts: [Option<Cut>; 2],
@@ -53,7 +53,7 @@
     let mut w = Simulation::new(sidecars);
     w.after_cut = after_cut;
     w.cuts = cuts.into();
-    w.call(ask);
+    w.call(spec);
     w.settle();
     w
 }
@@ -65,7 +65,7 @@
     let mut runs = 0;
     for events in 0..=6 {
         let cuts = cuts(events);
-        for ask in asks(events) {
+        for spec in specs(events) {
             for (&a, &b) in cuts.iter().flat_map(|a| cuts.iter().map(move |b| (a, b))) {
                 for (after_cut, sidecars) in [
                     (AfterCut::Same, 1),
@@ -75,16 +75,16 @@
                     (AfterCut::Gone, 1),
                     (AfterCut::Gone, 3),
                 ] {
-                    let w = run(ask, sidecars, after_cut, [a, b]);
+                    let w = run(spec, sidecars, after_cut, [a, b]);
                     let end = w.callers[0].end.as_ref();
                     // If the request was lost and the entry doesn't know the sidecar's
                     // incarnation, an earlier incarnation may have run it.
-                    let unknown = !ask.incarnation_known && a.is_some_and(|c| c.up && c.at == 0);
-                    let safe = ask.idempotent || after_cut == AfterCut::Same && !unknown;
+                    let unknown = !spec.incarnation_known && a.is_some_and(|c| c.up && c.at == 0);
+                    let safe = spec.idempotent || after_cut == AfterCut::Same && !unknown;
                     let whole = sidecars == 3 && safe;
                     assert!(
                         !whole || end == Some(&Ok(())),
-                        "{ask:?} {after_cut:?} {a:?} {b:?}: {end:?}"
+                        "{spec:?} {after_cut:?} {a:?} {b:?}: {end:?}"
                     );
                     runs += 1;
                 }
@@ -99,19 +99,19 @@
 #[test]
 fn engine_crash_at_each_chunk() {
     for events in 0..=6 {
-        for ask in asks(events) {
+        for spec in specs(events) {
             for (at, sidecars) in (0..=usize::from(events)).flat_map(|at| [(at, 1), (at, 2)]) {
                 let mut w = Simulation::new(sidecars);
                 w.sidecars[0].dies_after = Some(at);
-                w.call(ask);
+                w.call(spec);
                 w.settle();
-                let whole = ask.idempotent && sidecars == 2;
+                let whole = spec.idempotent && sidecars == 2;
                 match (&w.callers[0].end, whole) {
                     (Some(Ok(())), true) => {}
                     (Some(Err(f)), false) => {
                         assert_eq!((f.code, f.outcome), (Code::TargetLost, Outcome::Unknown));
                     }
-                    (end, _) => panic!("{ask:?} crash at {at}: {end:?}"),
+                    (end, _) => panic!("{spec:?} crash at {at}: {end:?}"),
                 }
             }
         }
@@ -124,13 +124,13 @@
 fn large_answers_flow_through_cuts() {
     for key in [None, Some(7)] {
         for cut in cuts(6) {
-            let ask = RequestSpec {
+            let spec = RequestSpec {
                 key,
                 size: 300 << 10,
                 confirm_each: false,
-                ..ASK
+                ..SPEC
             };
-            let w = run(ask, 1, AfterCut::Same, [cut, None]);
+            let w = run(spec, 1, AfterCut::Same, [cut, None]);
             let end = w.callers[0].end.as_ref();
             // Without another replica, a request that never arrived is refused.
             let lost = cut.is_some_and(|c| c.up && c.at == 0);
@@ -149,12 +149,12 @@
         .flat_map(|how| (0..=6).map(move |events| (how, events)))
     {
         let mut corrupted = 0;
-        for (ask, at) in asks(events)
+        for (spec, at) in specs(events)
             .into_iter()
             .flat_map(|a| (0..14).map(move |n| (a, n)))
         {
             let mut w = Simulation::new(3);
-            w.call(ask);
+            w.call(spec);
             let mut reads = 0;
             // The target makes its steps first, so that there are frames to be swapped.
             while let Some(&m) = w.moves().last() {
@@ -167,7 +167,7 @@
             w.settle();
             let end = w.callers[0].end.as_ref().expect("settled");
             // Only an impossible end frame is a failure; lost frames are requested again.
-            let bad = matches!(how, Fewer | Digest) && !ask.idempotent;
+            let bad = matches!(how, Fewer | Digest) && !spec.idempotent;
             match end {
                 Ok(()) => {}
                 Err(f) => assert_eq!((bad, f.code), (true, Code::BadAnswer), "{how:?} {at}"),
--- a/crates/exchange/tests/schedules.rs
+++ b/crates/exchange/tests/schedules.rs
@@ -34,7 +34,7 @@
     LoseNextClaim,
 }
 
-fn ask() -> impl Strategy<Value = RequestSpec> {
+fn spec() -> impl Strategy<Value = RequestSpec> {
     let sizes = prop_oneof![9 => Just(1), 1 => Just(400 << 10)];
     let key = proptest::option::of(0..2_u32);
     let flags = any::<[bool; 4]>();
@@ -61,7 +61,7 @@
     ];
     prop_oneof![
         60 => any::<u8>().prop_map(Op::Step),
-        4 => ask().prop_map(Op::Call),
+        4 => spec().prop_map(Op::Call),
         4 => any::<u8>().prop_map(Op::Break),
         3 => (any::<u8>(), corrupt).prop_map(|(i, s)| Op::Corruption(i, s)),
         1 => any::<u8>().prop_map(Op::Crash),
@@ -86,10 +86,10 @@
     proptest::option::weighted(0.3, cut.prop_map(|(up, at, late)| Cut { up, at, late }))
 }
 
-fn play(asks: Vec<RequestSpec>, cuts: Vec<Option<Cut>>, ops: Vec<Op>) -> Simulation {
+fn play(specs: Vec<RequestSpec>, cuts: Vec<Option<Cut>>, ops: Vec<Op>) -> Simulation {
     let mut w = Simulation::new(SIDECARS);
     w.cuts = cuts.into();
-    asks.into_iter().for_each(|a| w.call(a));
+    specs.into_iter().for_each(|a| w.call(a));
     for op in ops {
         let caller = |n: u8| usize::from(n) % w.callers.len();
         let sidecar = |n: u8| usize::from(n) % SIDECARS;
@@ -138,10 +138,10 @@
     /// under any mix of broken connections, crashes, pauses, and late, repeated or lost frames.
     #[test]
     fn guarantees_hold_in_any_schedule(
-        asks in proptest::collection::vec(ask(), 1..4),
+        specs in proptest::collection::vec(spec(), 1..4),
         cuts in proptest::collection::vec(cut(), 0..8),
         ops in proptest::collection::vec(op(), 0..120),
     ) {
-        play(asks, cuts, ops);
+        play(specs, cuts, ops);
     }
 }
--- a/crates/wire/tests/seal.rs
+++ b/crates/wire/tests/seal.rs
@@ -84,7 +84,7 @@
         for message in [Message::Probe(p), Message::Offer(offer)] {
             let sealed = Packet::seal(message.clone(), &fleet_keys).expect("small enough");
             prop_assert!(sealed.len() <= PACKET_MAX);
-            prop_assert_eq!(Packet::open(&sealed, &fleet_keys).expect("fleet_keys"), message);
+            prop_assert_eq!(Packet::open(&sealed, &fleet_keys).expect("sealed with the fleet's key"), message);
         }
     }
 
