--- a/crates/daemon/src/sidecar/serve.rs
+++ b/crates/daemon/src/sidecar/serve.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use exchange::{Exchange, Meant, NotRun, Registry, RetainError, Seen, Token};
+use exchange::{Exchange, IncarnationMatch, Lookup, NotRun, Registry, ReplayError, Token};
 use model::{Code, Micros};
 use tokio::time::{interval, timeout};
 use wire::{Accepted, Beat, Body, Fail, Open, Resume, Rx, Tx, WireError};
@@ -49,38 +49,38 @@
 }
 
 async fn open(cx: &Arc<Context>, o: Open, tx: &mut Tx, rx: &mut Rx) -> Result<(), WireError> {
-    let meant = Meant::of(o.incarnation, cx.life);
+    let meant = IncarnationMatch::compare(o.incarnation, cx.life);
     let token = Token(o.token.clone());
     let live = Live::new(!o.key.is_empty());
     let fresh = || Arc::clone(&live);
     let seen = cx.exchanges.lock().open(meant, token.clone(), fresh);
     let live = match seen {
-        Seen::Fresh => {
+        Lookup::New => {
             tokio::spawn(lifetime(Arc::clone(cx), o, Arc::clone(&live)));
             live
         }
-        Seen::Live(l) => l,
-        Seen::Void => return refused(tx, Code::Cancelled).await,
+        Lookup::Active(l) => l,
+        Lookup::Voided => return refused(tx, Code::Cancelled).await,
         // This life has never seen it.
-        Seen::Other => return refused(tx, Code::NoTarget).await,
-        Seen::Over => return lost(tx).await,
+        Lookup::OtherIncarnation => return refused(tx, Code::NoTarget).await,
+        Lookup::Ended => return lost(tx).await,
     };
     carry(cx, &token, &live, 0, tx, rx).await
 }
 
 async fn resume(cx: &Arc<Context>, r: Resume, tx: &mut Tx, rx: &mut Rx) -> Result<(), WireError> {
-    let meant = Meant::of(r.incarnation, cx.life);
+    let meant = IncarnationMatch::compare(r.incarnation, cx.life);
     let token = Token(r.token);
     let now = clock::now();
     let seen = cx.exchanges.lock().resume(now, meant, token.clone());
     match seen {
-        Seen::Live(l) => {
+        Lookup::Active(l) => {
             // The broken connection may have held the confirmations that the source waits for.
             l.confirm(r.next);
             carry(cx, &token, &l, r.next, tx, rx).await
         }
-        Seen::Void | Seen::Fresh => refused(tx, Code::NoTarget).await,
-        Seen::Over | Seen::Other => lost(tx).await,
+        Lookup::Voided | Lookup::New => refused(tx, Code::NoTarget).await,
+        Lookup::Ended | Lookup::OtherIncarnation => lost(tx).await,
     }
 }
 
@@ -109,8 +109,8 @@
                 Ok(None) => break,
                 // Another reader had it and it was dropped. Were the connection just closed, the
                 // entry would ask for it again and again.
-                Err(RetainError::Gone(_)) => return lost(tx).await,
-                Err(RetainError::Ahead(_)) => return Err(WireError::Unexpected),
+                Err(ReplayError::Gone(_)) => return lost(tx).await,
+                Err(ReplayError::Ahead(_)) => return Err(WireError::Unexpected),
             };
             tx.feed(body).await?;
             if end {
--- a/crates/daemon/tests/not_run.rs
+++ b/crates/daemon/tests/not_run.rs
@@ -186,9 +186,11 @@
 /// the second attempt only; passed on as it is, it would call a request not run that ran in part.
 #[test]
 fn refusal_after_a_lost_attempt_is_not_called_not_run() {
-    let refused = || Event::Refused(NotRun::heard(Code::Overloaded, None));
+    let refused = || Event::Refused(NotRun::reported(Code::Overloaded, None));
     let lost = || {
-        let failed = Exchange::new().hand().fail(Code::TargetLost, false, false);
+        let failed = Exchange::new()
+            .dispatch()
+            .fail(Code::TargetLost, false, false);
         Event::Failed(failed)
     };
     #[rustfmt::skip]
@@ -204,7 +206,7 @@
         let mut relay = Relay::new(true, true);
         let actions = c.events.into_iter().map(|e| relay.step(e));
         let last = actions.last().expect("an event");
-        assert_matches!(last, Action::Elsewhere { failure, .. } => {
+        assert_matches!(last, Action::RetryElsewhere { failure, .. } => {
             assert_eq!(failure.outcome, c.outcome, "{}", c.what);
         });
     }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,18 +1,18 @@
 //! One attempt at a request, from the entry that sends it to the sidecar that serves it.
 //!
-//! The modules here decide and keep; they neither send nor wait. [`life`] makes a false "not run"
-//! impossible to write, [`registry`] makes it impossible for a delayed request to run after it
-//! was given up, [`retain`] keeps what the entry hasn't confirmed, and [`relay`] checks at the
-//! entry that the caller gets each byte once, in order, to the end. [`events`] finds the ends of a
-//! stream's events.
+//! The modules make decisions and hold state; they do no I/O and never wait. [`state`] makes a
+//! false "not run" a compile error, [`registry`] prevents a delayed request from running after its
+//! entry has given it up, [`replay`] keeps chunks until the entry confirms them, and [`relay`]
+//! checks at the entry that the caller gets each byte once, in order and to the end. [`events`]
+//! finds the ends of server-sent events.
 
 pub mod events;
-pub mod life;
 pub mod registry;
 pub mod relay;
-pub mod retain;
+pub mod replay;
+pub mod state;
 
-pub use life::{Done, Exchange, Failed, Handed, NotRun, Queued};
-pub use registry::{Meant, Registry, Seen, Token};
+pub use registry::{IncarnationMatch, Lookup, Registry, Token};
 pub use relay::{Action, Event, Failure, Owner, Relay};
-pub use retain::{Retain, RetainError};
+pub use replay::{ReplayBuffer, ReplayError};
+pub use state::{Dispatched, Done, Exchange, Failed, NotRun, Queued};
