--- a/crates/daemon/src/entry/baseline.rs
+++ b/crates/daemon/src/entry/baseline.rs
@@ -3,7 +3,7 @@
 
 use exchange::Failure;
 use model::{BlockHash, Code};
-use policy::place::Peer;
+use policy::probe_placement::Peer;
 use prefix::rank;
 use wire::Offer;
 
--- a/crates/daemon/src/entry/memory.rs
+++ b/crates/daemon/src/entry/memory.rs
@@ -7,7 +7,7 @@
 
 use model::{Micros, TargetKey};
 use policy::health::{self, Health};
-use policy::place;
+use policy::probe_placement;
 use policy::quarantine::{self, Quarantine};
 use policy::recent::{self, Recent};
 use policy::retry::{self, Budget};
@@ -34,7 +34,7 @@
     /// Turns of the round-robin baseline.
     pub turn: usize,
     /// How replicas are chosen.
-    pub place: place::Config,
+    pub place: probe_placement::Config,
     /// What each team has sent.
     pub limits: Limits,
     /// Random choices.
@@ -50,7 +50,7 @@
             quarantine: Quarantine::new(quarantine::Config::default()),
             waits: HashMap::new(),
             turn: 0,
-            place: place::Config::default(),
+            place: probe_placement::Config::default(),
             limits: Limits::default(),
             rng: SmallRng::from_os_rng(),
         }
--- a/crates/daemon/src/entry/ours.rs
+++ b/crates/daemon/src/entry/ours.rs
@@ -1,11 +1,11 @@
-//! The project's own choice of a replica: `policy::place` with its probes.
+//! The project's own choice of a replica: `policy::probe_placement` with its probes.
 //!
 //! Some candidates are probed, others if all of these are full. If nobody answers at all, the
 //! request goes where its prefix belongs: lost probes alone must not fail requests.
 
 use exchange::Failure;
 use model::{Code, Micros, TargetKey};
-use policy::place::{self, Choice, Peer};
+use policy::probe_placement::{self, Choice, Peer};
 use prefix::Marks;
 use wire::Offer;
 
@@ -43,7 +43,7 @@
         let placed: Vec<_> = answers.iter().filter_map(placed).collect();
         heard.add(&answers, &placed);
         let delay = |t| delay(view, t);
-        let choices = place::choose(&config, &ask, &placed, delay);
+        let choices = probe_placement::choose(&config, &ask, &placed, delay);
         if !choices.is_empty() {
             let picks = choices.iter();
             let picks = picks.filter_map(|c| picked(view, c, &answers, marks.blocks()));
@@ -53,14 +53,20 @@
     heard.unprobed(view, want)
 }
 
-/// What `policy::place` is asked; the prompt counts as seen from now on.
-fn ask(cx: &Context, view: &View, want: &Wanted, marks: &Marks, peers: &[Peer]) -> place::Ask {
+/// What `policy::probe_placement` is asked; the prompt counts as seen from now on.
+fn ask(
+    cx: &Context,
+    view: &View,
+    want: &Wanted,
+    marks: &Marks,
+    peers: &[Peer],
+) -> probe_placement::Ask {
     let recent = &mut cx.memory.lock().recent;
     let share = recent.share(&want.chain);
     recent.seen(&want.chain);
-    place::Ask {
+    probe_placement::Ask {
         class: want.class,
-        home: place::home(&want.chain, peers),
+        home: probe_placement::home(&want.chain, peers),
         blocks: marks.blocks(),
         heat: share * view.world.pool_targets(want.pool).count() as f64,
     }
@@ -69,12 +75,12 @@
 /// Whom to probe next.
 fn candidates(
     cx: &Context,
-    config: &place::Config,
+    config: &probe_placement::Config,
     want: &Wanted,
     unasked: &[Peer],
 ) -> Vec<TargetKey> {
     let m = &mut *cx.memory.lock();
-    place::candidates(config, &want.chain, unasked, &m.recent, &mut m.rng)
+    probe_placement::candidates(config, &want.chain, unasked, &m.recent, &mut m.rng)
 }
 
 /// What rounds of probes without a choice told.
@@ -98,7 +104,7 @@
 
     /// Takes in a round. Those that are down or leaving say nothing of the rest, which may only be
     /// slow to answer.
-    fn add(&mut self, answers: &[Answered], placed: &[place::Offer]) {
+    fn add(&mut self, answers: &[Answered], placed: &[probe_placement::Offer]) {
         let closed: Vec<_> = placed.iter().filter(|o| is_closed(o)).collect();
         self.open
             .retain(|p| !closed.iter().any(|o| o.target == p.target));
@@ -116,13 +122,16 @@
         if self.open.is_empty() {
             return Err(failure(Code::NoTarget, Some(PAUSE)));
         }
-        let order = place::fallback(&want.chain, &self.open);
+        let order = probe_placement::fallback(&want.chain, &self.open);
         Ok(unprobed_all(view, order))
     }
 }
 
-fn is_closed(o: &place::Offer) -> bool {
-    matches!(o.state, place::State::Leaving | place::State::Loading)
+fn is_closed(o: &probe_placement::Offer) -> bool {
+    matches!(
+        o.state,
+        probe_placement::State::Leaving | probe_placement::State::Loading
+    )
 }
 
 /// The offers among answers.
@@ -130,16 +139,16 @@
     answers.iter().filter_map(|(_, o)| o.as_ref())
 }
 
-/// An offer in the terms of `policy::place`.
-fn placed((target, offer): &Answered) -> Option<place::Offer> {
+/// An offer in the terms of `policy::probe_placement`.
+fn placed((target, offer): &Answered) -> Option<probe_placement::Offer> {
     let o = offer.as_ref()?;
     let state = match o.state() {
-        wire::State::Serving => place::State::Serving,
-        wire::State::Loading => place::State::Loading,
-        wire::State::Full => place::State::Full,
-        wire::State::Leaving | wire::State::Down => place::State::Leaving,
+        wire::State::Serving => probe_placement::State::Serving,
+        wire::State::Loading => probe_placement::State::Loading,
+        wire::State::Full => probe_placement::State::Full,
+        wire::State::Leaving | wire::State::Down => probe_placement::State::Leaving,
     };
-    Some(place::Offer {
+    Some(probe_placement::Offer {
         target: *target,
         incarnation: model::Incarnation(o.engine),
         matched: o.matched,
--- a/crates/daemon/src/entry/pick.rs
+++ b/crates/daemon/src/entry/pick.rs
@@ -9,7 +9,7 @@
 use futures::future::join_all;
 use model::{Code, Micros, Outcome, TargetKey};
 use policy::health::Use;
-use policy::place::Peer;
+use policy::probe_placement::Peer;
 use prefix::Marks;
 use rand::Rng;
 use wire::Offer;
--- a/crates/daemon/src/tune.rs
+++ b/crates/daemon/src/tune.rs
@@ -1,16 +1,17 @@
 //! From the configuration's feature tables to the settings of the policy modules.
 //!
-//! Each table of a feature has the name of its module; this is the one place where the two meet.
+//! Each feature table has the name of its module, except that the table `place` sets `probe_placement`. No other
+//! code maps tables to modules.
 
 use model::Class;
-use policy::{admit, concurrency, health, place, quarantine, queue, reserve, retry};
+use policy::{admit, concurrency, health, probe_placement, quarantine, queue, reserve, retry};
 use rules::Config;
 
 /// Settings of every policy module.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
     /// Which replicas are asked.
-    pub place: place::Config,
+    pub place: probe_placement::Config,
     /// Places held for requests that may come.
     pub reserve: reserve::Config,
     /// What is turned away before it waits.
@@ -30,9 +31,9 @@
 impl From<&Config> for Tuning {
     fn from(c: &Config) -> Self {
         Self {
-            place: place::Config {
+            place: probe_placement::Config {
                 probes: c.place.probes as usize,
-                ..place::Config::default()
+                ..probe_placement::Config::default()
             },
             reserve: reserve::Config {
                 hold: c.reserve.hold.0,
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -119,7 +119,7 @@
 fn defaults_of_the_tables_are_the_modules_own() {
     let t = Tuning::from(&rules::Config::default());
     let own = [
-        format!("{:?}", policy::place::Config::default()),
+        format!("{:?}", policy::probe_placement::Config::default()),
         format!("{:?}", policy::reserve::Config::default()),
         format!("{:?}", policy::admit::Config::default()),
         format!("{:?}", policy::queue::Config::default()),
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -7,7 +7,7 @@
 use policy::apart;
 use policy::lateness::{self, Prospect, Verdict};
 use policy::quarantine::Verdict::Suspect;
-use policy::spot::{self, Sources};
+use policy::ttft_placement::{self, Sources};
 use policy::versions;
 use site::{Boot, Engine, Plan, Prompt, Scope};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -142,7 +142,7 @@
         let wait = Micros::from_millis(candidate.wait as u64);
         may_begin(r, wait).then_some((candidate, sources.get(&scope)?))
     });
-    let choice = spot::choose(prompt.input, candidates).ok_or(Reason::NoTarget)?;
+    let choice = ttft_placement::choose(prompt.input, candidates).ok_or(Reason::NoTarget)?;
     let prospect = Prospect {
         wait: choice.wait,
         own: (choice.time - choice.wait).max(0.0),
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -6,7 +6,7 @@
 use model::Micros;
 use policy::apart;
 use policy::outlook::{self, Load};
-use policy::spot::{Candidate, Source, Sources};
+use policy::ttft_placement::{Candidate, Source, Sources};
 use policy::urgency;
 use policy::versions::Versions;
 use site::{Engine, Plan, Prompt};
--- a/crates/policy/examples/decide.rs
+++ b/crates/policy/examples/decide.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
-use policy::place::{candidates, choose, home, Ask, Config, Offer, Peer, State};
+use policy::probe_placement::{candidates, choose, home, Ask, Config, Offer, Peer, State};
 use policy::recent::{self, Recent};
 use prefix::Marks;
 use rand::rngs::SmallRng;
--- a/crates/policy/examples/replay/sim/entry.rs
+++ b/crates/policy/examples/replay/sim/entry.rs
@@ -2,7 +2,7 @@
 
 use model::{Class, Micros, TargetKey};
 use policy::health::{self, Health};
-use policy::place::Peer;
+use policy::probe_placement::Peer;
 use policy::recent::{self, Recent};
 use policy::retry::{self, Budget};
 
--- a/crates/policy/examples/replay/sim/run.rs
+++ b/crates/policy/examples/replay/sim/run.rs
@@ -8,7 +8,7 @@
 
 use model::{BlockHash, Class, Micros, TargetKey, TeamKey};
 use policy::health::{self, Use};
-use policy::place::{self, candidates, choose, Offer, Peer};
+use policy::probe_placement::{self, candidates, choose, Offer, Peer};
 use prefix::{levels, rank, Event, Marks, Need};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -253,11 +253,11 @@
             }
         }
         let share = self.entries[entry].recent.share(&prompt.chain);
-        let place = place::Ask {
+        let place = probe_placement::Ask {
             class: ask.class,
             blocks: ask.blocks,
             heat: share * self.setup.replicas as f64,
-            home: place::home(&prompt.chain, &self.entries[entry].peers),
+            home: probe_placement::home(&prompt.chain, &self.entries[entry].peers),
         };
         self.entries[entry].recent.seen(&prompt.chain);
         let way = |t| self.way(entry, self.replica(t));
--- a/crates/policy/examples/replay/sim/setup.rs
+++ b/crates/policy/examples/replay/sim/setup.rs
@@ -1,7 +1,7 @@
 //! What is replayed how.
 
 use model::Micros;
-use policy::place;
+use policy::probe_placement;
 
 use super::engine;
 use super::trace::{Workload, GRAIN};
@@ -53,7 +53,7 @@
     /// Delay of cache events, and the part of them that is lost.
     pub(crate) late: Micros,
     pub(crate) loss: f64,
-    pub(crate) place: place::Config,
+    pub(crate) place: probe_placement::Config,
     pub(crate) faults: Vec<(Micros, Fault)>,
     pub(crate) seed: u64,
 }
@@ -79,7 +79,7 @@
             speed: 1.0,
             late: Micros::from_millis(100),
             loss: 0.001,
-            place: place::Config::default(),
+            place: probe_placement::Config::default(),
             faults: Vec::new(),
             seed: 7,
         }
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -5,7 +5,7 @@
 use policy::busy::Busy;
 use policy::concurrency::{self, Limit, Sample};
 use policy::cost::{self, Cost};
-use policy::place::{Offer, State};
+use policy::probe_placement::{Offer, State};
 use policy::queue::{self, Job, Queue};
 use policy::reserve::{self, Reserve};
 use prefix::{Index, Marks};
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,12 +5,12 @@
 //! replay of traces run the same code. Each module heads with the load pattern it answers, what
 //! happens without it, and the grounds of its figures.
 //!
-//! At an entry: [`limit`] and [`quarantine`] may refuse a request, [`place`] chooses the replicas
+//! At an entry: [`limit`] and [`quarantine`] may refuse a request, [`probe_placement`] chooses the replicas
 //! to ask and the one to use, [`health`] leaves slow ones out, [`retry`] allows a second attempt.
 //! At a sidecar: [`admit`] takes or refuses a request at once, [`queue`] orders those taken,
 //! [`concurrency`] says how many the engine gets, [`liveness`] whether it is alive, [`drain`] ends it all
 //! without cutting a request.
-//! Where targets are reached without a sidecar: [`spot`] places a prompt of named parts by what
+//! Where targets are reached without a sidecar: [`ttft_placement`] places a prompt of named parts by what
 //! [`outlook`] says of each engine and [`pace`] of all of them, [`lateness`] refuses what would be
 //! late, [`standing`] says which targets to leave alone, [`lapse`] which to keep though they aren't
 //! listed, [`misdirected`] for how long one isn't used whose address answered for another, [`shared`]
@@ -43,7 +43,7 @@
 pub mod misdirected;
 pub mod outlook;
 pub mod pace;
-pub mod place;
+pub mod probe_placement;
 pub mod quarantine;
 pub mod queue;
 pub mod readers;
@@ -53,9 +53,9 @@
 pub mod rollout;
 pub mod shared;
 pub mod slots;
-pub mod spot;
 pub mod standing;
 pub mod subscription;
 pub mod trial;
+pub mod ttft_placement;
 pub mod urgency;
 pub mod versions;
--- a/crates/policy/tests/outlook.rs
+++ b/crates/policy/tests/outlook.rs
@@ -1,7 +1,7 @@
 //! Engines that are short of memory.
 
 use policy::outlook::Load;
-use policy::spot::{choose, Candidate, Sources};
+use policy::ttft_placement::{choose, Candidate, Sources};
 
 /// Tokens of an engine's memory.
 const MEMORY: u32 = 85_000;
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/probe_placement.rs
@@ -1,7 +1,7 @@
 //! Whom an entry asks and whom it chooses.
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
-use policy::place::{candidates, choose, fallback, Ask, Config, Offer, Peer, State};
+use policy::probe_placement::{candidates, choose, fallback, Ask, Config, Offer, Peer, State};
 use policy::recent::{self, Recent};
 use prefix::{chain, Seed, BLOCK};
 use rand::rngs::SmallRng;
--- a/crates/policy/tests/spot.rs
+++ b/crates/policy/tests/ttft_placement.rs
@@ -1,7 +1,7 @@
 //! Placing prompts of named parts by milliseconds to the first token.
 
 use policy::outlook::{self, Load};
-use policy::spot::{choose, Candidate, Choice, Source, Sources};
+use policy::ttft_placement::{choose, Candidate, Choice, Source, Sources};
 
 /// Milliseconds to read a token.
 const READ: f64 = 0.02;
