--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use model::{Micros, Position};
-use policy::{lapse, standing};
+use policy::{circuit_breaker, lapse};
 use site::{Boot, Part, PartId, State, Target};
 use slotmap::{new_key_type, SlotMap};
 
@@ -252,7 +252,7 @@
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        replica.standing.good(&standing::Config::default());
+        replica.breaker.success(&circuit_breaker::Config::default());
         let usual = self.usual.entry(replica.target.pool.clone()).or_default();
         *usual *= 1.0 - USUAL;
     }
@@ -263,12 +263,12 @@
             return;
         };
         let usual = self.usual.entry(replica.target.pool.clone()).or_default();
-        let before = replica.standing.usable(now);
+        let before = replica.breaker.usable(now);
         replica
-            .standing
-            .bad(&standing::Config::default(), now, *usual);
+            .breaker
+            .failure(&circuit_breaker::Config::default(), now, *usual);
         *usual += (1.0 - *usual) * USUAL;
-        if before && !replica.standing.usable(now) {
+        if before && !replica.breaker.usable(now) {
             left_out(replica, reason);
         }
     }
@@ -290,10 +290,10 @@
             return;
         };
         replica.idle.clear();
-        let before = replica.standing.usable(now);
+        let before = replica.breaker.usable(now);
         replica
-            .standing
-            .unreachable(&standing::Config::default(), now);
+            .breaker
+            .unreachable(&circuit_breaker::Config::default(), now);
         if before {
             left_out(replica, reason);
         }
@@ -311,7 +311,7 @@
     log::event(&Event::LeftOut {
         target: &replica.target.boot.id,
         reason,
-        failed: replica.standing.failed,
+        failed: replica.breaker.failure_rate,
     });
 }
 
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -5,10 +5,10 @@
 
 use model::{Micros, Position};
 use platform::replica::Load;
+use policy::circuit_breaker::CircuitBreaker;
 use policy::ledger::Unread;
 use policy::loading::Left;
 use policy::misdirected::Marks;
-use policy::standing::Standing;
 use policy::urgency;
 use site::{Part, PartId, Target};
 
@@ -112,7 +112,7 @@
     /// Parts that it is about to read or fetch, and until when that is believed.
     expected: HashMap<(u64, PartId), (u32, Micros)>,
     /// How it has done.
-    pub standing: Standing,
+    pub breaker: CircuitBreaker,
     /// Until when it is kept though the list lacks it.
     pub(super) missing: Option<Micros>,
     /// Whether another target has answered at its address.
@@ -141,7 +141,7 @@
             heard: None,
             held: HashMap::new(),
             expected: HashMap::new(),
-            standing: Standing::default(),
+            breaker: CircuitBreaker::default(),
             missing: None,
             misdirected: Marks::default(),
             over: None,
--- a/crates/gate/src/entry/usable.rs
+++ b/crates/gate/src/entry/usable.rs
@@ -39,7 +39,7 @@
         (!passed.is_empty()).then_some(passed)
     };
     let fresh = |c: &(Key, &Replica)| !job.tried.contains(&c.0);
-    let usable = |c: &(Key, &Replica)| c.1.standing.usable(now) && answers(c.1, now);
+    let usable = |c: &(Key, &Replica)| c.1.breaker.usable(now) && answers(c.1, now);
     let apart = |c: &(Key, &Replica)| !suspect || c.1.suspects == 0;
     let stays = |c: &(Key, &Replica)| !leaves(c.1, now);
     some(&|c| fresh(c) && usable(c) && stays(c) && apart(c))
@@ -103,7 +103,7 @@
 
 /// Factor for what has failed of late.
 pub(super) fn doubt(r: &Replica, now: Micros) -> f64 {
-    outlook::doubt(r.standing.failed, r.standing.on_trial(now))
+    outlook::doubt(r.breaker.failure_rate, r.breaker.on_trial(now))
 }
 
 /// Where a request begins in a row of equals, so that requests spread over them.
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -114,7 +114,7 @@
         let there = |r: &Replica| {
             r.target.pool == job.pool
                 && same(r)
-                && r.standing.usable(self.now)
+                && r.breaker.usable(self.now)
                 && surely_answers(r, self.now)
         };
         let engines: Vec<_> = fleet.replicas.values().filter(|r| there(r)).collect();
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -12,7 +12,7 @@
 //! without cutting a request.
 //! Where targets are reached without a sidecar: [`ttft_placement`] places a prompt of named parts by what
 //! [`outlook`] says of each engine and [`pace`] of all of them, [`lateness`] refuses what would be
-//! late, [`standing`] says which targets to leave alone, [`lapse`] which to keep though they aren't
+//! late, [`circuit_breaker`] says which targets to leave alone, [`lapse`] which to keep though they aren't
 //! listed, [`misdirected`] for how long one isn't used whose address answered for another, [`shared`]
 //! keeps all entries within one budget of retries, [`loading`] says how long a request waits while all
 //! engines load, [`subscription`] says which engines an entry
@@ -27,6 +27,7 @@
 pub mod apart;
 pub mod broken;
 pub mod busy;
+pub mod circuit_breaker;
 pub mod concurrency;
 pub mod contact;
 pub mod cost;
@@ -53,7 +54,6 @@
 pub mod rollout;
 pub mod shared;
 pub mod slots;
-pub mod standing;
 pub mod subscription;
 pub mod trial;
 pub mod ttft_placement;
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -1,12 +1,12 @@
 //! Decisions of an entry that reaches targets without a sidecar, each under the load that it answers.
 
 use model::Micros;
+use policy::circuit_breaker::{self, CircuitBreaker};
 use policy::lateness::{judge, Prospect, Verdict};
 use policy::ledger::Ledger;
 use policy::pace::{Pace, GUESS};
 use policy::readers::Readers;
 use policy::shared::Need;
-use policy::standing::{self, Standing};
 use policy::versions::Versions;
 use policy::{apart, shared, urgency};
 
@@ -96,8 +96,8 @@
 fn a_target_that_fails_at_once_draws_no_more_traffic() {
     // A target refuses nine in ten at once and looks idle for it. It is left out after a few failures,
     // for longer each time, while one whose failures are as usual as its peers' stays.
-    let config = standing::Config::default();
-    let mut grey = Standing::default();
+    let config = circuit_breaker::Config::default();
+    let mut grey = CircuitBreaker::default();
     let mut sent = 0;
     let mut now = ms(0);
     for n in 0..2_000 {
@@ -105,17 +105,17 @@
         if grey.usable(now) {
             sent += 1;
             match n % 10 {
-                0 => grey.good(&config),
-                _ => grey.bad(&config, now, 0.05),
+                0 => grey.success(&config),
+                _ => grey.failure(&config, now, 0.05),
             }
         }
     }
     assert!(sent < 400, "{sent} of 2000 sent to it");
-    let mut usual = Standing::default();
+    let mut usual = CircuitBreaker::default();
     for n in 0..2_000 {
         match n % 7 {
-            0 => usual.bad(&config, ms(n * 10), 0.14),
-            _ => usual.good(&config),
+            0 => usual.failure(&config, ms(n * 10), 0.14),
+            _ => usual.success(&config),
         }
         assert!(usual.usable(ms(n * 10)), "left out for usual failures");
     }
@@ -125,8 +125,8 @@
 fn a_dark_target_is_asked_ever_less_and_comes_back() {
     // A target can't be reached. Each try costs a caller a timeout, so tries become rare; once one
     // succeeds, it is as good as before.
-    let config = standing::Config::default();
-    let mut dark = Standing::default();
+    let config = circuit_breaker::Config::default();
+    let mut dark = CircuitBreaker::default();
     let tries = (0..20_000u64).step_by(10).filter(|t| {
         let now = ms(*t);
         let tried = dark.usable(now);
@@ -137,7 +137,7 @@
     });
     let tries = tries.count();
     assert!((4..=12).contains(&tries), "{tries} tries in 20 s");
-    dark.good(&config);
+    dark.success(&config);
     assert!(dark.usable(ms(20_001)));
     assert!(!dark.on_trial(ms(20_001)));
 }
