--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use model::{Incarnation, MemberId, Micros};
-use policy::broken::{Break, Broken};
+use policy::crash_attribution::{BrokenAnswer, CrashAttribution};
 use policy::quarantine::{self, Crash, Fingerprint, Place, Quarantine, Verdict};
 use site::Boot;
 use tokio::time::sleep;
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub(super) struct Suspects {
     quarantine: Quarantine,
-    broken: Broken,
+    crash_attribution: CrashAttribution,
 }
 
 impl Default for Suspects {
@@ -55,7 +55,7 @@
         };
         Self {
             quarantine: Quarantine::new(config),
-            broken: Broken::default(),
+            crash_attribution: CrashAttribution::default(),
         }
     }
 }
@@ -118,13 +118,18 @@
 
 /// Notes that a job's answer broke off at a target that it was sent to at a time.
 pub(super) fn broke(ctx: &Ctx, job: &Job, boot: &Boot, sent: Micros) {
-    let run = Break {
+    let run = BrokenAnswer {
         print: job.print,
         crash: crash(boot),
         sent,
         at: ctx.now(),
     };
-    if ctx.suspects.borrow_mut().broken.broke(run) {
+    if ctx
+        .suspects
+        .borrow_mut()
+        .crash_attribution
+        .answer_broken(run)
+    {
         strike(ctx, run.print, run.crash, Some(&job.id));
     }
 }
@@ -134,7 +139,11 @@
     let boots = std::mem::take(&mut ctx.fleet.borrow_mut().ended);
     for boot in boots {
         let crash = crash(&boot);
-        let prints = ctx.suspects.borrow_mut().broken.ended(ctx.now(), crash);
+        let prints = ctx
+            .suspects
+            .borrow_mut()
+            .crash_attribution
+            .target_ended(ctx.now(), crash);
         for print in prints {
             strike(ctx, print, crash, None);
         }
--- a/crates/policy/src/broken.rs
+++ b/crates/policy/src/crash_attribution.rs
@@ -20,13 +20,13 @@
 use crate::quarantine::{Crash, Fingerprint};
 
 /// How far a break and its target's end may lie apart.
-const APART: Micros = Micros::from_secs(5);
+const MATCH_WINDOW: Micros = Micros::from_secs(5);
 /// Breaks and ends remembered; an engine's places times a few.
-const KEPT: usize = 512;
+const CAPACITY: usize = 512;
 
 /// A run whose answer broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Break {
+pub struct BrokenAnswer {
     /// What ran.
     pub print: Fingerprint,
     /// Where.
@@ -39,14 +39,14 @@
 
 /// Breaks and ends that one process has seen of late.
 #[derive(Debug, Default)]
-pub struct Broken {
-    breaks: VecDeque<Break>,
+pub struct CrashAttribution {
+    breaks: VecDeque<BrokenAnswer>,
     ends: VecDeque<(Micros, Crash)>,
 }
 
-impl Broken {
+impl CrashAttribution {
     /// Notes a break; true if its target is known to have ended.
-    pub fn broke(&mut self, run: Break) -> bool {
+    pub fn answer_broken(&mut self, run: BrokenAnswer) -> bool {
         self.expire(run.at);
         let end = self.ends.iter().find(|(_, c)| *c == run.crash);
         match end {
@@ -59,7 +59,7 @@
     }
 
     /// Notes a target's end; returns what had broken off there.
-    pub fn ended(&mut self, now: Micros, crash: Crash) -> Vec<Fingerprint> {
+    pub fn target_ended(&mut self, now: Micros, crash: Crash) -> Vec<Fingerprint> {
         self.expire(now);
         if !self.ends.iter().any(|(_, c)| *c == crash) {
             self.ends.push_back((now, crash));
@@ -71,8 +71,8 @@
     }
 
     fn expire(&mut self, now: Micros) {
-        let old = |at: Micros| now.since(at) > APART;
-        let full = |len: usize| len >= KEPT;
+        let old = |at: Micros| now.since(at) > MATCH_WINDOW;
+        let full = |len: usize| len >= CAPACITY;
         while self.breaks.front().is_some_and(|b| old(b.at)) || full(self.breaks.len()) {
             self.breaks.pop_front();
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -16,7 +16,7 @@
 //! listed, [`misdirected`] for how long one isn't used whose address answered for another, [`shared`]
 //! keeps all entries within one budget of retries, [`loading`] says how long a request waits while all
 //! engines load, [`subscription`] says which engines an entry
-//! subscribes to, [`broken`] separates crashes from lost connections for [`quarantine`], [`rollout`] says
+//! subscribes to, [`crash_attribution`] separates crashes from lost connections for [`quarantine`], [`rollout`] says
 //! which engines take new weights, and [`slots`] when one does, by what its peers answer ([`contact`]).
 //! [`delegate`] says which entry acts for an engine without a sidecar, [`holder`] when an engine's orders
 //! may pass from one process to another.
@@ -25,12 +25,12 @@
 
 pub mod admit;
 pub mod apart;
-pub mod broken;
 pub mod busy;
 pub mod circuit_breaker;
 pub mod concurrency;
 pub mod contact;
 pub mod cost;
+pub mod crash_attribution;
 pub mod delegate;
 pub mod drain;
 pub mod health;
--- a/crates/policy/tests/crashes.rs
+++ b/crates/policy/tests/crashes.rs
@@ -1,7 +1,7 @@
 //! Requests that crash targets, and those that only were there.
 
 use model::{Incarnation, MemberId, Micros};
-use policy::broken::{Break, Broken};
+use policy::crash_attribution::{BrokenAnswer, CrashAttribution};
 use policy::quarantine::{Config, Crash, Fingerprint, Place, Quarantine, Verdict as Held};
 
 fn ms(n: u64) -> Micros {
@@ -39,23 +39,23 @@
         Case { name: "an end long after", sent: 0, broke: 100, ended: Some(6_000), same: true, struck: false },
     ];
     for case in cases {
-        let mut broken = Broken::default();
+        let mut broken = CrashAttribution::default();
         let end = crash(if case.same { 1 } else { 2 });
-        let run = Break {
+        let run = BrokenAnswer {
             print,
             crash: crash(1),
             sent: ms(case.sent),
             at: ms(case.broke),
         };
         let struck = match case.ended {
-            None => broken.broke(run),
+            None => broken.answer_broken(run),
             Some(at) if at < case.broke => {
-                broken.ended(ms(at), end);
-                broken.broke(run)
+                broken.target_ended(ms(at), end);
+                broken.answer_broken(run)
             }
             Some(at) => {
-                assert!(!broken.broke(run), "{}", case.name);
-                broken.ended(ms(at), end) == [print]
+                assert!(!broken.answer_broken(run), "{}", case.name);
+                broken.target_ended(ms(at), end) == [print]
             }
         };
         assert_eq!(struck, case.struck, "{}", case.name);
