--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -18,8 +18,8 @@
 
 use model::Micros;
 use platform::replica::EngineError;
+use policy::backlog::Backlog;
 use policy::holder::Holder;
-use policy::ledger::Ledger;
 use policy::subscription::{self, Subscribers};
 use site::{Boot, Report};
 use tokio::net::UdpSocket;
@@ -94,7 +94,7 @@
     /// New weights and slots to load them.
     rollout: Rollout,
     /// What it has yet to read.
-    pub(crate) ledger: Ledger,
+    pub(crate) backlog: Backlog,
     /// The entries that it reports to.
     pub(crate) subscribers: Subscribers,
 }
@@ -118,7 +118,7 @@
             cache: Cache::default(),
             fresh: Vec::new(),
             rollout: Rollout::new(Holder::new(lease)),
-            ledger: Ledger::default(),
+            backlog: Backlog::default(),
             subscribers: Subscribers::default(),
         }
     }
@@ -172,8 +172,8 @@
     /// Takes over what an entry notes of a prompt.
     pub(crate) fn prompt(&mut self, now: Micros, note: Note) {
         match note.tokens {
-            Some(tokens) => self.ledger.sent(now, note.request, tokens),
-            None => self.ledger.read(note.request),
+            Some(tokens) => self.backlog.add(now, note.request, tokens),
+            None => self.backlog.remove(note.request),
         }
     }
 
--- a/crates/gate/src/agent/report.rs
+++ b/crates/gate/src/agent/report.rs
@@ -17,7 +17,7 @@
 pub(crate) fn summary(node: &Shared, agent: &Own) -> Update {
     let now = node.now();
     let mut a = agent.borrow_mut();
-    a.ledger.expire(now);
+    a.backlog.expire(now);
     let mut update = Update {
         engine: a.addr.to_string(),
         delegate: a.id(),
@@ -25,7 +25,7 @@
         alive: a.alive || (a.kind == Kind::Delegate && !a.ended),
         ended: a.ended,
         epoch: a.cache.epoch,
-        tokens: a.ledger.unread().to_vec(),
+        tokens: a.backlog.unread_tokens().to_vec(),
         ..Update::default()
     };
     if let Some(r) = &a.report {
@@ -46,7 +46,7 @@
         _ => {}
     }
     if a.kind == Kind::Delegate {
-        update.unread = a.ledger.prompts();
+        update.unread = a.backlog.unread_prompts();
     }
     a.rollout.report(now, &mut update);
     // From its own order on, before the engine's report shows it.
--- a/crates/gate/src/agent/watch.rs
+++ b/crates/gate/src/agent/watch.rs
@@ -41,7 +41,7 @@
         if a.cache.epoch != before {
             // Another incarnation of the engine, which holds nothing of before.
             a.fresh.clear();
-            a.ledger.clear();
+            a.backlog.clear();
         }
         a.fresh.extend(changes);
     }
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -5,8 +5,8 @@
 
 use model::{Micros, Position};
 use platform::replica::Load;
+use policy::backlog::UnreadTokens;
 use policy::circuit_breaker::CircuitBreaker;
-use policy::ledger::Unread;
 use policy::loading::Left;
 use policy::misdirected::Marks;
 use policy::urgency;
@@ -48,7 +48,7 @@
     /// For how long it is expected to continue to load them since then, if it is loading.
     pub load: Option<Left>,
     /// Prompt tokens that it has yet to read, for all entries, by step of urgency.
-    pub unread_tokens: Unread,
+    pub unread_tokens: UnreadTokens,
 }
 
 impl Heard {
@@ -62,7 +62,7 @@
     /// What a sidecar's word says of its engine.
     pub(super) fn new(now: Micros, update: &Update, from: SocketAddr) -> Self {
         let time = |ms: u32| Micros::from_millis(ms.into());
-        let mut unread_tokens = Unread::default();
+        let mut unread_tokens = UnreadTokens::default();
         let told = unread_tokens.iter_mut().zip(&update.tokens);
         told.for_each(|(u, t)| *u = *t);
         Self {
@@ -184,7 +184,7 @@
     }
 
     /// Tokens yet to read with those sent after a time, which its sidecar hasn't counted yet.
-    pub fn unread_since(&self, mut told: Unread, from: Micros) -> Unread {
+    pub fn unread_since(&self, mut told: UnreadTokens, from: Micros) -> UnreadTokens {
         for (_, tokens) in self.recent.iter().rev().take_while(|(at, _)| *at >= from) {
             told[urgency::step(*tokens)] += tokens;
         }
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/backlog.rs
@@ -26,11 +26,11 @@
 const EXPIRY: Micros = Micros::from_secs(3);
 
 /// Tokens to read, by the step of urgency that their prompts have ([`crate::urgency::step`]).
-pub type Unread = [u32; STEPS];
+pub type UnreadTokens = [u32; STEPS];
 
 /// A prompt that is yet to be read.
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct UnreadPrompt {
     tokens: u32,
     step: usize,
     until: Micros,
@@ -38,16 +38,16 @@
 
 /// Prompts that an engine has yet to read, by a hash of their request's id.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    open: HashMap<u64, Open>,
-    unread: Unread,
+pub struct Backlog {
+    open: HashMap<u64, UnreadPrompt>,
+    unread: UnreadTokens,
 }
 
-impl Ledger {
+impl Backlog {
     /// Notes a prompt with some tokens to read.
-    pub fn sent(&mut self, now: Micros, request: u64, tokens: u32) {
-        self.remove(request);
-        let open = Open {
+    pub fn add(&mut self, now: Micros, request: u64, tokens: u32) {
+        self.take(request);
+        let open = UnreadPrompt {
             tokens,
             step: urgency::step(tokens),
             until: now + EXPIRY,
@@ -57,11 +57,11 @@
     }
 
     /// Notes that a prompt has been read or won't be.
-    pub fn read(&mut self, request: u64) {
-        self.remove(request);
+    pub fn remove(&mut self, request: u64) {
+        self.take(request);
     }
 
-    fn remove(&mut self, request: u64) -> Option<Open> {
+    fn take(&mut self, request: u64) -> Option<UnreadPrompt> {
         let open = self.open.remove(&request)?;
         let unread = &mut self.unread[open.step];
         *unread = unread.saturating_sub(open.tokens);
@@ -76,22 +76,22 @@
             .filter(|(_, o)| o.until <= now)
             .map(|(request, _)| *request)
             .collect();
-        late.into_iter().for_each(|r| self.read(r));
+        late.into_iter().for_each(|r| self.remove(r));
     }
 
     /// Forgets all, as when the engine has started again.
     pub fn clear(&mut self) {
         self.open.clear();
-        self.unread = Unread::default();
+        self.unread = UnreadTokens::default();
     }
 
     /// Prompts to read.
-    pub fn prompts(&self) -> u32 {
+    pub fn unread_prompts(&self) -> u32 {
         u32::try_from(self.open.len()).unwrap_or(u32::MAX)
     }
 
     /// Tokens to read.
-    pub fn unread(&self) -> Unread {
+    pub fn unread_tokens(&self) -> UnreadTokens {
         self.unread
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -25,6 +25,7 @@
 
 pub mod admit;
 pub mod apart;
+pub mod backlog;
 pub mod busy;
 pub mod circuit_breaker;
 pub mod concurrency;
@@ -37,7 +38,6 @@
 pub mod holder;
 pub mod lapse;
 pub mod lateness;
-pub mod ledger;
 pub mod limit;
 pub mod liveness;
 pub mod loading;
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -1,9 +1,9 @@
 //! Decisions of an entry that reaches targets without a sidecar, each under the load that it answers.
 
 use model::Micros;
+use policy::backlog::Backlog;
 use policy::circuit_breaker::{self, CircuitBreaker};
 use policy::lateness::{judge, Prospect, Verdict};
-use policy::ledger::Ledger;
 use policy::pace::{Pace, GUESS};
 use policy::readers::Readers;
 use policy::shared::Need;
@@ -146,24 +146,24 @@
 fn what_was_told_twice_late_or_never_again_doesn_t_count_for_good() {
     // Words about prompts are lost, repeated and come in any order. What an engine has yet to read
     // comes back to nothing all the same.
-    let mut ledger = Ledger::default();
-    ledger.sent(ms(0), 1, 500);
-    ledger.sent(ms(0), 1, 500);
-    ledger.sent(ms(0), 2, 4_000);
-    ledger.sent(ms(1_000), 3, 9_000);
-    assert_eq!(ledger.unread(), [500, 4_000, 9_000]);
-    ledger.read(2);
-    ledger.read(2);
-    ledger.read(99);
-    assert_eq!(ledger.unread(), [500, 0, 9_000]);
-    ledger.expire(ms(3_500));
+    let mut backlog = Backlog::default();
+    backlog.add(ms(0), 1, 500);
+    backlog.add(ms(0), 1, 500);
+    backlog.add(ms(0), 2, 4_000);
+    backlog.add(ms(1_000), 3, 9_000);
+    assert_eq!(backlog.unread_tokens(), [500, 4_000, 9_000]);
+    backlog.remove(2);
+    backlog.remove(2);
+    backlog.remove(99);
+    assert_eq!(backlog.unread_tokens(), [500, 0, 9_000]);
+    backlog.expire(ms(3_500));
     assert_eq!(
-        ledger.unread(),
+        backlog.unread_tokens(),
         [0, 0, 9_000],
         "the word of its end was lost"
     );
-    ledger.clear();
-    assert_eq!(ledger.unread(), [0, 0, 0]);
+    backlog.clear();
+    assert_eq!(backlog.unread_tokens(), [0, 0, 0]);
 }
 
 #[test]
