--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -30,7 +30,7 @@
 use model::Micros;
 use policy::pace::Pace;
 use policy::subscription::{self, Sidecar};
-use policy::{apart, shared};
+use policy::{length_partition, shared};
 use tokio::net::UdpSocket;
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout_at, Instant};
@@ -78,7 +78,7 @@
     /// Engines that this entry is the delegate of.
     delegates: RefCell<delegate::Delegates>,
     /// The work that prompts have brought of late.
-    work: RefCell<apart::Work>,
+    work: RefCell<length_partition::RecentWork>,
     /// How fast engines read, by pool.
     paces: RefCell<HashMap<String, Pace>>,
     /// Receives and sends updates.
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use model::Micros;
-use policy::apart;
 use policy::lateness::{self, Prospect, Verdict};
+use policy::length_partition;
 use policy::quarantine::Verdict::Suspect;
 use policy::ttft_placement::{self, Sources};
 use policy::versions;
@@ -112,7 +112,8 @@
         .map(|r| scope(r).map_or(0, |s| r.will_hold(now, s.key(), prompt.shared())));
     let missing = prompt.shared_tokens() - known.max().unwrap_or_default();
     let suffers = plan.routes_to(&job.pool).any(|route| {
-        route.mode.streams() && apart::suffers(engine.stride, route.gap.as_secs_f64() * 1e3)
+        route.mode.streams()
+            && length_partition::stalls_streams(engine.stride, route.gap.as_secs_f64() * 1e3)
     });
     let read = ctx.pace(&job.pool, |p| p.read());
     let view = View {
@@ -200,7 +201,12 @@
 }
 
 /// The engines of a pool that are for long prompts, in an order that all entries see.
-fn long(fleet: &Fleet, work: &apart::Work, pool: &str, suffers: bool) -> Option<HashSet<String>> {
+fn long(
+    fleet: &Fleet,
+    work: &length_partition::RecentWork,
+    pool: &str,
+    suffers: bool,
+) -> Option<HashSet<String>> {
     if !suffers {
         return None;
     }
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use model::Micros;
-use policy::apart;
+use policy::length_partition;
 use policy::outlook::{self, Load};
 use policy::ttft_placement::{Candidate, Source, Sources};
 use policy::urgency;
@@ -47,7 +47,7 @@
         let near = r.target.domain == self.domain;
         let far = if near { 0.0 } else { FAR };
         let apart = self.long.as_ref().map_or(0.0, |long| {
-            apart::cost(self.prompt.input, long.contains(&r.target.boot.id))
+            length_partition::mismatch_cost(self.prompt.input, long.contains(&r.target.boot.id))
         });
         let load = self.load(r, self.prompt.input.saturating_sub(held));
         let version = r.weights.get(&self.prompt.model);
--- a/crates/policy/src/apart.rs
+++ b/crates/policy/src/length_partition.rs
@@ -21,38 +21,38 @@
 use model::Micros;
 
 /// Tokens from which a prompt is long.
-const LONG: u32 = 2_500;
+const LONG_PROMPT: u32 = 2_500;
 /// Milliseconds that a short prompt's answer takes of an engine beyond its reading.
-const ANSWER: f64 = 10.0;
+const ANSWER_WORK: f64 = 10.0;
 /// Time over which work is averaged.
-const MEMORY: Micros = Micros::from_secs(5);
-/// Work of each kind in milliseconds that is believed before any has been seen.
+const AVERAGING_TIME: Micros = Micros::from_secs(5);
+/// RecentWork of each kind in milliseconds that is believed before any has been seen.
 const PRIOR: f64 = 100.0;
 /// Milliseconds that a long prompt costs at an engine for short ones.
-const LONG_APART: f64 = 150.0;
+const LONG_MISMATCH: f64 = 150.0;
 /// Milliseconds that a short prompt costs at an engine for long ones.
-const SHORT_APART: f64 = 80.0;
+const SHORT_MISMATCH: f64 = 80.0;
 
 /// Milliseconds between two tokens while an engine reads: a piece of 2,048 tokens and a step.
-const TOKEN: f64 = 55.0;
+const TOKEN_INTERVAL: f64 = 55.0;
 /// Part of the longest good pause that an event may take beside reading.
-const BEARABLE: f64 = 0.8;
+const PAUSE_SHARE: f64 = 0.8;
 
 /// Whether streams whose events hold some tokens suffer beside reading, given their longest good
 /// pause in milliseconds.
-pub fn suffers(tokens: u32, pause: f64) -> bool {
-    pause > 0.0 && f64::from(tokens) * TOKEN > pause * BEARABLE
+pub fn stalls_streams(tokens: u32, pause: f64) -> bool {
+    pause > 0.0 && f64::from(tokens) * TOKEN_INTERVAL > pause * PAUSE_SHARE
 }
 
 /// The work that prompts of both kinds have brought of late.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct RecentWork {
     long: f64,
     short: f64,
     at: Micros,
 }
 
-impl Default for Work {
+impl Default for RecentWork {
     fn default() -> Self {
         Self {
             long: PRIOR,
@@ -62,16 +62,16 @@
     }
 }
 
-impl Work {
+impl RecentWork {
     /// Notes a prompt of some tokens and the milliseconds that reading it takes.
     pub fn add(&mut self, now: Micros, prompt: u32, reading: f64) {
-        let keep = (-now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64()).exp();
+        let keep = (-now.since(self.at).as_secs_f64() / AVERAGING_TIME.as_secs_f64()).exp();
         self.at = now;
         self.long *= keep;
         self.short *= keep;
         match is_long(prompt) {
             true => self.long += reading,
-            false => self.short += reading + ANSWER,
+            false => self.short += reading + ANSWER_WORK,
         }
     }
 
@@ -85,14 +85,14 @@
 
 /// Whether a prompt of some tokens is long.
 pub fn is_long(prompt: u32) -> bool {
-    prompt >= LONG
+    prompt >= LONG_PROMPT
 }
 
 /// Milliseconds that a prompt costs at an engine beyond its work.
-pub fn cost(prompt: u32, engine_long: bool) -> f64 {
+pub fn mismatch_cost(prompt: u32, engine_long: bool) -> f64 {
     match (is_long(prompt), engine_long) {
-        (true, false) => LONG_APART,
-        (false, true) => SHORT_APART,
+        (true, false) => LONG_MISMATCH,
+        (false, true) => SHORT_MISMATCH,
         _ => 0.0,
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -24,7 +24,6 @@
 //! memories that placement needs at either side.
 
 pub mod admit;
-pub mod apart;
 pub mod backlog;
 pub mod busy;
 pub mod circuit_breaker;
@@ -38,6 +37,7 @@
 pub mod holder;
 pub mod lapse;
 pub mod lateness;
+pub mod length_partition;
 pub mod limit;
 pub mod liveness;
 pub mod loading;
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -8,7 +8,7 @@
 use policy::readers::Readers;
 use policy::shared::Need;
 use policy::versions::Versions;
-use policy::{apart, shared, urgency};
+use policy::{length_partition, shared, urgency};
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
@@ -300,7 +300,7 @@
 fn engines_are_dealt_out_by_the_work_of_both_kinds() {
     // Long prompts bring two thirds of the work, then nearly none. The engines kept for them follow
     // within seconds; each kind always has one, unless there is but one engine.
-    let mut work = apart::Work::default();
+    let mut work = length_partition::RecentWork::default();
     for n in 0..2_000 {
         let now = ms(n * 10);
         match n % 4 {
@@ -316,10 +316,21 @@
     assert_eq!(work.long_engines(9), 1);
     assert_eq!(work.long_engines(1), 1);
     assert_eq!(work.long_engines(0), 0);
-    assert!(apart::cost(9_000, false) > 0.0 && apart::cost(9_000, true) == 0.0);
-    assert!(apart::cost(800, true) > 0.0 && apart::cost(800, false) == 0.0);
-    assert!(apart::suffers(8, 500.0) && !apart::suffers(4, 300.0));
-    assert!(!apart::suffers(8, 0.0), "no pause is named");
+    assert!(
+        length_partition::mismatch_cost(9_000, false) > 0.0
+            && length_partition::mismatch_cost(9_000, true) == 0.0
+    );
+    assert!(
+        length_partition::mismatch_cost(800, true) > 0.0
+            && length_partition::mismatch_cost(800, false) == 0.0
+    );
+    assert!(
+        length_partition::stalls_streams(8, 500.0) && !length_partition::stalls_streams(4, 300.0)
+    );
+    assert!(
+        !length_partition::stalls_streams(8, 0.0),
+        "no pause is named"
+    );
 }
 
 #[test]
