--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -116,7 +116,11 @@
     /// request or two to the former one and took what the sidecar told of the new one for the former's.
     fn supersede(&mut self) {
         let mut latest: HashMap<SocketAddr, Position> = HashMap::new();
-        for r in self.replicas.values().filter(|r| !r.misdirected.marked()) {
+        for r in self
+            .replicas
+            .values()
+            .filter(|r| !r.misdirected.is_excluded())
+        {
             let heard = latest.entry(r.target.addr).or_default();
             *heard = r.target.renewed.max(*heard);
         }
@@ -277,7 +281,7 @@
     /// more; each request sent there would be refused and cost a retry.
     pub fn replaced(&mut self, now: Micros, key: Key) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.misdirected.mark(now);
+            replica.misdirected.exclude(now);
             replica.idle.clear();
             left_out(replica, "another target has its address");
         }
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -8,7 +8,7 @@
 use policy::backlog::UnreadTokens;
 use policy::circuit_breaker::CircuitBreaker;
 use policy::loading::Left;
-use policy::misdirected::Marks;
+use policy::misdirected::Exclusion;
 use policy::urgency;
 use site::{Part, PartId, Target};
 
@@ -116,7 +116,7 @@
     /// Until when it is kept though the list lacks it.
     pub(super) missing: Option<Micros>,
     /// Whether another target has answered at its address.
-    pub misdirected: Marks,
+    pub misdirected: Exclusion,
     /// Position of its last heartbeat when its sidecar found that its process had ended.
     pub(super) over: Option<Position>,
     /// Whether the list names another target at its address that was heard later.
@@ -143,7 +143,7 @@
             expected: HashMap::new(),
             breaker: CircuitBreaker::default(),
             missing: None,
-            misdirected: Marks::default(),
+            misdirected: Exclusion::default(),
             over: None,
             superseded: false,
             epoch: 0,
@@ -154,7 +154,7 @@
     /// Whether it is, as far as known, what listens at its address.
     pub fn there(&self, now: Micros) -> bool {
         let kept = self.missing.is_none_or(|until| now < until);
-        kept && !self.misdirected.marked() && !self.superseded && self.over.is_none()
+        kept && !self.misdirected.is_excluded() && !self.superseded && self.over.is_none()
     }
 
     /// Tokens at the beginning of a prompt that it holds under a scope.
--- a/crates/policy/src/misdirected.rs
+++ b/crates/policy/src/misdirected.rs
@@ -1,7 +1,7 @@
 //! How long a target is left alone after another one has answered at its address.
 //!
 //! Load pattern: a target's process has ended, another one has taken its address, and the list names both
-//! for some seconds. Each request to the former is refused there and costs a retry, so it is marked and not
+//! for some seconds. Each request to the former is refused there and costs a retry, so it is active and not
 //! used. The mark may be wrong: a refusal that another host's restart or a wrong row brought about. If it
 //! held until the row goes, an entry would never use that target again while it lives.
 //!
@@ -10,37 +10,37 @@
 
 use model::{Micros, Position};
 
-/// Marks beyond which the number of renewals doesn't grow.
-const MOST: u32 = 6;
+/// Exclusion beyond which the number of renewals doesn't grow.
+const MAX_DOUBLINGS: u32 = 6;
 
-/// Marks of one target.
+/// Exclusion of one target.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Marks {
-    marked: Option<Mark>,
-    /// Marks so far.
+pub struct Exclusion {
+    active: Option<Active>,
+    /// Exclusion so far.
     count: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct Active {
     at: Micros,
     /// Position of the row in the last list that was read after the mark.
     row: Option<Position>,
     renewals: u32,
 }
 
-impl Marks {
-    /// Whether the target is marked.
-    pub fn marked(&self) -> bool {
-        self.marked.is_some()
+impl Exclusion {
+    /// Whether the target is active.
+    pub fn is_excluded(&self) -> bool {
+        self.active.is_some()
     }
 
     /// Notes that another target has answered at its address.
-    pub fn mark(&mut self, now: Micros) {
-        if self.marked.is_none() {
+    pub fn exclude(&mut self, now: Micros) {
+        if self.active.is_none() {
             self.count += 1;
         }
-        self.marked = Some(Mark {
+        self.active = Some(Active {
             at: now,
             row: None,
             renewals: 0,
@@ -50,15 +50,15 @@
     /// Takes over the position of the target's row in a list that was read at a time; true if that ends a
     /// mark.
     pub fn listed(&mut self, read: Micros, row: Position) -> bool {
-        let Some(mark) = self.marked.as_mut().filter(|m| read > m.at) else {
+        let Some(active) = self.active.as_mut().filter(|m| read > m.at) else {
             return false;
         };
         // The first list after the mark may have a renewal from before it.
-        mark.renewals += u32::from(mark.row.is_some_and(|r| row > r));
-        mark.row = Some(row);
-        let ends = mark.renewals >= 1 << self.count.saturating_sub(1).min(MOST);
+        active.renewals += u32::from(active.row.is_some_and(|r| row > r));
+        active.row = Some(row);
+        let ends = active.renewals >= 1 << self.count.saturating_sub(1).min(MAX_DOUBLINGS);
         if ends {
-            self.marked = None;
+            self.active = None;
         }
         ends
     }
