--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -146,7 +146,7 @@
     let choice = ttft_placement::choose(prompt.input, candidates).ok_or(Reason::NoTarget)?;
     let prospect = Prospect {
         wait: choice.wait,
-        own: (choice.time - choice.wait).max(0.0),
+        own: (choice.ttft - choice.wait).max(0.0),
         aim: job.route.aim.as_secs_f64() * 1e3,
         left: job.left(now).as_secs_f64() * 1e3,
     };
@@ -175,10 +175,10 @@
         weights: r.weights.get(&prompt.model).copied(),
         scope,
         held,
-        cold: choice.read.saturating_sub(own),
-        read: choice.read,
+        cold: choice.prefill_tokens.saturating_sub(own),
+        read: choice.prefill_tokens,
         idle: choice.fetch.is_none() && choice.wait <= IDLE,
-        estimate: choice.time,
+        estimate: choice.ttft,
         age: r.heard.map(|h| now.since(h.at)),
     })
 }
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -57,12 +57,12 @@
             addr: r.target.addr,
             domain: domain_key(&r.target.domain),
             wait: load.wait(self.prompt.input + self.prompt.output, self.read),
-            read: self.read,
+            prefill_per_token: self.read,
             held,
-            room: self.read * ROOM,
-            way: far,
-            bias: apart + self.order(r),
-            doubt: doubt(r, self.now) * outlook::weights(outdated),
+            eviction_cost: self.read * ROOM,
+            network_delay: far,
+            penalty: apart + self.order(r),
+            cost_factor: doubt(r, self.now) * outlook::weights(outdated),
         }
     }
 
@@ -124,9 +124,9 @@
             addr: o.target.addr,
             domain: domain_key(&o.target.domain),
             held: o.holds(scope, parts),
-            soon: o.will_hold(self.now, scope, parts),
-            rate: rate(self.engine.link),
-            setup: SETUP,
+            held_soon: o.will_hold(self.now, scope, parts),
+            fetch_per_token: rate(self.engine.link),
+            fetch_setup: SETUP,
         });
         let kept = plan.kept().iter().filter_map(|k| {
             let held = holds(&fleet.kept.get(&k.addr)?.held, scope, parts);
@@ -134,9 +134,9 @@
                 addr: k.addr,
                 domain: domain_key(&k.domain),
                 held,
-                soon: held,
-                rate: rate(k.link),
-                setup: SETUP,
+                held_soon: held,
+                fetch_per_token: rate(k.link),
+                fetch_setup: SETUP,
             })
         });
         Sources::new(engines.chain(kept))
--- a/crates/policy/src/ttft_placement.rs
+++ b/crates/policy/src/ttft_placement.rs
@@ -25,9 +25,9 @@
 //! an opening only the best few of each failure domain are weighed: the rest would take as long.
 
 /// How much longer a move between failure domains takes.
-const FAR_MOVE: f64 = 2.0;
+const CROSS_DOMAIN_FACTOR: f64 = 2.0;
 /// Holders weighed in each failure domain: the best one, and another should that be the candidate.
-const WEIGHED: usize = 2;
+const PER_DOMAIN: usize = 2;
 
 /// What one engine would take.
 #[derive(Clone, Copy, Debug)]
@@ -41,18 +41,18 @@
     /// Milliseconds until it begins to read, for what runs and waits there.
     pub wait: f64,
     /// Milliseconds to read a token.
-    pub read: f64,
+    pub prefill_per_token: f64,
     /// Tokens of the prompt that it holds.
     pub held: u32,
     /// Milliseconds for each token that it doesn't hold yet, for what has to yield there.
-    pub room: f64,
+    pub eviction_cost: f64,
     /// Milliseconds that the way takes.
-    pub way: f64,
+    pub network_delay: f64,
     /// Milliseconds that count against it, though nobody waits for them: its place in the prompt's own
     /// order of engines.
-    pub bias: f64,
+    pub penalty: f64,
     /// Factor for engines that have failed of late, or whose answers are worth less.
-    pub doubt: f64,
+    pub cost_factor: f64,
 }
 
 /// Who holds a part of the prompt.
@@ -65,11 +65,11 @@
     /// Tokens of the prompt that it holds.
     pub held: u32,
     /// Tokens that it will hold once it has done what it has to do already.
-    pub soon: u32,
+    pub held_soon: u32,
     /// Milliseconds to move a token within a failure domain.
-    pub rate: f64,
+    pub fetch_per_token: f64,
     /// Milliseconds before the first one moves.
-    pub setup: f64,
+    pub fetch_setup: f64,
 }
 
 /// The sources that are worth weighing.
@@ -89,13 +89,13 @@
         };
         for s in all {
             keep(&mut sources.held, s, |s| s.held);
-            keep(&mut sources.soon, s, |s| s.soon);
+            keep(&mut sources.soon, s, |s| s.held_soon);
         }
         sources
     }
 
     /// How many sources each candidate is weighed against.
-    pub fn weighed(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.held.len() + self.soon.len()
     }
 }
@@ -109,8 +109,8 @@
     let worst = kept.iter_mut().filter(|s| s.domain == new.domain).rev();
     let worst = worst.min_by_key(|s| tokens(s));
     match worst {
-        Some(w) if same >= WEIGHED && tokens(w) < tokens(&new) => *w = new,
-        Some(_) if same >= WEIGHED => {}
+        Some(w) if same >= PER_DOMAIN && tokens(w) < tokens(&new) => *w = new,
+        Some(_) if same >= PER_DOMAIN => {}
         _ => kept.push(new),
     }
 }
@@ -125,11 +125,11 @@
     /// What it was chosen by: the time until the first token and all that counts against the engine.
     pub cost: f64,
     /// Milliseconds until the first token, as far as known.
-    pub time: f64,
+    pub ttft: f64,
     /// Milliseconds of that until it begins to read.
     pub wait: f64,
     /// Tokens that it reads.
-    pub read: u32,
+    pub prefill_tokens: u32,
 }
 
 /// The least cost for a prompt of some tokens; of equals the first, so that callers who turn the
@@ -138,11 +138,11 @@
     tokens: u32,
     candidates: impl IntoIterator<Item = (Candidate<K, A>, &'a Sources<A>)>,
 ) -> Option<Choice<K, A>> {
-    let choices = candidates.into_iter().map(|(c, s)| at(tokens, c, s));
+    let choices = candidates.into_iter().map(|(c, s)| evaluate(tokens, c, s));
     choices.min_by(|a, b| a.cost.total_cmp(&b.cost))
 }
 
-fn at<K: Copy, A: Copy + PartialEq>(
+fn evaluate<K: Copy, A: Copy + PartialEq>(
     tokens: u32,
     c: Candidate<K, A>,
     sources: &Sources<A>,
@@ -151,39 +151,48 @@
     let mut best = Choice {
         key: c.key,
         fetch: None,
-        cost: f64::from(missing) * c.read,
-        time: 0.0,
+        cost: f64::from(missing) * c.prefill_per_token,
+        ttft: 0.0,
         wait: c.wait,
-        read: missing,
+        prefill_tokens: missing,
     };
     for s in sources.held.iter().filter(|s| s.addr != c.addr) {
         let moved = s.held.saturating_sub(c.held);
-        let read = missing - moved.min(missing);
-        let far = if s.domain == c.domain { 1.0 } else { FAR_MOVE };
-        let cost = s.setup + f64::from(moved) * s.rate * far + f64::from(read) * c.read;
+        let prefill_tokens = missing - moved.min(missing);
+        let far = if s.domain == c.domain {
+            1.0
+        } else {
+            CROSS_DOMAIN_FACTOR
+        };
+        let cost = s.fetch_setup
+            + f64::from(moved) * s.fetch_per_token * far
+            + f64::from(prefill_tokens) * c.prefill_per_token;
         if moved > 0 && cost < best.cost {
             best = Choice {
                 fetch: Some(s.addr),
                 cost,
-                read,
+                prefill_tokens,
                 ..best
             };
         }
     }
-    let time = best.cost + c.wait + c.way;
-    let room = f64::from(missing) * c.room;
+    let ttft = best.cost + c.wait + c.network_delay;
+    let eviction = f64::from(missing) * c.eviction_cost;
     Choice {
-        fetch: best.fetch.or_else(|| hope(&c, sources)),
-        cost: (time + room + c.bias) * c.doubt,
-        time,
+        fetch: best.fetch.or_else(|| likely_source(&c, sources)),
+        cost: (ttft + eviction + c.penalty) * c.cost_factor,
+        ttft,
         ..best
     }
 }
 
 /// Who may hold more than a candidate by the time that its turn to read comes.
-fn hope<K: Copy, A: Copy + PartialEq>(c: &Candidate<K, A>, sources: &Sources<A>) -> Option<A> {
+fn likely_source<K: Copy, A: Copy + PartialEq>(
+    c: &Candidate<K, A>,
+    sources: &Sources<A>,
+) -> Option<A> {
     let others = sources.soon.iter().filter(|s| s.addr != c.addr);
-    let more = others.filter(|s| s.soon > c.held);
-    let best = more.max_by_key(|s| (s.soon, s.domain == c.domain))?;
+    let more = others.filter(|s| s.held_soon > c.held);
+    let best = more.max_by_key(|s| (s.held_soon, s.domain == c.domain))?;
     Some(best.addr)
 }
--- a/crates/policy/tests/outlook.rs
+++ b/crates/policy/tests/outlook.rs
@@ -44,12 +44,12 @@
                 addr: i,
                 domain: 0,
                 wait: load.wait(PROMPT, READ),
-                read: READ,
+                prefill_per_token: READ,
                 held: if i == 0 { OPENING } else { 0 },
-                room: READ * 0.8,
-                way: 0.0,
-                bias: 0.0,
-                doubt: 1.0,
+                eviction_cost: READ * 0.8,
+                network_delay: 0.0,
+                penalty: 0.0,
+                cost_factor: 1.0,
             };
             (candidate, &sources)
         };
--- a/crates/policy/tests/ttft_placement.rs
+++ b/crates/policy/tests/ttft_placement.rs
@@ -4,24 +4,24 @@
 use policy::ttft_placement::{choose, Candidate, Choice, Source, Sources};
 
 /// Milliseconds to read a token.
-const READ: f64 = 0.02;
+const PREFILL: f64 = 0.02;
 /// Milliseconds to move a token between engines.
-const MOVE: f64 = 0.001;
+const FETCH: f64 = 0.001;
 
 #[derive(Clone, Copy)]
 struct Engine {
     wait: f64,
     held: u32,
-    soon: u32,
-    doubt: f64,
+    held_soon: u32,
+    cost_factor: f64,
 }
 
 fn engine(wait: f64, held: u32) -> Engine {
     Engine {
         wait,
         held,
-        soon: held,
-        doubt: 1.0,
+        held_soon: held,
+        cost_factor: 1.0,
     }
 }
 
@@ -31,12 +31,12 @@
         addr: key,
         domain: 0,
         wait: e.wait,
-        read: READ,
-        held: e.soon,
-        room,
-        way: 0.0,
-        bias: 0.0,
-        doubt: e.doubt,
+        prefill_per_token: PREFILL,
+        held: e.held_soon,
+        eviction_cost: room,
+        network_delay: 0.0,
+        penalty: 0.0,
+        cost_factor: e.cost_factor,
     }
 }
 
@@ -45,9 +45,9 @@
         addr,
         domain: 0,
         held: e.held,
-        soon: e.soon,
-        rate: MOVE,
-        setup: 2.0,
+        held_soon: e.held_soon,
+        fetch_per_token: FETCH,
+        fetch_setup: 2.0,
     }
 }
 
@@ -68,7 +68,7 @@
         engines: [Engine; 3],
         key: usize,
         fetch: Option<usize>,
-        read: u32,
+        prefill_tokens: u32,
     }
     let cases = [
         Case {
@@ -76,41 +76,41 @@
             engines: [engine(30.0, 0), engine(5.0, 0), engine(20.0, 0)],
             key: 1,
             fetch: None,
-            read: 7_000,
+            prefill_tokens: 7_000,
         },
         Case {
             name: "the holder is idle",
             engines: [engine(0.0, 6_000), engine(0.0, 0), engine(0.0, 0)],
             key: 0,
             fetch: None,
-            read: 1_000,
+            prefill_tokens: 1_000,
         },
         Case {
             name: "the holder is a little busier than fetching is long",
             engines: [engine(20.0, 6_000), engine(0.0, 0), engine(50.0, 0)],
             key: 1,
             fetch: Some(0),
-            read: 1_000,
+            prefill_tokens: 1_000,
         },
         Case {
             name: "the holder is busy, but less so than fetching is long",
             engines: [engine(6.0, 6_000), engine(0.0, 0), engine(0.0, 0)],
             key: 0,
             fetch: None,
-            read: 1_000,
+            prefill_tokens: 1_000,
         },
         Case {
             name: "a part is held here, the rest elsewhere",
             engines: [engine(90.0, 6_000), engine(0.0, 2_500), engine(0.0, 0)],
             key: 1,
             fetch: Some(0),
-            read: 1_000,
+            prefill_tokens: 1_000,
         },
         Case {
             name: "the one that is about to hold it is busy: the next asks it",
             engines: [
                 Engine {
-                    soon: 6_000,
+                    held_soon: 6_000,
                     ..engine(300.0, 0)
                 },
                 engine(0.0, 0),
@@ -118,13 +118,13 @@
             ],
             key: 1,
             fetch: Some(0),
-            read: 7_000,
+            prefill_tokens: 7_000,
         },
         Case {
             name: "an engine that fails is worth less than a busy one",
             engines: [
                 Engine {
-                    doubt: 10.0,
+                    cost_factor: 10.0,
                     ..engine(0.0, 6_000)
                 },
                 engine(15.0, 6_000),
@@ -132,13 +132,13 @@
             ],
             key: 1,
             fetch: None,
-            read: 1_000,
+            prefill_tokens: 1_000,
         },
     ];
     for c in cases {
         let choice = chosen(&c.engines, 0.0);
-        let got = (choice.key, choice.fetch, choice.read);
-        assert_eq!(got, (c.key, c.fetch, c.read), "{}", c.name);
+        let got = (choice.key, choice.fetch, choice.prefill_tokens);
+        assert_eq!(got, (c.key, c.fetch, c.prefill_tokens), "{}", c.name);
     }
 }
 
@@ -147,7 +147,7 @@
     // Thirty subjects are asked for in turn on three engines that are never equally busy. Without a
     // price of room nearly each request moves its opening to another engine, where something else has
     // to yield for it; with it, openings settle.
-    let moves = |room: f64| {
+    let count_moves = |room: f64| {
         let mut held = [[0u32; 3]; 30];
         let mut moved = 0;
         for n in 0..900usize {
@@ -166,7 +166,7 @@
         }
         moved
     };
-    let (without, with) = (moves(0.0), moves(READ * 0.8));
+    let (without, with) = (count_moves(0.0), count_moves(PREFILL * 0.8));
     assert!(with * 4 < without, "{without} moves without, {with} with");
 }
 
@@ -233,11 +233,11 @@
         Case { name: "no memory left", load: Load { used: 95_000, ..idle }, least: 300.0 },
     ];
     assert!(
-        idle.wait(9_000, READ).abs() < 1e-9,
+        idle.wait(9_000, PREFILL).abs() < 1e-9,
         "an idle engine makes wait"
     );
     for c in cases {
-        let wait = c.load.wait(9_000, READ);
+        let wait = c.load.wait(9_000, PREFILL);
         assert!(wait >= c.least, "{}: {wait}", c.name);
     }
     let old = Some(model::Micros::from_secs(2));
@@ -248,7 +248,7 @@
 
 #[test]
 fn of_many_holders_a_few_are_weighed() {
-    // The largest fleet has 830 engines, and an entry has a tenth of a core. Were each engine weighed
+    // The largest fleet has 830 engines, and an entry has a tenth of a core. Were each engine compared
     // against each holder, one choice would take milliseconds.
     let engines: Vec<_> = (0..830u32)
         .map(|i| engine(f64::from(i % 17), if i % 3 == 0 { 6_000 } else { 0 }))
@@ -258,15 +258,15 @@
         domain: i as u64 % domains,
         ..source(i, e)
     });
-    let weighed = Sources::new(all).weighed();
+    let compared = Sources::new(all).count();
     assert!(
-        weighed <= 4 * domains as usize,
-        "{weighed} holders are weighed"
+        compared <= 4 * domains as usize,
+        "{compared} holders are compared"
     );
     let began = std::time::Instant::now();
     let rounds = 200;
     for _ in 0..rounds {
-        std::hint::black_box(chosen(&engines, READ * 0.8));
+        std::hint::black_box(chosen(&engines, PREFILL * 0.8));
     }
     println!("a choice among 830 engines: {:?}", began.elapsed() / rounds);
 }
