--- a/crates/daemon/src/entry/ours.rs
+++ b/crates/daemon/src/entry/ours.rs
@@ -60,11 +60,11 @@
     want: &Wanted,
     marks: &Marks,
     peers: &[Peer],
-) -> probe_placement::Ask {
+) -> probe_placement::PlacementRequest {
     let recent = &mut cx.memory.lock().recent;
     let share = recent.share(&want.chain);
     recent.seen(&want.chain);
-    probe_placement::Ask {
+    probe_placement::PlacementRequest {
         class: want.class,
         home: probe_placement::home(&want.chain, peers),
         blocks: marks.blocks(),
@@ -80,7 +80,7 @@
     unasked: &[Peer],
 ) -> Vec<TargetKey> {
     let m = &mut *cx.memory.lock();
-    probe_placement::candidates(config, &want.chain, unasked, &m.recent, &mut m.rng)
+    probe_placement::replicas_to_probe(config, &want.chain, unasked, &m.recent, &mut m.rng)
 }
 
 /// What rounds of probes without a choice told.
@@ -122,7 +122,7 @@
         if self.open.is_empty() {
             return Err(failure(Code::NoTarget, Some(PAUSE)));
         }
-        let order = probe_placement::fallback(&want.chain, &self.open);
+        let order = probe_placement::rendezvous_order(&want.chain, &self.open);
         Ok(unprobed_all(view, order))
     }
 }
--- a/crates/policy/examples/decide.rs
+++ b/crates/policy/examples/decide.rs
@@ -4,7 +4,9 @@
 use std::time::Instant;
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
-use policy::probe_placement::{candidates, choose, home, Ask, Config, Offer, Peer, State};
+use policy::probe_placement::{
+    choose, home, replicas_to_probe, Config, Offer, Peer, PlacementRequest, State,
+};
 use policy::recent::{self, Recent};
 use prefix::Marks;
 use rand::rngs::SmallRng;
@@ -46,17 +48,17 @@
     let start = Instant::now();
     for i in 0..ROUNDS {
         let chain = &chains[i % chains.len()];
-        let asked = candidates(&config, chain, &peers, &recent, &mut rng);
+        let asked = replicas_to_probe(&config, chain, &peers, &recent, &mut rng);
         black_box(Marks::new(chain));
         let offers: Vec<Offer> = asked.iter().map(|t| offer(*t, &mut rng)).collect();
         let heat = recent.share(chain) * replicas as f64;
-        let ask = Ask {
+        let request = PlacementRequest {
             class: Class::Call,
             blocks: PROMPT as u32,
             heat,
             home: home(chain, &peers),
         };
-        let choices = choose(&config, &ask, &offers, |_| Micros(100));
+        let choices = choose(&config, &request, &offers, |_| Micros(100));
         recent.seen(chain);
         recent.used(chain, choices[0].target);
     }
--- a/crates/policy/examples/replay/main.rs
+++ b/crates/policy/examples/replay/main.rs
@@ -73,7 +73,7 @@
             setup.speed = unit * load;
             if let Some(u) = options.get("urgency") {
                 let u: f64 = u.parse().ok()?;
-                setup.place.urgency = [1.0, u, u * u];
+                setup.place.class_weights = [1.0, u, u * u];
             }
             if let Some(probes) = options.get("probes") {
                 setup.place.probes = probes.parse().ok()?;
@@ -85,13 +85,13 @@
                 setup.loss = loss.parse().ok()?;
             }
             if let Some(away) = options.get("away") {
-                setup.place.away = away.parse().ok()?;
+                setup.place.off_home_share = away.parse().ok()?;
             }
             if let Some(most) = options.get("most") {
-                setup.place.most = most.parse().ok()?;
+                setup.place.max_load_factor = most.parse().ok()?;
             }
             if let Some(evict) = options.get("evict") {
-                setup.place.evict = evict.parse().ok()?;
+                setup.place.eviction_weight = evict.parse().ok()?;
             }
             match options.get("order").copied() {
                 Some("ours") => setup.order = Order::Ours,
--- a/crates/policy/examples/replay/sim/run.rs
+++ b/crates/policy/examples/replay/sim/run.rs
@@ -8,7 +8,7 @@
 
 use model::{BlockHash, Class, Micros, TargetKey, TeamKey};
 use policy::health::{self, Use};
-use policy::probe_placement::{self, candidates, choose, Offer, Peer};
+use policy::probe_placement::{self, choose, replicas_to_probe, Offer, Peer};
 use prefix::{levels, rank, Event, Marks, Need};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -211,7 +211,7 @@
         let usable = |p: &&Peer| entry.health.usable(now, p.target) != Use::Out;
         let peers: Vec<Peer> = entry.peers.iter().filter(usable).copied().collect();
         let chain = &self.live[i].prompt.chain;
-        let chosen = candidates(
+        let chosen = replicas_to_probe(
             &self.setup.place,
             chain,
             &peers,
@@ -253,7 +253,7 @@
             }
         }
         let share = self.entries[entry].recent.share(&prompt.chain);
-        let place = probe_placement::Ask {
+        let request = probe_placement::PlacementRequest {
             class: ask.class,
             blocks: ask.blocks,
             heat: share * self.setup.replicas as f64,
@@ -261,7 +261,7 @@
         };
         self.entries[entry].recent.seen(&prompt.chain);
         let way = |t| self.way(entry, self.replica(t));
-        let choices = choose(&self.setup.place, &place, &offers, way);
+        let choices = choose(&self.setup.place, &request, &offers, way);
         let least = offers.iter().map(|o| o.prefill).min().unwrap_or_default();
         if let Some(best) = choices.first() {
             let told = offers.iter().find(|o| o.target == best.target);
--- a/crates/policy/src/probe_placement.rs
+++ b/crates/policy/src/probe_placement.rs
@@ -18,7 +18,7 @@
 //! one replica's part of the traffic: such a copy is used as often as it is needed, and without
 //! it the callers of a suddenly hot prefix wait for its one holder.
 //!
-//! Grounds: whom to ask. The replica that this entry used last for the longest known prefix holds
+//! Grounds: whom to request. The replica that this entry used last for the longest known prefix holds
 //! it most probably. The first in rendezvous order of the deep level are the same at every entry,
 //! so that one without a memory, such as one just restarted, finds the copies that others have
 //! had made; ranks of the middle levels or replicas drawn at random in their place made copies
@@ -32,11 +32,11 @@
 use crate::recent::Recent;
 
 /// Replicas of the rendezvous order that may be asked.
-const RANKS: usize = 4;
+const RENDEZVOUS_RANKS: usize = 4;
 /// Replicas asked at least, drawn from those not yet chosen if the prompt has no cached levels. Were
 /// they drawn from all, the same one could come up again, and a request would be refused if that
 /// one just loads its weights.
-const DRAWN: usize = 2;
+const MIN_PROBES: usize = 2;
 
 /// How replicas are chosen.
 #[derive(Clone, Copy, Debug)]
@@ -44,39 +44,39 @@
     /// Most replicas asked for one request; 4.
     pub probes: usize,
     /// The drawn replica is asked if its wait is less than that of all others over this; 8.
-    pub escape: u64,
+    pub drawn_wait_ratio: u64,
     /// How many of them may come from the memory of recent use; 1. With 2, the second was most
     /// often a copy already evicted.
     pub recent: usize,
     /// What a recomputed block counts for at an idle replica; 2, for the block itself and for the
     /// one that it evicts. With 1 the replay's goodput at twice the load is lower, with 3 a moderate
     /// load waits longer.
-    pub evict: f64,
+    pub eviction_weight: f64,
     /// What a class's own waiting counts for, against the others' delay; 1 for calls, 0.5 for
     /// normal, 0.25 for batch, which nobody waits for.
-    pub urgency: [f64; 3],
+    pub class_weights: [f64; 3],
     /// The part of the prompt that counts as missing anywhere but at its home; 0.05. A prefix that
     /// was evicted everywhere is so computed at the same replica again, above all under load,
     /// and the prefixes of a replica stay few enough for its cache.
-    pub away: f64,
+    pub off_home_share: f64,
     /// The mean use from which a full replica keeps out copies of what it holds; 0.8. Below it
     /// there is room for them, and a refusal would be for nothing.
-    pub crowded: f64,
+    pub crowded_utilization: f64,
     /// Most that the replicas' use multiplies this by; 50.
-    pub most: f64,
+    pub max_load_factor: f64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
             probes: 4,
-            escape: 8,
+            drawn_wait_ratio: 8,
             recent: 1,
-            evict: 2.0,
-            urgency: [1.0, 0.5, 0.25],
-            away: 0.05,
-            crowded: 0.8,
-            most: 50.0,
+            eviction_weight: 2.0,
+            class_weights: [1.0, 0.5, 0.25],
+            off_home_share: 0.05,
+            crowded_utilization: 0.8,
+            max_load_factor: 50.0,
         }
     }
 }
@@ -140,7 +140,7 @@
 
 /// What the choice depends on besides the offers.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// The request's urgency.
     pub class: Class,
     /// Blocks of its prompt.
@@ -153,7 +153,7 @@
 }
 
 /// Chooses whom to ask, the most promising first.
-pub fn candidates(
+pub fn replicas_to_probe(
     config: &Config,
     chain: &[BlockHash],
     peers: &[Peer],
@@ -167,28 +167,28 @@
     let used: Vec<TargetKey> = live.take(config.recent).collect();
 
     let key = levels(chain).next().map(|m| m.hash);
-    let deep = key.map_or([None; RANKS], |k| top(k, peers));
+    let deep = key.map_or([None; RENDEZVOUS_RANKS], |k| first_ranks(k, peers));
     let order = used.into_iter().chain(deep.into_iter().flatten());
     for target in order {
         if chosen.len() < config.probes && !chosen.contains(&target) {
             chosen.push(target);
         }
     }
-    while chosen.len() < DRAWN.min(config.probes) {
+    while chosen.len() < MIN_PROBES.min(config.probes) {
         let fresh: Vec<_> = peers
             .iter()
             .filter(|p| !chosen.contains(&p.target))
             .collect();
-        let Some(peer) = draw(&fresh, rng) else {
+        let Some(peer) = draw_less_loaded(&fresh, rng) else {
             return chosen;
         };
         chosen.push(peer.target);
     }
     let all: Vec<_> = peers.iter().collect();
-    let drawn = draw(&all, rng).map(|p| p.target);
+    let drawn = draw_less_loaded(&all, rng).map(|p| p.target);
     match drawn.filter(|t| !chosen.contains(t)) {
         Some(target) if chosen.len() < config.probes => chosen.push(target),
-        Some(target) if escapes(config, peers, &chosen, target) => {
+        Some(target) if is_worth_probing(config, peers, &chosen, target) => {
             chosen.pop();
             chosen.push(target);
         }
@@ -201,17 +201,24 @@
 ///
 /// Asked each time, it would be used now and then, and its copy of the prefix would be found
 /// by this entry only.
-fn escapes(config: &Config, peers: &[Peer], chosen: &[TargetKey], drawn: TargetKey) -> bool {
+fn is_worth_probing(
+    config: &Config,
+    peers: &[Peer],
+    chosen: &[TargetKey],
+    drawn: TargetKey,
+) -> bool {
     let wait = |target| peers.iter().find(|p| p.target == target).map(|p| p.wait.0);
     let least = chosen.iter().filter_map(|t| wait(*t)).min();
     let drawn = wait(drawn);
-    drawn.zip(least).is_some_and(|(d, l)| d < l / config.escape)
+    drawn
+        .zip(least)
+        .is_some_and(|(d, l)| d < l / config.drawn_wait_ratio)
 }
 
 /// The first of the rendezvous order: the same replica for a prefix at every entry.
 pub fn home(chain: &[BlockHash], peers: &[Peer]) -> Option<TargetKey> {
     let key = levels(chain).next()?.hash;
-    top(key, peers)[0]
+    first_ranks(key, peers)[0]
 }
 
 /// Orders the replicas that answered by expected time, the best first.
@@ -221,26 +228,28 @@
 /// the moment and be computed anew there; hits vanish just when the fleet can least afford it.
 ///
 /// If none can take the request, the list is empty and the request is refused; if none answered
-/// at all, [`fallback`] helps.
+/// at all, [`rendezvous_order`] helps.
 pub fn choose(
     config: &Config,
-    ask: &Ask,
+    request: &PlacementRequest,
     offers: &[Offer],
     delay: impl Fn(TargetKey) -> Micros,
 ) -> Vec<Choice> {
-    let weight = weight(config, offers) / config.urgency[ask.class.index()] / ask.heat.max(1.0);
+    let weight = recomputation_weight(config, offers)
+        / config.class_weights[request.class.index()]
+        / request.heat.max(1.0);
     let choice = |o: &Offer| Choice {
         target: o.target,
-        cost: cost(config, ask, o, weight, delay(o.target)),
-        matched: o.matched.min(ask.blocks),
+        cost: cost(config, request, o, weight, delay(o.target)),
+        matched: o.matched.min(request.blocks),
     };
     let of = |state| offers.iter().filter(move |o| o.state == state).map(choice);
     let full: Vec<Choice> = of(State::Full).collect();
-    let better = |c: &Choice| {
+    let beaten = |c: &Choice| {
         full.iter()
             .any(|f| f.matched > c.matched && f.cost < c.cost)
     };
-    let mut choices: Vec<Choice> = of(State::Serving).filter(|c| !better(c)).collect();
+    let mut choices: Vec<Choice> = of(State::Serving).filter(|c| !beaten(c)).collect();
     choices.sort_by_key(|c| c.cost);
     choices
 }
@@ -249,7 +258,7 @@
 ///
 /// It is the rendezvous order of the deep level: the first of it most probably holds the prefix,
 /// and entries that can't reach anyone's sidecar still agree.
-pub fn fallback(chain: &[BlockHash], peers: &[Peer]) -> Vec<TargetKey> {
+pub fn rendezvous_order(chain: &[BlockHash], peers: &[Peer]) -> Vec<TargetKey> {
     let key = levels(chain).next().map_or(BlockHash(0), |m| m.hash);
     let mut order: Vec<(u64, TargetKey)> =
         peers.iter().map(|p| (rank(key, p.id), p.target)).collect();
@@ -261,21 +270,27 @@
 ///
 /// It evicts what others will ask for, and it delays whoever comes while the replica is busy. Each
 /// grows with the use r as 1 / (1 - r): the cache turns over as fast as the replica computes.
-fn weight(config: &Config, offers: &[Offer]) -> f64 {
-    let idle = 1.0 - busy(offers).min(1.0);
-    config.evict * (idle * idle).recip().min(config.most)
+fn recomputation_weight(config: &Config, offers: &[Offer]) -> f64 {
+    let idle = 1.0 - mean_utilization(offers).min(1.0);
+    config.eviction_weight * (idle * idle).recip().min(config.max_load_factor)
 }
 
 /// The mean use of the replicas asked.
-fn busy(offers: &[Offer]) -> f64 {
+fn mean_utilization(offers: &[Offer]) -> f64 {
     let sum: f64 = offers.iter().map(|o| o.busy).sum();
     sum / offers.len().max(1) as f64
 }
 
-fn cost(config: &Config, ask: &Ask, offer: &Offer, weight: f64, delay: Micros) -> Micros {
-    let missing = f64::from(ask.blocks.saturating_sub(offer.matched));
-    let away = match ask.home {
-        Some(home) if home != offer.target => f64::from(ask.blocks) * config.away,
+fn cost(
+    config: &Config,
+    request: &PlacementRequest,
+    offer: &Offer,
+    weight: f64,
+    delay: Micros,
+) -> Micros {
+    let missing = f64::from(request.blocks.saturating_sub(offer.matched));
+    let away = match request.home {
+        Some(home) if home != offer.target => f64::from(request.blocks) * config.off_home_share,
         _ => 0.0,
     };
     let prefill = (missing + away) * offer.prefill.0 as f64 * weight;
@@ -284,13 +299,13 @@
 }
 
 /// The first of the rendezvous order.
-fn top(key: BlockHash, peers: &[Peer]) -> [Option<TargetKey>; RANKS] {
-    let mut best = [(0, None); RANKS];
+fn first_ranks(key: BlockHash, peers: &[Peer]) -> [Option<TargetKey>; RENDEZVOUS_RANKS] {
+    let mut best = [(0, None); RENDEZVOUS_RANKS];
     for peer in peers {
         let mut entry = (rank(key, peer.id), Some(peer.target));
-        for place in &mut best {
-            if place.1.is_none() || entry.0 > place.0 {
-                std::mem::swap(place, &mut entry);
+        for slot in &mut best {
+            if slot.1.is_none() || entry.0 > slot.0 {
+                std::mem::swap(slot, &mut entry);
             }
         }
     }
@@ -298,7 +313,7 @@
 }
 
 /// The less loaded of two drawn replicas.
-fn draw<'a>(peers: &[&'a Peer], rng: &mut impl Rng) -> Option<&'a Peer> {
+fn draw_less_loaded<'a>(peers: &[&'a Peer], rng: &mut impl Rng) -> Option<&'a Peer> {
     let mut pick = || match peers.len() {
         0 => None,
         n => Some(peers[rng.random_range(0..n)]),
--- a/crates/policy/tests/probe_placement.rs
+++ b/crates/policy/tests/probe_placement.rs
@@ -1,7 +1,9 @@
 //! Whom an entry asks and whom it chooses.
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
-use policy::probe_placement::{candidates, choose, fallback, Ask, Config, Offer, Peer, State};
+use policy::probe_placement::{
+    choose, rendezvous_order, replicas_to_probe, Config, Offer, Peer, PlacementRequest, State,
+};
 use policy::recent::{self, Recent};
 use prefix::{chain, Seed, BLOCK};
 use rand::rngs::SmallRng;
@@ -41,12 +43,12 @@
     let memory = Recent::new(recent::Config::default());
     let ask = |seed| {
         let mut rng = SmallRng::seed_from_u64(seed);
-        candidates(&config, &chain, &peers, &memory, &mut rng)
+        replicas_to_probe(&config, &chain, &peers, &memory, &mut rng)
     };
     let (one, two) = (ask(1), ask(2));
     assert_eq!((one.len(), two.len()), (4, 4));
     assert_eq!(one[..3], two[..3]);
-    assert!(fallback(&chain, &peers).starts_with(&one[..1]));
+    assert!(rendezvous_order(&chain, &peers).starts_with(&one[..1]));
 }
 
 #[test]
@@ -56,14 +58,14 @@
     let mut memory = Recent::new(recent::Config::default());
     memory.used(&long, peers[7].target);
     memory.used(&long[..600], peers[8].target);
-    let asked = candidates(&config, &long[..520], &peers, &memory, &mut rng);
+    let asked = replicas_to_probe(&config, &long[..520], &peers, &memory, &mut rng);
     assert_eq!(asked[0], peers[8].target);
-    let asked = candidates(&config, &long, &peers, &memory, &mut rng);
+    let asked = replicas_to_probe(&config, &long, &peers, &memory, &mut rng);
     assert_eq!(asked[0], peers[7].target);
-    let asked = candidates(&config, &long, &peers[..7], &memory, &mut rng);
+    let asked = replicas_to_probe(&config, &long, &peers[..7], &memory, &mut rng);
     assert!(!asked.contains(&peers[7].target));
-    assert!(candidates(&config, &long, &[], &memory, &mut rng).is_empty());
-    let alone = candidates(&config, &[], &peers[..1], &memory, &mut rng);
+    assert!(replicas_to_probe(&config, &long, &[], &memory, &mut rng).is_empty());
+    let alone = replicas_to_probe(&config, &[], &peers[..1], &memory, &mut rng);
     assert_eq!(alone, [peers[0].target]);
 }
 
@@ -189,13 +191,13 @@
     ];
     for case in cases {
         let delay = |t| Micros(if t == peers[3].target { 1_000 } else { 100 });
-        let ask = Ask {
+        let request = PlacementRequest {
             class: Class::Call,
             blocks: 1_000,
             heat: case.heat,
             home: case.home.map(|i| peers[i].target),
         };
-        let choices = choose(&Config::default(), &ask, &case.offers, delay);
+        let choices = choose(&Config::default(), &request, &case.offers, delay);
         let order: Vec<TargetKey> = choices.iter().map(|c| c.target).collect();
         let expected: Vec<TargetKey> = case.order.iter().map(|i| peers[*i].target).collect();
         assert_eq!(order, expected, "{}", case.name);
@@ -214,7 +216,7 @@
         let mut left = all.clone();
         let mut asked = Vec::new();
         for _ in 0..2 {
-            let round = candidates(&config, &[], &left, &memory, &mut rng);
+            let round = replicas_to_probe(&config, &[], &left, &memory, &mut rng);
             left.retain(|p| !round.contains(&p.target));
             asked.extend(round);
         }
