--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -176,15 +176,15 @@
     let report = d.reports.get(&key);
     let heard = report.map_or(since, |r| r.at.max(since));
     let domain = domain_key(&r.target.domain);
-    let place = |own: delegate::Entry| {
+    let rank = |own: delegate::Entry| {
         let others = entries(ctx, world).filter(|e| *e != own);
-        delegate::place(key, domain, own, others)
+        delegate::rank(key, domain, own, others)
     };
     let reporter = match report {
         None => Reporter::None,
         Some(r) if !r.delegate => Reporter::Sidecar,
         Some(r) => match entry(world, r.from) {
-            Some(other) => Reporter::Delegate(place(other)),
+            Some(other) => Reporter::Delegate(rank(other)),
             // An entry that isn't a member yet has no place before this one.
             None => Reporter::Delegate(usize::MAX),
         },
@@ -194,7 +194,7 @@
         reporter,
         silence: now.since(heard),
     };
-    delegate::acts(&Config::default(), &engine, place(own(ctx)), acting)
+    delegate::acts(&Config::default(), &engine, rank(own(ctx)), acting)
 }
 
 /// This entry, as places are given.
--- a/crates/policy/src/delegate.rs
+++ b/crates/policy/src/delegate.rs
@@ -19,22 +19,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// After which an engine without a sidecar gets a delegate; 2 s.
-    pub absent: Micros,
+    pub no_sidecar: Micros,
     /// After which a sidecar that is a member is replaced; 6 s, longer than most restarts take.
-    pub silent: Micros,
+    pub silent_sidecar: Micros,
     /// After which a delegate is replaced; 1.5 s, several of its updates.
-    pub lost: Micros,
+    pub lost_delegate: Micros,
     /// By which each place waits longer than the one before it; 1.5 s.
-    pub step: Micros,
+    pub step_per_rank: Micros,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            absent: Micros::from_millis(2_000),
-            silent: Micros::from_millis(6_000),
-            lost: Micros::from_millis(1_500),
-            step: Micros::from_millis(1_500),
+            no_sidecar: Micros::from_millis(2_000),
+            silent_sidecar: Micros::from_millis(6_000),
+            lost_delegate: Micros::from_millis(1_500),
+            step_per_rank: Micros::from_millis(1_500),
         }
     }
 }
@@ -49,17 +49,17 @@
 }
 
 /// Place of an entry among those that may act for an engine.
-pub fn place(
+pub fn rank(
     engine: u64,
     domain: u64,
     own: Entry,
     others: impl IntoIterator<Item = Entry>,
 ) -> usize {
-    let rank = |e: &Entry| {
+    let sort_key = |e: &Entry| {
         let hash = xxh3_64_with_seed(&e.host.to_le_bytes(), engine);
         (e.domain != domain, hash, e.host)
     };
-    let before = |e: &Entry| rank(e) < rank(&own);
+    let before = |e: &Entry| sort_key(e) < sort_key(&own);
     others.into_iter().filter(before).count()
 }
 
@@ -86,23 +86,23 @@
 }
 
 /// Whether an entry at a place acts for an engine, or continues to.
-pub fn acts(config: &Config, engine: &Engine, place: usize, acting: bool) -> bool {
-    let recent = engine.silence < config.lost;
+pub fn acts(config: &Config, engine: &Engine, rank: usize, acting: bool) -> bool {
+    let recent = engine.silence < config.lost_delegate;
     match engine.reporter {
         Reporter::Sidecar if recent => false,
-        Reporter::Delegate(other) if recent => acting && place < other,
+        Reporter::Delegate(other) if recent => acting && rank < other,
         _ if acting => true,
-        reporter => engine.silence >= wait(config, engine.sidecar, reporter, place),
+        reporter => engine.silence >= required_silence(config, engine.sidecar, reporter, rank),
     }
 }
 
 /// Silence after which a place acts.
-fn wait(config: &Config, sidecar: bool, reporter: Reporter, place: usize) -> Micros {
+fn required_silence(config: &Config, sidecar: bool, reporter: Reporter, rank: usize) -> Micros {
     let base = match reporter {
-        Reporter::Delegate(_) => config.lost,
-        _ if sidecar => config.silent,
-        Reporter::Sidecar => config.silent,
-        Reporter::None => config.absent,
+        Reporter::Delegate(_) => config.lost_delegate,
+        _ if sidecar => config.silent_sidecar,
+        Reporter::Sidecar => config.silent_sidecar,
+        Reporter::None => config.no_sidecar,
     };
-    base + Micros(config.step.0 * place as u64)
+    base + Micros(config.step_per_rank.0 * rank as u64)
 }
--- a/crates/policy/tests/delegates.rs
+++ b/crates/policy/tests/delegates.rs
@@ -27,26 +27,26 @@
         sidecar: bool,
         reporter: Reporter,
         silence: u64,
-        place: usize,
+        rank: usize,
         acting: bool,
         acts: bool,
     }
     use Reporter::{Delegate, None, Sidecar};
     #[rustfmt::skip]
     let cases = [
-        Case { name: "just listed", sidecar: false, reporter: None, silence: 1_900, place: 0, acting: false, acts: false },
-        Case { name: "no sidecar", sidecar: false, reporter: None, silence: 2_000, place: 0, acting: false, acts: true },
-        Case { name: "no sidecar, the second", sidecar: false, reporter: None, silence: 2_000, place: 1, acting: false, acts: false },
-        Case { name: "no sidecar, the first is gone", sidecar: false, reporter: None, silence: 3_500, place: 1, acting: false, acts: true },
-        Case { name: "a sidecar that restarts", sidecar: true, reporter: Sidecar, silence: 4_000, place: 0, acting: false, acts: false },
-        Case { name: "a sidecar that was never received", sidecar: true, reporter: None, silence: 5_900, place: 0, acting: false, acts: false },
-        Case { name: "a sidecar that is gone", sidecar: true, reporter: Sidecar, silence: 6_000, place: 0, acting: false, acts: true },
-        Case { name: "the sidecar is back", sidecar: true, reporter: Sidecar, silence: 50, place: 0, acting: true, acts: false },
-        Case { name: "a delegate reports", sidecar: false, reporter: Delegate(3), silence: 200, place: 0, acting: false, acts: false },
-        Case { name: "a delegate is lost", sidecar: false, reporter: Delegate(3), silence: 1_500, place: 0, acting: false, acts: true },
-        Case { name: "an earlier one acts too", sidecar: false, reporter: Delegate(0), silence: 200, place: 1, acting: true, acts: false },
-        Case { name: "a later one acts too", sidecar: false, reporter: Delegate(2), silence: 200, place: 1, acting: true, acts: true },
-        Case { name: "none reports, it continues", sidecar: false, reporter: None, silence: 60_000, place: 4, acting: true, acts: true },
+        Case { name: "just listed", sidecar: false, reporter: None, silence: 1_900, rank: 0, acting: false, acts: false },
+        Case { name: "no sidecar", sidecar: false, reporter: None, silence: 2_000, rank: 0, acting: false, acts: true },
+        Case { name: "no sidecar, the second", sidecar: false, reporter: None, silence: 2_000, rank: 1, acting: false, acts: false },
+        Case { name: "no sidecar, the first is gone", sidecar: false, reporter: None, silence: 3_500, rank: 1, acting: false, acts: true },
+        Case { name: "a sidecar that restarts", sidecar: true, reporter: Sidecar, silence: 4_000, rank: 0, acting: false, acts: false },
+        Case { name: "a sidecar that was never received", sidecar: true, reporter: None, silence: 5_900, rank: 0, acting: false, acts: false },
+        Case { name: "a sidecar that is gone", sidecar: true, reporter: Sidecar, silence: 6_000, rank: 0, acting: false, acts: true },
+        Case { name: "the sidecar is back", sidecar: true, reporter: Sidecar, silence: 50, rank: 0, acting: true, acts: false },
+        Case { name: "a delegate reports", sidecar: false, reporter: Delegate(3), silence: 200, rank: 0, acting: false, acts: false },
+        Case { name: "a delegate is lost", sidecar: false, reporter: Delegate(3), silence: 1_500, rank: 0, acting: false, acts: true },
+        Case { name: "an earlier one acts too", sidecar: false, reporter: Delegate(0), silence: 200, rank: 1, acting: true, acts: false },
+        Case { name: "a later one acts too", sidecar: false, reporter: Delegate(2), silence: 200, rank: 1, acting: true, acts: true },
+        Case { name: "none reports, it continues", sidecar: false, reporter: None, silence: 60_000, rank: 4, acting: true, acts: true },
     ];
     for c in cases {
         let engine = Engine {
@@ -54,7 +54,7 @@
             reporter: c.reporter,
             silence: ms(c.silence),
         };
-        let acts = delegate::acts(&Config::default(), &engine, c.place, c.acting);
+        let acts = delegate::acts(&Config::default(), &engine, c.rank, c.acting);
         assert_eq!(acts, c.acts, "{}", c.name);
     }
 }
@@ -70,16 +70,16 @@
         .collect();
     let mut first = [0; 6];
     for engine in 0..300 {
-        let place = |own: &Entry| {
+        let rank = |own: &Entry| {
             let others = entries.iter().filter(|e| *e != own).copied();
-            delegate::place(engine, 0, *own, others)
+            delegate::rank(engine, 0, *own, others)
         };
-        let mut places: Vec<_> = entries.iter().map(place).collect();
-        let winner = places.iter().position(|p| *p == 0).expect("a first one");
+        let mut ranks: Vec<_> = entries.iter().map(rank).collect();
+        let winner = ranks.iter().position(|p| *p == 0).expect("a first one");
         first[winner] += 1;
         assert!(entries[winner].domain == 0, "engine {engine}");
-        places.sort_unstable();
-        assert_eq!(places, [0, 1, 2, 3, 4, 5], "engine {engine}");
+        ranks.sort_unstable();
+        assert_eq!(ranks, [0, 1, 2, 3, 4, 5], "engine {engine}");
     }
     assert!(first[..3].iter().all(|n| *n > 60), "{first:?}");
 }
@@ -246,14 +246,14 @@
         return;
     }
     let entries: Vec<_> = all.iter().filter(|o| !o.sidecar).map(|o| o.entry).collect();
-    let place = |own: Entry| {
+    let rank = |own: Entry| {
         let others = entries.iter().filter(|e| **e != own).copied();
-        delegate::place(7, 0, own, others)
+        delegate::rank(7, 0, own, others)
     };
     let reporter = match all[i].heard {
         None => Reporter::None,
         Some((from, _)) if all[from].sidecar => Reporter::Sidecar,
-        Some((from, _)) => Reporter::Delegate(place(all[from].entry)),
+        Some((from, _)) => Reporter::Delegate(rank(all[from].entry)),
     };
     let heard = all[i].heard.map_or(all[i].start, |(_, at)| at);
     let engine = Engine {
@@ -262,7 +262,7 @@
         // A process that was paused counts from its end.
         silence: ms(now - heard.max(all[i].paused).min(now)),
     };
-    let (acting, own) = (all[i].acting, place(all[i].entry));
+    let (acting, own) = (all[i].acting, rank(all[i].entry));
     let acts = delegate::acts(&Config::default(), &engine, own, acting);
     if acts && !acting {
         all[i].holder = Holder::new(ms(LEASE));
