--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -156,17 +156,17 @@
 
     /// Takes over that the whole system starts for the first time.
     pub(crate) fn bootstrap(&mut self) {
-        self.rollout.holder().bootstrap();
+        self.rollout.holder().record_first_start();
     }
 
     /// Whether another process may have ordered the engine before this one started.
     pub(crate) fn unsure(&mut self, now: Micros) -> bool {
-        self.alive && self.rollout.holder().is_unsure(now)
+        self.alive && self.rollout.holder().has_unknown_orders(now)
     }
 
     /// Takes over how long no delegate has acted for the engine.
     pub(crate) fn quiet(&mut self, now: Micros, quiet: Micros) {
-        self.rollout.holder().quiet(now, quiet);
+        self.rollout.holder().record_quiet(now, quiet);
     }
 
     /// Takes over what an entry notes of a prompt.
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -97,12 +97,12 @@
         };
         self.fenced = self.fenced.max(update.fence);
         let at = now - Micros::from_millis(age.into());
-        self.holder.yielded(at);
+        self.holder.record_other_holder(at);
     }
 
     /// Takes over the engine's count of orders.
     pub(super) fn count(&mut self, now: Micros, orders: u64) {
-        if self.holder.read(now, orders) {
+        if self.holder.update_count(now, orders) {
             // The next order needs a token above that of the process that gave this one.
             self.fence = 0;
         }
@@ -391,7 +391,7 @@
     let outcome = outcome(&taken);
     let mut a = agent.borrow_mut();
     if outcome != Outcome::Refused {
-        a.rollout.holder.ordered();
+        a.rollout.holder.record_order();
     }
     a.rollout.slots.ordered(node.now(), outcome);
     drop(a);
--- a/crates/policy/src/holder.rs
+++ b/crates/policy/src/holder.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes over the count of orders from the engine's report; true if another process has ordered it.
-    pub fn read(&mut self, now: Micros, orders: u64) -> bool {
+    pub fn update_count(&mut self, now: Micros, orders: u64) -> bool {
         let Some(known) = self.count.replace(orders) else {
             let until = now + self.apart();
             self.unknown = self.unknown.map(|_| until);
@@ -62,7 +62,7 @@
         }
         let foreign = orders > known + self.ours;
         if foreign {
-            self.yielded(now);
+            self.record_other_holder(now);
         }
         if orders > known {
             self.ours = 0;
@@ -71,35 +71,35 @@
     }
 
     /// Notes an order of this process that the engine may have accepted.
-    pub fn ordered(&mut self) {
+    pub fn record_order(&mut self) {
         self.ours += 1;
     }
 
     /// Notes that another process may have ordered the engine up to some time.
-    pub fn yielded(&mut self, at: Micros) {
+    pub fn record_other_holder(&mut self, at: Micros) {
         self.free = self.free.max(at + self.apart());
     }
 
     /// Takes over how long no other process has acted for the engine, as an entry knows it.
-    pub fn quiet(&mut self, now: Micros, quiet: Micros) {
+    pub fn record_quiet(&mut self, now: Micros, quiet: Micros) {
         if quiet >= self.apart() {
             self.unknown = None;
         }
-        self.yielded(now - quiet);
+        self.record_other_holder(now - quiet);
     }
 
     /// Takes over that the whole system starts for the first time.
-    pub fn bootstrap(&mut self) {
+    pub fn record_first_start(&mut self) {
         self.unknown = None;
     }
 
     /// Whether orders from before its start may still matter.
-    pub fn is_unsure(&self, now: Micros) -> bool {
+    pub fn has_unknown_orders(&self, now: Micros) -> bool {
         self.unknown.is_some_and(|until| now < until)
     }
 
     /// Whether this process may order the engine.
     pub fn may_order(&self, now: Micros) -> bool {
-        self.count.is_some() && !self.is_unsure(now) && now >= self.free
+        self.count.is_some() && !self.has_unknown_orders(now) && now >= self.free
     }
 }
--- a/crates/policy/tests/delegates.rs
+++ b/crates/policy/tests/delegates.rs
@@ -222,7 +222,7 @@
 
 /// Lets a sidecar ask the entries how long none has acted for it.
 fn ask(all: &mut [Process], i: usize, now: u64) {
-    if !all[i].holder.is_unsure(ms(now)) {
+    if !all[i].holder.has_unknown_orders(ms(now)) {
         return;
     }
     let there = all
@@ -236,7 +236,7 @@
         })
         .collect();
     for q in quiet {
-        all[i].holder.quiet(ms(now), ms(q));
+        all[i].holder.record_quiet(ms(now), ms(q));
     }
 }
 
@@ -274,14 +274,14 @@
 fn order(process: &mut Process, i: usize, now: u64, orders: &mut Vec<(u64, usize)>) {
     let lag = if process.sidecar { 0 } else { LAG };
     let count = orders.iter().filter(|(at, _)| *at + lag <= now).count() as u64;
-    process.holder.read(ms(now), count);
+    process.holder.update_count(ms(now), count);
     process.report = (now, count);
     if !process.holder.may_order(ms(now)) || !now.is_multiple_of(1_000) {
         return;
     }
     // The engine refuses an order whose count isn't its own.
     if count == orders.len() as u64 {
-        process.holder.ordered();
+        process.holder.record_order();
         orders.push((now, i));
     }
 }
