--- a/crates/policy/src/cost.rs
+++ b/crates/policy/src/cost.rs
@@ -1,25 +1,25 @@
-//! What a request will take of an engine, from what earlier ones took.
+//! Estimating the engine time of a request from measured prefills.
 //!
-//! Load pattern: requests differ by a factor of a hundred in work, most of it saved where their
-//! prefix is cached, and replicas differ in speed. Counting requests calls a replica with three
-//! long ones idle beside one with five short ones; trusting a data sheet overloads a slow one.
+//! Load pattern: requests differ by a factor of a hundred in work, most of which is saved where their prefix is cached,
+//! and replicas differ in speed. Counting requests makes a replica with three long ones look idle beside one with five
+//! short ones; relying on a data sheet overloads a slow replica.
 //!
-//! Grounds: prefill time is close to proportional to the blocks that aren't cached, so that one
-//! slope is enough; it is measured as total time over total blocks, both decaying with each
-//! sample, so that requests of few blocks, mostly overhead, weigh little. 5% for a new sample follows a
-//! change of speed within some 20 requests, a few seconds of one replica's traffic.
+//! Prefill time is close to proportional to the number of uncached blocks, so one slope is enough. It is measured as total
+//! time over total blocks, both decaying with each sample, so that requests of few blocks, which are mostly overhead, have
+//! little weight. With a weight of 5% for a new sample the estimate follows a change of speed within some 20 requests, a few
+//! seconds of one replica's traffic.
 
 use model::Micros;
 
-/// How the cost is measured.
+/// Settings of the estimate.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Time to prefill one block before anything was measured; 2 ms, 8,000 tokens a second.
+    /// Time to prefill one block before the first sample; 2 ms, 8,000 tokens a second.
     pub first: Micros,
     /// Weight of a new sample; 0.05.
     pub smooth: f64,
-    /// Engine time that a token of output takes of the engine's whole, while it decodes for a
-    /// full batch; 800 µs, 25 ms a step for 32 requests.
+    /// An output token's share of the engine's time when it decodes a full batch; 800 µs, 25 ms a step for 32
+    /// requests.
     pub token: Micros,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The measured cost of one engine's work.
+/// Estimated cost of work at one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
     config: Config,
@@ -41,20 +41,20 @@
     time: f64,
 }
 
-/// Blocks that the first guess counts for.
-const GUESSED: f64 = 64.0;
+/// Number of blocks that the initial value weighs as much as.
+const INITIAL_WEIGHT: f64 = 64.0;
 
 impl Cost {
-    /// A cost before any sample.
+    /// The initial estimate, without samples.
     pub fn new(config: Config) -> Self {
         Self {
             config,
-            blocks: GUESSED,
-            time: config.first.0 as f64 * GUESSED,
+            blocks: INITIAL_WEIGHT,
+            time: config.first.0 as f64 * INITIAL_WEIGHT,
         }
     }
 
-    /// Notes how long the prefill of this many uncached blocks took the engine.
+    /// Records how long the engine took to prefill a number of uncached blocks.
     pub fn measured(&mut self, blocks: u32, took: Micros) {
         if blocks > 0 {
             let keep = 1.0 - self.config.smooth;
@@ -63,17 +63,17 @@
         }
     }
 
-    /// Time to prefill one block.
+    /// Estimated time to prefill one block.
     pub fn block(&self) -> Micros {
         Micros((self.time / self.blocks) as u64)
     }
 
-    /// Time to prefill this many blocks.
+    /// Estimated time to prefill a number of blocks.
     pub fn prefill(&self, blocks: u32) -> Micros {
         Micros((self.time / self.blocks * f64::from(blocks)) as u64)
     }
 
-    /// Engine time of a whole request.
+    /// Estimated engine time of a whole request, given its uncached blocks and output tokens.
     pub fn work(&self, blocks: u32, output: u32) -> Micros {
         self.prefill(blocks) + Micros(self.config.token.0 * u64::from(output))
     }
--- a/crates/policy/src/probe_placement.rs
+++ b/crates/policy/src/probe_placement.rs
@@ -1,29 +1,28 @@
-//! Which replica gets a request.
+//! Choosing a replica by probing sidecars.
 //!
-//! Load pattern: prompts share long prefixes nested in several levels, a few of them very hot, and
-//! engines evict within seconds. Spreading requests evenly recomputes each prefix at each replica;
-//! pinning each prefix to one replica overloads that replica as soon as the prefix is hot.
+//! Load pattern: prompts share long prefixes, nested in several levels. A few prefixes are very hot, and engines
+//! evict cached blocks within seconds. Spreading requests evenly recomputes each prefix at each replica; pinning each
+//! prefix to one replica overloads that replica as soon as the prefix is hot.
 //!
-//! An entry asks at most [`Config::probes`] sidecars, which know their engine's cache and queue
-//! exactly, and takes the least sum of expected wait, prefill of what isn't cached, and way there.
-//! A hot prefix thus spreads by itself: once the wait at its holder exceeds the cost of computing
-//! it anew, the next replica in its rendezvous order gets it, and is found there from then on.
-//! When the heat is over, the first in the order is idle enough again and the copies are evicted.
+//! An entry probes at most [`Config::probes`] sidecars, whose data on their engine's cache and queue is exact. It
+//! chooses the least sum of expected wait, prefill of the blocks that aren't cached, and network delay. Hot prefixes
+//! therefore spread without coordination: once the wait at the replica that holds a prefix exceeds the cost of
+//! computing it again, the next replica in rendezvous order computes it and is found there from then on. When the
+//! load on the prefix drops, the first replica in the order is idle enough again and the copies are evicted.
 //!
-//! The time that a recomputation takes its own request is the smaller part of its cost: it evicts
-//! other prefixes and delays whoever comes after. Counted at half more than its own time, load
-//! lowers the hit rate, which raises the load: in the replay even an oracle's hit rate fell from
-//! 0.78 at half load to 0.47 at 0.9. So it counts for more, the busier the replicas are, and for
-//! more in classes that wait less urgently. It counts for less if the prefix makes up more than
-//! one replica's part of the traffic: such a copy is used as often as it is needed, and without
-//! it the callers of a suddenly hot prefix wait for its one holder.
+//! The time that a recomputation costs its own request is the smaller part of its cost: it also evicts other prefixes
+//! and delays later requests. If a recomputation counted for only one and a half times its own time, load would lower
+//! the hit rate, which raises the load: in the replay even an oracle's hit rate fell from 0.78 at half load to 0.47 at
+//! 0.9. A recomputation therefore counts for more the busier the replicas are, and for more in less urgent classes. It
+//! counts for less if the prefix makes up more than one replica's share of the traffic: such a copy is used as often
+//! as needed, and without it the requests of a suddenly hot prefix wait for the only replica that holds it.
 //!
-//! Grounds: whom to request. The replica that this entry used last for the longest known prefix holds
-//! it most probably. The first in rendezvous order of the deep level are the same at every entry,
-//! so that one without a memory, such as one just restarted, finds the copies that others have
-//! had made; ranks of the middle levels or replicas drawn at random in their place made copies
-//! that no other entry found. One is drawn only if it waits far less than all of these. Four
-//! probes of some 250 bytes at the target size cost an entry 8 KB/s, a third of its allowance.
+//! Which replicas are probed: the replica that this entry used last for the longest known prefix is the most likely
+//! holder. The first replicas in rendezvous order of the deepest level are the same at every entry, so an entry
+//! without a memory, such as a restarted one, finds copies made through other entries. With ranks of the middle
+//! levels or random replicas in their place, copies were made that no other entry found. A random replica is probed
+//! only if its wait is far below that of all the others. Four probes of about 250 bytes cost an entry 8 KB/s at the
+//! target size, a third of its allowance.
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
 use prefix::{levels, rank};
@@ -31,38 +30,38 @@
 
 use crate::recent::Recent;
 
-/// Replicas of the rendezvous order that may be asked.
+/// Replicas at the head of the rendezvous order that may be probed.
 const RENDEZVOUS_RANKS: usize = 4;
-/// Replicas asked at least, drawn from those not yet chosen if the prompt has no cached levels. Were
-/// they drawn from all, the same one could come up again, and a request would be refused if that
-/// one just loads its weights.
+/// Least number of replicas probed. If the prompt has no cached levels, they are drawn from the replicas not yet
+/// chosen: drawing from all could pick the same replica twice, and the request would be refused if that replica is
+/// loading its weights.
 const MIN_PROBES: usize = 2;
 
 /// How replicas are chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Most replicas asked for one request; 4.
+    /// Most replicas probed for one request; 4.
     pub probes: usize,
-    /// The drawn replica is asked if its wait is less than that of all others over this; 8.
+    /// The randomly drawn replica is probed if its wait is less than the least wait of the chosen replicas
+    /// divided by this; 8.
     pub drawn_wait_ratio: u64,
-    /// How many of them may come from the memory of recent use; 1. With 2, the second was most
-    /// often a copy already evicted.
+    /// How many of the probed replicas may come from the memory of recent use; 1. With 2, the second was
+    /// usually a copy that had already been evicted.
     pub recent: usize,
-    /// What a recomputed block counts for at an idle replica; 2, for the block itself and for the
-    /// one that it evicts. With 1 the replay's goodput at twice the load is lower, with 3 a moderate
-    /// load waits longer.
+    /// Weight of a recomputed block at an idle replica; 2, for the block itself and for the one that it evicts.
+    /// With 1 the replay's goodput at twice the load is lower; with 3 requests at moderate load wait longer.
     pub eviction_weight: f64,
-    /// What a class's own waiting counts for, against the others' delay; 1 for calls, 0.5 for
-    /// normal, 0.25 for batch, which nobody waits for.
+    /// Weight of a request's own wait by class, relative to the delay of other requests; 1 for calls, 0.5 for
+    /// normal, 0.25 for batch, which has no waiting user.
     pub class_weights: [f64; 3],
-    /// The part of the prompt that counts as missing anywhere but at its home; 0.05. A prefix that
-    /// was evicted everywhere is so computed at the same replica again, above all under load,
-    /// and the prefixes of a replica stay few enough for its cache.
+    /// Part of the prompt that counts as missing at every replica but the home replica; 0.05. A prefix that was
+    /// evicted everywhere is thus computed at the same replica again, above all under load, and the prefixes of a
+    /// replica stay few enough for its cache.
     pub off_home_share: f64,
-    /// The mean use from which a full replica keeps out copies of what it holds; 0.8. Below it
-    /// there is room for them, and a refusal would be for nothing.
+    /// Mean utilization from which a full replica prevents copies of the prefixes that it holds; 0.8. Below this
+    /// there is room for copies, and refusing would gain nothing. [`choose`] doesn't read this setting.
     pub crowded_utilization: f64,
-    /// Most that the replicas' use multiplies this by; 50.
+    /// Upper bound of the factor by which the replicas' utilization multiplies [`Config::eviction_weight`]; 50.
     pub max_load_factor: f64,
 }
 
@@ -81,78 +80,78 @@
     }
 }
 
-/// A live target of the pool, as an entry knows it.
+/// A live target of the pool, as seen by an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer {
     /// The target.
     pub target: TargetKey,
     /// A number that is the same for this target at every entry and over restarts.
     pub id: u64,
-    /// The wait that it told last; zero if it never did.
+    /// The wait in its last answer to a probe; zero before the first answer.
     pub wait: Micros,
 }
 
 /// Whether a target takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// Takes new requests.
     Serving,
-    /// It is stopping.
+    /// Stopping.
     Leaving,
-    /// It loads a model and will serve later.
+    /// Loading a model; serves later.
     Loading,
-    /// Its queue is full for this class.
+    /// The queue is full for the request's class.
     Full,
 }
 
 /// A sidecar's answer to a probe.
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
-    /// Who answers.
+    /// The target that answers.
     pub target: TargetKey,
-    /// The life of its engine.
+    /// The incarnation of its engine.
     pub incarnation: Incarnation,
-    /// Blocks of the prompt that its engine holds or is computing.
+    /// Blocks of the prompt that its engine has cached or is computing.
     pub matched: u32,
-    /// How long the request would wait before its prefill begins.
+    /// How long the request would wait for its prefill to begin.
     pub wait: Micros,
     /// Measured time to prefill one block.
     pub prefill: Micros,
-    /// Whether it takes the request.
+    /// Whether the target takes the request.
     pub state: State,
-    /// Requests waiting or running there.
+    /// Requests that wait or run at the target.
     pub load: u32,
-    /// The part of the last seconds in which its engine computed prompts of this class or more
-    /// urgent ones.
+    /// Share of the last seconds in which its engine prefilled prompts of this or a more urgent class.
     pub busy: f64,
 }
 
-/// A replica to try, with what it is expected to cost.
+/// A replica for the request, with its expected cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// The target.
     pub target: TargetKey,
-    /// Expected time to the first token; [`Micros::MAX`] for one that didn't answer.
+    /// Expected time to the first token, with its recomputation weighted; [`Micros::MAX`] for a replica that didn't
+    /// answer.
     pub cost: Micros,
-    /// Blocks that needn't be computed.
+    /// Cached blocks of the prompt.
     pub matched: u32,
 }
 
-/// What the choice depends on besides the offers.
+/// The request to place.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest {
-    /// The request's urgency.
+    /// Its class.
     pub class: Class,
-    /// Blocks of its prompt.
+    /// Number of blocks in its prompt.
     pub blocks: u32,
-    /// How many replicas' part of the traffic its prefix makes up: its part of the requests,
-    /// [`Recent::share`], times the number of replicas.
+    /// Share of the pool's requests that have this prefix, [`Recent::share`], times the number of replicas. Above 1,
+    /// the prefix makes up more than one replica's share of the traffic.
     pub heat: f64,
-    /// The replica at which the prefix is computed if nobody holds it, [`home`].
+    /// The replica at which the prefix is computed if no replica holds it, [`home`].
     pub home: Option<TargetKey>,
 }
 
-/// Chooses whom to ask, the most promising first.
+/// Chooses the replicas to probe, the most promising first.
 pub fn replicas_to_probe(
     config: &Config,
     chain: &[BlockHash],
@@ -197,10 +196,10 @@
     chosen
 }
 
-/// Whether a drawn replica waits so much less than all chosen that it is worth a probe.
+/// Whether a randomly drawn replica has so much less wait than all chosen replicas that it is worth a probe.
 ///
-/// Asked each time, it would be used now and then, and its copy of the prefix would be found
-/// by this entry only.
+/// If a random replica were probed for each request, it would sometimes be used, and only this entry would find its
+/// copy of the prefix.
 fn is_worth_probing(
     config: &Config,
     peers: &[Peer],
@@ -215,20 +214,20 @@
         .is_some_and(|(d, l)| d < l / config.drawn_wait_ratio)
 }
 
-/// The first of the rendezvous order: the same replica for a prefix at every entry.
+/// The first replica in rendezvous order, which is the same at every entry.
 pub fn home(chain: &[BlockHash], peers: &[Peer]) -> Option<TargetKey> {
     let key = levels(chain).next()?.hash;
     first_ranks(key, peers)[0]
 }
 
-/// Orders the replicas that answered by expected time, the best first.
+/// Orders the replicas that answered by expected cost, the least first.
 ///
-/// A full replica that holds more of the prompt keeps those out that would cost more than waiting
-/// for it. Otherwise, once all are full, each refused request would go to whichever has room at
-/// the moment and be computed anew there; hits vanish just when the fleet can least afford it.
+/// A full replica that has more of the prompt cached rules out replicas that would cost more than waiting for it.
+/// Otherwise, when all holders are full, each request would go to any replica with room at the moment and be
+/// recomputed there, and cache hits would vanish when the fleet can least afford it.
 ///
-/// If none can take the request, the list is empty and the request is refused; if none answered
-/// at all, [`rendezvous_order`] helps.
+/// The list is empty if no replica can take the request, which is then refused. If no replica answered at all,
+/// [`rendezvous_order`] gives the replicas to use.
 pub fn choose(
     config: &Config,
     request: &PlacementRequest,
@@ -254,10 +253,10 @@
     choices
 }
 
-/// The order in which to try replicas when no probe was answered in time.
+/// The order in which to use replicas when no probe was answered in time.
 ///
-/// It is the rendezvous order of the deep level: the first of it most probably holds the prefix,
-/// and entries that can't reach anyone's sidecar still agree.
+/// Rendezvous hashing on the deepest level: the first replica most probably holds the prefix, and entries that can't
+/// reach any sidecar still agree.
 pub fn rendezvous_order(chain: &[BlockHash], peers: &[Peer]) -> Vec<TargetKey> {
     let key = levels(chain).next().map_or(BlockHash(0), |m| m.hash);
     let mut order: Vec<(u64, TargetKey)> =
@@ -266,16 +265,16 @@
     order.into_iter().map(|(_, target)| target).collect()
 }
 
-/// What a recomputation counts for, as a multiple of the time that it takes its own request.
+/// Weight of a recomputation, as a multiple of the time that it costs its own request.
 ///
-/// It evicts what others will ask for, and it delays whoever comes while the replica is busy. Each
-/// grows with the use r as 1 / (1 - r): the cache turns over as fast as the replica computes.
+/// A recomputation evicts blocks that other requests need, and delays requests that arrive while the replica is busy.
+/// Both effects grow with the utilization r as 1 / (1 - r): the cache turns over as fast as the replica computes.
 fn recomputation_weight(config: &Config, offers: &[Offer]) -> f64 {
     let idle = 1.0 - mean_utilization(offers).min(1.0);
     config.eviction_weight * (idle * idle).recip().min(config.max_load_factor)
 }
 
-/// The mean use of the replicas asked.
+/// Mean utilization of the replicas that answered.
 fn mean_utilization(offers: &[Offer]) -> f64 {
     let sum: f64 = offers.iter().map(|o| o.busy).sum();
     sum / offers.len().max(1) as f64
@@ -294,11 +293,11 @@
         _ => 0.0,
     };
     let prefill = (missing + away) * offer.prefill.0 as f64 * weight;
-    // There and back; the connection is open already.
+    // One round trip; the connection is already open.
     offer.wait + Micros(prefill as u64) + delay + delay
 }
 
-/// The first of the rendezvous order.
+/// The first replicas in rendezvous order.
 fn first_ranks(key: BlockHash, peers: &[Peer]) -> [Option<TargetKey>; RENDEZVOUS_RANKS] {
     let mut best = [(0, None); RENDEZVOUS_RANKS];
     for peer in peers {
@@ -312,7 +311,7 @@
     best.map(|(_, target)| target)
 }
 
-/// The less loaded of two drawn replicas.
+/// Draws two replicas at random and returns the one with the shorter wait.
 fn draw_less_loaded<'a>(peers: &[&'a Peer], rng: &mut impl Rng) -> Option<&'a Peer> {
     let mut pick = || match peers.len() {
         0 => None,
--- a/crates/policy/src/ttft_placement.rs
+++ b/crates/policy/src/ttft_placement.rs
@@ -1,78 +1,78 @@
-//! Where a prompt of named parts runs when the entry chooses by itself.
+//! Choosing an engine by the estimated time to the first token (TTFT), without probes.
 //!
-//! Load pattern: a hundred subjects share long openings, each asked for by all entries; engines
-//! differ in speed, and their memory holds only a part of all openings. Sending each subject to one
-//! engine queues the hot ones; spreading by load alone reads every opening on every engine, which
-//! costs more than all other work. New weights empty engines one after the other.
+//! Load pattern: a hundred subjects have long shared openings, and all entries send requests for each of them. Engines
+//! differ in speed, and their memory holds only a part of all openings. Sending each subject to one engine builds a
+//! queue at the engines of hot subjects. Spreading by load alone prefills every opening on every engine, which costs
+//! more than all other work. New weights empty the engines' caches one after the other.
 //!
-//! An opening that one engine is about to read is soon held there. An engine that is sent another
-//! prompt with it meanwhile is told to ask the first one: by the time the prompt's turn comes the
-//! opening may be there, and asking in vain costs a millisecond. Measured on two fleets of nine
-//! engines that take new weights six times in 35 s: 102,000 to 131,000 shared tokens read again in
-//! four runs, 152,000 in one run of each fleet without it.
+//! An opening that an engine is about to prefill will soon be cached there. Another engine that meanwhile gets a prompt
+//! with the same opening is given the first engine's address to fetch from: the opening may be there when the prompt
+//! leaves the queue, and a fetch in vain costs a millisecond. On two fleets of nine engines that take new weights six
+//! times in 35 s, 102,000 to 131,000 shared tokens were prefilled again in four runs with this, and 152,000 in one run
+//! of each fleet without it.
 //!
-//! Everything is weighed in one unit, milliseconds until the first token: what waits before it,
-//! reading what the engine doesn't hold, fetching what others hold, and the way there. Fetching is
-//! chosen over reading where it is faster, so that load can be spread without reading twice.
+//! All costs are in one unit, milliseconds until the first token: the wait before the prompt, prefill of the tokens that
+//! the engine doesn't hold, fetching tokens that others hold, and network delay. A fetch is chosen where it is faster
+//! than prefill, so load can be spread without prefilling twice.
 //!
-//! What an engine takes in pushes out something else, which is then read again for somebody. So each
-//! token that it doesn't hold yet costs a little more than the time to bring it there. Without that,
-//! the better the loads are known, the more copies are made: on 56 engines at full load shared tokens
-//! read again rose from 4.9 to 9.0 million in 34 s when loads became exact.
+//! Tokens that an engine takes in evict other tokens, which are then prefilled again for other requests. Each token that
+//! the engine doesn't hold yet therefore costs a little more than the time to bring it there. Without this cost, more
+//! copies are made the more exactly loads are known: on 56 engines at full load the shared tokens prefilled again rose
+//! from 4.9 to 9.0 million in 34 s when loads became exact.
 //!
-//! Grounds: reading 6,300 tokens takes 120 to 140 ms, fetching them from an engine 4 to 30 ms and
-//! from a store some 50 ms, so that the holder is worth waiting for only that long. Of those who hold
-//! an opening only the best few of each failure domain are weighed: the rest would take as long.
+//! Prefill of 6,300 tokens takes 120 to 140 ms, fetching them takes 4 to 30 ms from an engine and some 50 ms from a store;
+//! waiting for an engine that holds them is worth no more than that. Only the few best holders of each failure domain are
+//! compared, as the others would take as long.
 
-/// How much longer a move between failure domains takes.
+/// Factor for the time of a fetch between failure domains.
 const CROSS_DOMAIN_FACTOR: f64 = 2.0;
-/// Holders weighed in each failure domain: the best one, and another should that be the candidate.
+/// Sources compared in each failure domain: the best one, and a second in case the best is the candidate itself.
 const PER_DOMAIN: usize = 2;
 
-/// What one engine would take.
+/// An engine that may run the prompt, and its costs.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<K, A> {
     /// The engine.
     pub key: K,
-    /// Where it is.
+    /// Its address.
     pub addr: A,
     /// Its failure domain.
     pub domain: u64,
-    /// Milliseconds until it begins to read, for what runs and waits there.
+    /// Milliseconds until prefill begins, given the requests that run and wait there.
     pub wait: f64,
-    /// Milliseconds to read a token.
+    /// Milliseconds to prefill a token.
     pub prefill_per_token: f64,
     /// Tokens of the prompt that it holds.
     pub held: u32,
-    /// Milliseconds for each token that it doesn't hold yet, for what has to yield there.
+    /// Milliseconds charged for each token that it doesn't hold yet, for the tokens evicted there.
     pub eviction_cost: f64,
-    /// Milliseconds that the way takes.
+    /// Network delay in milliseconds.
     pub network_delay: f64,
-    /// Milliseconds that count against it, though nobody waits for them: its place in the prompt's own
-    /// order of engines.
+    /// Milliseconds that count against it without being waited for, such as by its place in the subject's own order
+    /// of engines.
     pub penalty: f64,
-    /// Factor for engines that have failed of late, or whose answers are worth less.
+    /// Factor on the cost; above 1 for engines that failed recently or whose answers are worth less.
     pub cost_factor: f64,
 }
 
-/// Who holds a part of the prompt.
+/// An engine or store that holds a part of the prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<A> {
-    /// Where.
+    /// Its address.
     pub addr: A,
     /// Its failure domain.
     pub domain: u64,
     /// Tokens of the prompt that it holds.
     pub held: u32,
-    /// Tokens that it will hold once it has done what it has to do already.
+    /// Tokens of the prompt that it will hold once its pending work is done.
     pub held_soon: u32,
-    /// Milliseconds to move a token within a failure domain.
+    /// Milliseconds to fetch a token within a failure domain.
     pub fetch_per_token: f64,
-    /// Milliseconds before the first one moves.
+    /// Milliseconds before the first token is transferred.
     pub fetch_setup: f64,
 }
 
-/// The sources that are worth weighing.
+/// The sources worth comparing.
 #[derive(Clone, Debug)]
 pub struct Sources<A> {
     held: Vec<Source<A>>,
@@ -80,8 +80,8 @@
 }
 
 impl<A: Copy> Sources<A> {
-    /// Picks the best of all sources; of equals the first, so that callers who turn the order spread
-    /// the moves over the holders.
+    /// Selects the best sources. The first of equals is kept, so callers that rotate the order spread the fetches over
+    /// the sources.
     pub fn new(all: impl IntoIterator<Item = Source<A>>) -> Self {
         let mut sources = Self {
             held: Vec::new(),
@@ -94,13 +94,13 @@
         sources
     }
 
-    /// How many sources each candidate is weighed against.
+    /// Number of sources that each candidate is compared with.
     pub fn count(&self) -> usize {
         self.held.len() + self.soon.len()
     }
 }
 
-/// Keeps a source if it is among the best of its domain.
+/// Keeps a source if it is among the best of its failure domain.
 fn keep<A: Copy>(kept: &mut Vec<Source<A>>, new: Source<A>, tokens: impl Fn(&Source<A>) -> u32) {
     if tokens(&new) == 0 {
         return;
@@ -115,25 +115,25 @@
     }
 }
 
-/// Where a prompt goes.
+/// The engine chosen for a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice<K, A> {
     /// The engine.
     pub key: K,
-    /// Who it fetches from.
+    /// Address of the source that the engine fetches from.
     pub fetch: Option<A>,
-    /// What it was chosen by: the time until the first token and all that counts against the engine.
+    /// The value that was minimized: the time until the first token with all penalties of the engine.
     pub cost: f64,
-    /// Milliseconds until the first token, as far as known.
+    /// Estimated milliseconds until the first token.
     pub ttft: f64,
-    /// Milliseconds of that until it begins to read.
+    /// Milliseconds of these until prefill begins.
     pub wait: f64,
-    /// Tokens that it reads.
+    /// Tokens that it prefills.
     pub prefill_tokens: u32,
 }
 
-/// The least cost for a prompt of some tokens; of equals the first, so that callers who turn the
-/// order spread them.
+/// Chooses the engine with the least cost for a prompt of `tokens` tokens. The first of equals wins, so callers that
+/// rotate the order spread the prompts.
 pub fn choose<'a, K: Copy, A: Copy + PartialEq + 'a>(
     tokens: u32,
     candidates: impl IntoIterator<Item = (Candidate<K, A>, &'a Sources<A>)>,
@@ -186,7 +186,7 @@
     }
 }
 
-/// Who may hold more than a candidate by the time that its turn to read comes.
+/// Address of a source that may hold more than the candidate by the time the candidate's prefill begins.
 fn likely_source<K: Copy, A: Copy + PartialEq>(
     c: &Candidate<K, A>,
     sources: &Sources<A>,
--- a/crates/policy/tests/probe_placement.rs
+++ b/crates/policy/tests/probe_placement.rs
@@ -1,4 +1,4 @@
-//! Whom an entry asks and whom it chooses.
+//! Which replicas an entry probes, and which one it chooses.
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
 use policy::probe_placement::{
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn entries_without_a_memory_ask_the_same_replicas() {
+fn entries_without_a_memory_probe_the_same_replicas() {
     let (peers, chain, config) = (peers(200), hashes(1_000, 1), Config::default());
     let memory = Recent::new(recent::Config::default());
     let ask = |seed| {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_replicas_used_lately_are_asked_first_while_they_live() {
+fn recently_used_replicas_are_probed_first_while_they_are_live() {
     let (peers, long, config) = (peers(50), hashes(1_000, 1), Config::default());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut memory = Recent::new(recent::Config::default());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_memory_is_bounded_and_forgets_what_it_is_told_to() {
+fn the_memory_is_bounded_and_drops_missed_prefixes() {
     let peers = peers(2);
     let mut memory = Recent::new(recent::Config { prefixes: 100 });
     for fill in 0..50 {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_least_of_wait_recomputation_and_way_is_chosen() {
+fn the_least_sum_of_wait_recomputation_and_delay_is_chosen() {
     struct Case {
         name: &'static str,
         heat: f64,
@@ -99,7 +99,7 @@
     let busy = |o: Offer| Offer { busy: 0.9, ..o };
     let cases = [
         Case {
-            name: "the holder, though it is a little busier",
+            name: "the holder, despite a slightly longer wait",
             heat: 0.0,
             home: None,
             offers: vec![at(0, 0, 0), at(1, 1_000, 1_900)],
@@ -127,14 +127,14 @@
             order: vec![2, 3],
         },
         Case {
-            name: "at its home, if nobody holds it and none waits much longer",
+            name: "the home replica, if no replica holds the prefix and its wait is little longer",
             heat: 0.0,
             home: Some(2),
             offers: vec![at(0, 0, 0), at(2, 0, 90), at(1, 0, 0)],
             order: vec![2, 0, 1],
         },
         Case {
-            name: "only those that serve",
+            name: "only replicas that serve",
             heat: 0.0,
             home: None,
             offers: vec![
@@ -155,7 +155,7 @@
             order: vec![3],
         },
         Case {
-            name: "a full holder, once waiting for it is the better way",
+            name: "a full holder rules out copies once waiting for it costs less",
             heat: 0.0,
             home: None,
             offers: vec![
@@ -169,7 +169,7 @@
             order: vec![2],
         },
         Case {
-            name: "a full holder while there is room for a copy",
+            name: "a full holder allows copies while there is room",
             heat: 0.0,
             home: None,
             offers: vec![
@@ -182,7 +182,7 @@
             order: vec![0],
         },
         Case {
-            name: "nobody answered",
+            name: "no replica answered",
             heat: 0.0,
             home: None,
             offers: vec![],
@@ -204,10 +204,10 @@
     }
 }
 
-/// Two replicas of four load new weights. A short request whose two rounds of probes met only
-/// these would be refused as if all were full, although the others are idle.
+/// Guards against two rounds of probes that reach only the two replicas of four that load weights: the request
+/// would be refused although the other two are idle.
 #[test]
-fn two_rounds_of_probes_reach_one_that_serves() {
+fn two_rounds_of_probes_reach_a_serving_replica() {
     let (all, config) = (peers(4), Config::default());
     let memory = Recent::new(recent::Config::default());
     let loading = [all[0].target, all[1].target];
--- a/crates/policy/tests/ttft_placement.rs
+++ b/crates/policy/tests/ttft_placement.rs
@@ -1,11 +1,11 @@
-//! Placing prompts of named parts by milliseconds to the first token.
+//! Placing prompts by the estimated time to the first token.
 
 use policy::outlook::{self, Load};
 use policy::ttft_placement::{choose, Candidate, Choice, Source, Sources};
 
-/// Milliseconds to read a token.
+/// Milliseconds to prefill a token.
 const PREFILL: f64 = 0.02;
-/// Milliseconds to move a token between engines.
+/// Milliseconds to fetch a token from another engine.
 const FETCH: f64 = 0.001;
 
 #[derive(Clone, Copy)]
@@ -51,7 +51,7 @@
     }
 }
 
-/// The choice for a prompt of 7,000 tokens.
+/// Places a prompt of 7,000 tokens.
 fn chosen(engines: &[Engine], room: f64) -> Choice<usize, usize> {
     let sources = Sources::new(engines.iter().enumerate().map(|(i, e)| source(i, e)));
     let candidates = engines.iter().enumerate();
@@ -61,8 +61,8 @@
 
 #[test]
 fn a_prompt_goes_where_its_first_token_comes_soonest() {
-    // An opening of 6,000 tokens is held by one engine. Its callers wait there for as long as that is
-    // worth it, then another engine fetches the opening; nobody reads it again unless nobody has it.
+    // Guards against waiting longer for the holder of an opening than a fetch takes, and against a second
+    // prefill of an opening that some engine holds.
     struct Case {
         name: &'static str,
         engines: [Engine; 3],
@@ -72,7 +72,7 @@
     }
     let cases = [
         Case {
-            name: "nobody holds it: the idlest reads it",
+            name: "no engine holds it: the idlest one prefills it",
             engines: [engine(30.0, 0), engine(5.0, 0), engine(20.0, 0)],
             key: 1,
             fetch: None,
@@ -86,28 +86,28 @@
             prefill_tokens: 1_000,
         },
         Case {
-            name: "the holder is a little busier than fetching is long",
+            name: "the wait at the holder is a little longer than a fetch",
             engines: [engine(20.0, 6_000), engine(0.0, 0), engine(50.0, 0)],
             key: 1,
             fetch: Some(0),
             prefill_tokens: 1_000,
         },
         Case {
-            name: "the holder is busy, but less so than fetching is long",
+            name: "the wait at the holder is shorter than a fetch",
             engines: [engine(6.0, 6_000), engine(0.0, 0), engine(0.0, 0)],
             key: 0,
             fetch: None,
             prefill_tokens: 1_000,
         },
         Case {
-            name: "a part is held here, the rest elsewhere",
+            name: "one engine holds a part, another one the rest",
             engines: [engine(90.0, 6_000), engine(0.0, 2_500), engine(0.0, 0)],
             key: 1,
             fetch: Some(0),
             prefill_tokens: 1_000,
         },
         Case {
-            name: "the one that is about to hold it is busy: the next asks it",
+            name: "the engine that will hold it is busy: another one fetches from it",
             engines: [
                 Engine {
                     held_soon: 6_000,
@@ -121,7 +121,7 @@
             prefill_tokens: 7_000,
         },
         Case {
-            name: "an engine that fails is worth less than a busy one",
+            name: "a failing engine costs more than a busy one",
             engines: [
                 Engine {
                     cost_factor: 10.0,
@@ -143,10 +143,9 @@
 }
 
 #[test]
-fn openings_stay_where_they_are_while_loads_are_uneven_only_a_little() {
-    // Thirty subjects are asked for in turn on three engines that are never equally busy. Without a
-    // price of room nearly each request moves its opening to another engine, where something else has
-    // to yield for it; with it, openings settle.
+fn openings_stay_on_their_engine_while_loads_differ_little() {
+    // Guards against moving an opening with nearly each request between engines of slightly different load, which
+    // evicts other tokens each time. The charge for eviction prevents the moves.
     let count_moves = |room: f64| {
         let mut held = [[0u32; 3]; 30];
         let mut moved = 0;
@@ -159,7 +158,7 @@
             let choice = chosen(&engines, room);
             if held[subject][choice.key] == 0 {
                 moved += 1;
-                // What comes in pushes out what is elsewhere.
+                // The copy on the other engine is evicted.
                 held[subject] = [0; 3];
                 held[subject][choice.key] = 6_000;
             }
@@ -177,11 +176,9 @@
 }
 
 #[test]
-fn openings_are_fetched_from_near_and_from_one_after_the_other() {
-    // Hundreds of engines hold one opening. All that lack it fetch from the one that comes first in
-    // some list; its link then carries them one after the other, and each waits for all before it.
-    // Callers begin the list elsewhere with each request, and a holder far away is used only if none
-    // is near.
+fn fetches_spread_over_the_holders_in_the_same_domain() {
+    // Guards against fetching from the first holder in the list each time, whose link would carry all fetches one
+    // after the other, and against fetching from another failure domain while a holder is in the same one.
     let holder = |addr: usize, domain: u64| Source {
         addr,
         domain,
@@ -199,9 +196,12 @@
         choice.fetch.expect("a holder")
     };
     let from: std::collections::BTreeSet<_> = (0..200).map(|turn| fetched(turn, 2)).collect();
-    assert!(from.len() >= 40, "only {} holders were asked", from.len());
-    assert!(from.iter().all(|a| a % 4 == 2), "far holders were asked");
-    // No engine is told to fetch from itself, also if it is the first to hold most.
+    assert!(from.len() >= 40, "only {} holders were used", from.len());
+    assert!(
+        from.iter().all(|a| a % 4 == 2),
+        "holders in other failure domains were used"
+    );
+    // No engine fetches from itself, even if it is the first of those that hold most.
     let sources = Sources::new([holder(5, 0), holder(6, 1)]);
     let itself = Candidate {
         addr: 5,
@@ -212,9 +212,9 @@
 }
 
 #[test]
-fn an_engine_without_time_memory_or_fresh_weights_is_worth_less() {
-    // An engine that has nothing to read looks best, though it loads weights, has no memory left or
-    // is about to leave the weights that answers are made on.
+fn an_engine_without_time_memory_or_current_weights_costs_more() {
+    // Guards against preferring an engine with no prompts to prefill that loads weights, has no free memory, or
+    // serves outdated weights.
     struct Case {
         name: &'static str,
         load: Load,
@@ -227,14 +227,14 @@
     #[rustfmt::skip]
     let cases = [
         Case { name: "long prompts before it", load: Load { tokens: 9_000.0, ..idle }, least: 179.0 },
-        Case { name: "prompts whose words are lost", load: Load { unread: 10, ..idle }, least: 80.0 },
+        Case { name: "prompts whose updates were lost", load: Load { unread: 10, ..idle }, least: 80.0 },
         Case { name: "many streams", load: Load { begun: 40, ..idle }, least: 20.0 },
         Case { name: "loading", load: Load { loading: 310.0, ..idle }, least: 300.0 },
         Case { name: "no memory left", load: Load { used: 95_000, ..idle }, least: 300.0 },
     ];
     assert!(
         idle.wait(9_000, PREFILL).abs() < 1e-9,
-        "an idle engine makes wait"
+        "an idle engine has a wait"
     );
     for c in cases {
         let wait = c.load.wait(9_000, PREFILL);
@@ -247,9 +247,9 @@
 }
 
 #[test]
-fn of_many_holders_a_few_are_weighed() {
-    // The largest fleet has 830 engines, and an entry has a tenth of a core. Were each engine compared
-    // against each holder, one choice would take milliseconds.
+fn only_a_few_of_many_holders_are_compared() {
+    // Guards against comparing each engine with each holder: with the 830 engines of the largest fleet and a tenth
+    // of a core for the entry, one choice would take milliseconds.
     let engines: Vec<_> = (0..830u32)
         .map(|i| engine(f64::from(i % 17), if i % 3 == 0 { 6_000 } else { 0 }))
         .collect();
