--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -1,20 +1,18 @@
-//! What an engine has yet to read, summed over all entries.
+//! The prompt tokens that an engine has yet to prefill, summed over all entries.
 //!
-//! Load pattern: many entries send to the same engines and know only what they have sent themselves.
-//! Each sees the engine as idle that the others have just chosen too. An engine's own report counts
-//! requests, not the tokens that they have left to read, which differ by a factor of a hundred.
+//! Load pattern: many entries send to the same engines, and each has data only on its own requests. All of them see the
+//! same engine as idle and choose it at once. An engine's own report counts requests, not the tokens that they have yet to
+//! prefill, which differ by a factor of a hundred.
 //!
-//! Entries tell the engine's sidecar of each prompt that they send and of its first event. What is
-//! neither read nor given up after a time counts no more, so that a lost word doesn't make an engine
-//! look busy for good.
+//! Entries report each prompt that they send, and its first event, to the engine's sidecar. A prompt that is neither
+//! prefilled nor cancelled stops counting after a time, so that a lost update doesn't make an engine look busy forever.
 //!
-//! The speed of each engine isn't learnt: what a slow one has yet to read piles up here and turns
-//! prompts away by itself. Learning it from these words was tried; the estimates then differed more
-//! than the engines, prompts moved from their holders to engines thought faster, and worth at 52 and 56
-//! engines fell from 0.42 and 0.50 to 0.31 and 0.36. What is learnt is one pace for all ([`crate::pace`]).
+//! The speed of each engine isn't estimated: the backlog of a slow engine grows here and diverts prompts by itself. With
+//! estimates from these updates, the estimates differed more than the engines did, prompts moved from engines that held
+//! their openings to engines that were thought faster, and the value of the answers at 52 and 56 engines fell from 0.42 and
+//! 0.50 to 0.31 and 0.36. Only one prefill speed for all engines is estimated ([`crate::pace`]).
 //!
-//! Grounds: an expiry of 3 s is longer than nearly all prompts wait, and short beside the time that
-//! load takes to shift.
+//! An expiry of 3 s is longer than the wait of nearly all prompts, and short relative to the time in which load shifts.
 
 use std::collections::HashMap;
 
@@ -22,13 +20,13 @@
 
 use crate::urgency::{self, STEPS};
 
-/// How long a prompt counts without a further word.
+/// How long a prompt counts without a further update.
 const EXPIRY: Micros = Micros::from_secs(3);
 
-/// Tokens to read, by the step of urgency that their prompts have ([`crate::urgency::step`]).
+/// Tokens to prefill, by the urgency step of their prompts ([`crate::urgency::step`]).
 pub type UnreadTokens = [u32; STEPS];
 
-/// A prompt that is yet to be read.
+/// A prompt that hasn't been prefilled yet.
 #[derive(Clone, Copy, Debug)]
 struct UnreadPrompt {
     tokens: u32,
@@ -36,7 +34,7 @@
     until: Micros,
 }
 
-/// Prompts that an engine has yet to read, by a hash of their request's id.
+/// Prompts that an engine has yet to prefill, by a hash of their request's id.
 #[derive(Debug, Default)]
 pub struct Backlog {
     open: HashMap<u64, UnreadPrompt>,
@@ -44,7 +42,7 @@
 }
 
 impl Backlog {
-    /// Notes a prompt with some tokens to read.
+    /// Adds a prompt with its number of tokens to prefill; replaces an earlier entry of the same request.
     pub fn add(&mut self, now: Micros, request: u64, tokens: u32) {
         self.take(request);
         let open = UnreadPrompt {
@@ -56,7 +54,7 @@
         self.unread[open.step] = self.unread[open.step].saturating_add(tokens);
     }
 
-    /// Notes that a prompt has been read or won't be.
+    /// Removes a prompt that has been prefilled or cancelled.
     pub fn remove(&mut self, request: u64) {
         self.take(request);
     }
@@ -68,7 +66,7 @@
         Some(open)
     }
 
-    /// Forgets what has expired.
+    /// Removes expired prompts.
     pub fn expire(&mut self, now: Micros) {
         let late: Vec<_> = self
             .open
@@ -79,18 +77,18 @@
         late.into_iter().for_each(|r| self.remove(r));
     }
 
-    /// Forgets all, as when the engine has started again.
+    /// Removes all prompts, for use after a restart of the engine.
     pub fn clear(&mut self) {
         self.open.clear();
         self.unread = UnreadTokens::default();
     }
 
-    /// Prompts to read.
+    /// Number of prompts to prefill.
     pub fn unread_prompts(&self) -> u32 {
         u32::try_from(self.open.len()).unwrap_or(u32::MAX)
     }
 
-    /// Tokens to read.
+    /// Number of tokens to prefill.
     pub fn unread_tokens(&self) -> UnreadTokens {
         self.unread
     }
--- a/crates/policy/src/crash_attribution.rs
+++ b/crates/policy/src/crash_attribution.rs
@@ -1,17 +1,16 @@
-//! Which answers broke off because their target ended.
+//! Attributing broken answers to the crash of their target.
 //!
-//! Load pattern: a connection breaks and nothing says why. The target may have crashed, a network
-//! may have dropped the connection, a process in between may have been restarted. Only a crash says
-//! something of the requests that ran there ([`crate::quarantine`]), and whoever holds the broken
-//! connection learns of it before or after the break: from the target's sidecar within a fraction of
-//! a second, from the platform's list within seconds.
+//! Load pattern: a connection breaks without a reason. The target may have crashed, the network may have dropped the
+//! connection, or a process in between may have been restarted. Only a crash says anything about the requests that ran on
+//! the target ([`crate::quarantine`]). The process with the broken connection learns of the target's end before or after
+//! the break: from the target's sidecar within a fraction of a second, from the platform's list within seconds.
 //!
-//! Both are kept for a while and matched, in whichever order they come. What was sent after the end
-//! was known can't have caused it.
+//! Breaks and ends are therefore both kept for a while and matched in whichever order they come. A request that was sent
+//! after the end was known can't have caused it.
 //!
-//! Grounds: the list drops a target that fell silent some three seconds after its last heartbeat, and
-//! is read within one more; five seconds cover that. A break and an end that meet by chance within
-//! them cost one strike of several, and a good answer takes it back.
+//! The platform's list drops a silent target some three seconds after its last heartbeat, and is read within one more
+//! second; five seconds cover both. A break and an end that fall into these five seconds by chance cost one strike of
+//! several, and a successful answer removes it.
 
 use std::collections::VecDeque;
 
@@ -19,25 +18,25 @@
 
 use crate::quarantine::{Crash, Fingerprint};
 
-/// How far a break and its target's end may lie apart.
+/// Longest time between a broken answer and the end of its target for them to match.
 const MATCH_WINDOW: Micros = Micros::from_secs(5);
-/// Breaks and ends remembered; an engine's places times a few.
+/// Most broken answers, and most ends, remembered; a few times the requests that an engine runs at once.
 const CAPACITY: usize = 512;
 
-/// A run whose answer broke off.
+/// A request whose answer broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BrokenAnswer {
-    /// What ran.
+    /// The request.
     pub print: Fingerprint,
-    /// Where.
+    /// The target and its incarnation.
     pub crash: Crash,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Micros,
-    /// When its answer broke off.
+    /// When the answer broke off.
     pub at: Micros,
 }
 
-/// Breaks and ends that one process has seen of late.
+/// Recent broken answers and ends of targets, as seen by one process.
 #[derive(Debug, Default)]
 pub struct CrashAttribution {
     breaks: VecDeque<BrokenAnswer>,
@@ -45,7 +44,7 @@
 }
 
 impl CrashAttribution {
-    /// Notes a break; true if its target is known to have ended.
+    /// Records a broken answer; true if its target is known to have ended after the request was sent.
     pub fn answer_broken(&mut self, run: BrokenAnswer) -> bool {
         self.expire(run.at);
         let end = self.ends.iter().find(|(_, c)| *c == run.crash);
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Notes a target's end; returns what had broken off there.
+    /// Records the end of a target; returns the requests whose answers had broken off there.
     pub fn target_ended(&mut self, now: Micros, crash: Crash) -> Vec<Fingerprint> {
         self.expire(now);
         if !self.ends.iter().any(|(_, c)| *c == crash) {
--- a/crates/policy/src/drain.rs
+++ b/crates/policy/src/drain.rs
@@ -1,29 +1,29 @@
-//! A planned stop that cuts off no request.
+//! Graceful shutdown that cuts off no request.
 //!
-//! Load pattern: every process is replaced on an ordinary day, under load, often many in a row. A
-//! process that exits on its signal cuts all its streams; one that stops listening first refuses
-//! the requests that the balancer, which learns of it late, still sends.
+//! Load pattern: every process is replaced on an ordinary day, under load, often many in a row. A process that exits on its
+//! signal cuts all its streams. One that stops listening first refuses requests that the load balancer still sends, as the
+//! balancer learns of the shutdown late.
 //!
-//! The steps: not ready, so that the balancer and the entries look elsewhere; what is queued goes
-//! back as not run and is placed elsewhere; late arrivals are still taken (at an entry) or refused
-//! as not run (at a sidecar) until the notice is over; what runs is finished; exit. There is no
-//! time limit here: whoever sends the signal decides how long a request may take.
+//! Steps: readiness is withdrawn, so that the balancer and the entries choose other processes. Queued requests are returned
+//! as not run and placed elsewhere. Until the notice ends, late arrivals are accepted at an entry, and refused as not run at
+//! a sidecar. Running requests finish, then the process exits. There is no time limit here: the sender of the signal decides
+//! how long a request may take.
 //!
-//! Grounds: balancers check readiness every second or two and need two failures, hence 5 s of
-//! notice at an entry. A sidecar refuses at once, since entries try elsewhere at no cost.
+//! Balancers check readiness every second or two and need two failures, hence 5 s of notice at an entry. A sidecar refuses
+//! at once, since entries retry elsewhere at no cost.
 
 use model::Micros;
 
-/// What kind of process stops.
+/// Kind of process that shuts down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes late arrivals for the time of its notice.
+    /// Accepts late arrivals during its notice.
     Entry,
     /// Refuses late arrivals as not run.
     Sidecar,
 }
 
-/// How a process stops.
+/// Settings of the shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// How long late arrivals are expected after readiness is withdrawn; 5 s.
@@ -38,29 +38,29 @@
     }
 }
 
-/// What happens to a process.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It is told to stop.
+    /// The process got the signal to stop.
     Stop,
-    /// A request was taken.
+    /// A request was accepted.
     Taken,
-    /// A request that was taken has ended, in whatever way.
+    /// An accepted request has ended, whatever its outcome.
     Ended,
     /// Time has passed.
     Tick,
 }
 
-/// What the driver is to do.
+/// What the caller has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Withdraw readiness and announce the leave to members.
+    /// Withdraw readiness and announce to the members that this process leaves.
     Announce,
-    /// Give queued requests back as not run.
+    /// Return queued requests as not run.
     GiveBack,
     /// Stop listening.
     Close,
-    /// Exit; nothing runs.
+    /// Exit: no requests are running.
     Exit,
 }
 
@@ -69,10 +69,10 @@
     Serving,
     Notice { until: Micros },
     Finishing,
-    Gone,
+    Exited,
 }
 
-/// The life of a process from serving to its exit.
+/// State machine of a process from serving to its exit.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     config: Config,
@@ -82,7 +82,7 @@
 }
 
 impl Drain {
-    /// A process that serves.
+    /// A process in service.
     pub fn new(config: Config, role: Role) -> Self {
         Self {
             config,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes an event.
+    /// Handles an event and appends the resulting actions.
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Taken => self.running += 1,
@@ -110,24 +110,24 @@
         }
         if self.phase == Phase::Finishing && self.running == 0 {
             out.push(Action::Exit);
-            self.phase = Phase::Gone;
+            self.phase = Phase::Exited;
         }
     }
 
-    /// Whether the balancer may send requests here.
+    /// Whether the process reports itself as ready to the load balancer.
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether a request that comes now is taken.
+    /// Whether a request that arrives now is accepted.
     pub fn accepts(&self) -> bool {
         match (self.phase, self.role) {
             (Phase::Serving, _) | (Phase::Notice { .. }, Role::Entry) => true,
-            (Phase::Notice { .. }, Role::Sidecar) | (Phase::Finishing | Phase::Gone, _) => false,
+            (Phase::Notice { .. }, Role::Sidecar) | (Phase::Finishing | Phase::Exited, _) => false,
         }
     }
 
-    /// When [`Event::Tick`] is next needed.
+    /// When the next [`Event::Tick`] is due.
     pub fn wake(&self) -> Option<Micros> {
         match self.phase {
             Phase::Notice { until } => Some(until),
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Requests that are not yet ended.
+    /// Number of running requests.
     pub fn running(&self) -> u64 {
         self.running
     }
--- a/crates/policy/src/liveness.rs
+++ b/crates/policy/src/liveness.rs
@@ -1,24 +1,23 @@
-//! Whether a target is alive, from its health checks and from the bytes of its answers.
+//! Whether a target is alive, from its health checks and the bytes of its answers.
 //!
-//! Load pattern: a target under full load, or a host without processor time to spare, answers its checks
-//! late or not at all while it works at all that it has accepted. Taken for dead, it loses every answer
-//! that it computes.
+//! Load pattern: a target under full load, or on a host without spare processor time, answers its checks late or not at all
+//! while it works on everything that it has accepted. If it is taken for dead, all the answers that it computes are lost.
 //!
-//! A refused connection says that nothing listens: the process has exited. A check that is late says
-//! nothing of the kind, and neither does a byte that arrives. Only a target that does neither for seconds
-//! counts as hung; what may be repeated then moves to another one.
+//! A refused connection means that no process listens: the target has exited. A late check doesn't mean that, and neither
+//! does a target whose answers still arrive. Only a target that for seconds neither answers checks nor sends bytes counts as
+//! hung; requests that may be repeated then move to another target.
 
 use model::Micros;
 
-/// When a target counts as what.
+/// Thresholds of the states.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Checks in a row that are late or refused; 2.
+    /// Number of late or refused checks in a row after which the state changes; 2.
     pub misses: u32,
-    /// How long a sign of life outweighs late checks; 1 s.
+    /// How long an answered check or a received byte outweighs late checks; 1 s.
     pub fresh: Micros,
-    /// How long a target without a sign of life keeps what may be repeated; 4 s, as long as a stream may
-    /// pause.
+    /// Time without an answered check or a byte after which repeatable requests move to another target; 4 s, the
+    /// longest allowed pause of a stream.
     pub hung: Micros,
 }
 
@@ -32,57 +31,57 @@
     }
 }
 
-/// Outcome of a health check, or that it is still awaited.
+/// Result of a health check, which may still be pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
-    /// The target answered.
+    /// The target answered the check.
     Answered,
     /// No answer yet, or an unreadable one.
     Late,
-    /// Nothing listens at its address.
+    /// The connection was refused: no process listens at the address.
     Refused,
 }
 
 /// State of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// It answers its checks, or its answers arrive.
+    /// The target answers its checks, or bytes of its answers arrive.
     #[default]
     Alive,
-    /// It does neither at the moment: it gets nothing new, and what it has continues.
+    /// Neither happens at the moment: the target gets no new requests, and its running ones continue.
     Unresponsive,
-    /// It has done neither for so long that what may be repeated is lost.
+    /// Neither has happened for so long that its repeatable requests count as lost.
     Hung,
-    /// Its process has exited, and its answers with it.
+    /// The process has exited, and its answers are lost.
     Exited,
 }
 
-/// Checks of one target.
+/// Health checks of one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Liveness {
     config: Config,
-    /// Checks in a row that weren't answered.
+    /// Number of checks in a row that weren't answered.
     missed: u32,
-    /// Those of them, the latest in a row, that were refused.
+    /// Number of checks in a row, up to the latest, that were refused.
     refused: u32,
-    /// When the last sign of life came, or the first check was made.
-    sign: Option<Micros>,
+    /// Time of the last answered check or received byte; before either, the time of the first check.
+    last_activity: Option<Micros>,
 }
 
 impl Liveness {
-    /// Notes a check.
+    /// Records the result of a check.
     pub fn checked(&mut self, now: Micros, check: Check) {
         let count = |n: u32, counts: bool| if counts { n.saturating_add(1) } else { 0 };
         self.missed = count(self.missed, check != Check::Answered);
         self.refused = count(self.refused, check == Check::Refused);
-        if check == Check::Answered || self.sign.is_none() {
-            self.sign = Some(now);
+        if check == Check::Answered || self.last_activity.is_none() {
+            self.last_activity = Some(now);
         }
     }
 
-    /// Notes when a byte of an answer came.
+    /// Records that bytes of an answer arrived at a time.
     pub fn received(&mut self, at: Micros) {
-        self.sign = self.sign.max(Some(at));
+        self.last_activity = self.last_activity.max(Some(at));
     }
 
     /// The target's state.
@@ -92,7 +91,7 @@
             fresh,
             hung,
         } = self.config;
-        let silent = self.sign.map_or(Micros::ZERO, |at| now.since(at));
+        let silent = self.last_activity.map_or(Micros::ZERO, |at| now.since(at));
         match self.missed >= misses {
             _ if self.refused >= misses => State::Exited,
             true if silent >= hung => State::Hung,
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -1,4 +1,4 @@
-//! Decisions of an entry that reaches targets without a sidecar, each under the load that it answers.
+//! Policies of an entry that reaches targets without a sidecar, each under the load pattern that it is for.
 
 use model::Micros;
 use policy::backlog::Backlog;
@@ -16,8 +16,8 @@
 
 #[test]
 fn all_entries_together_stay_within_the_pools_budget() {
-    // A pool fails in part and seven entries of very unequal traffic see it at once. Each sends what
-    // it may again; together they stay below what the pool's owner allows in every window.
+    // Guards against entries that each stay within a budget of their own and exceed the pool's budget together
+    // in some window. Seven entries of very unequal traffic see the same failures.
     const RATIO: f64 = 0.2;
     const SLACK: f64 = 56.0;
     let window = Micros::from_secs(10);
@@ -33,7 +33,7 @@
     for step in 0..4_000u64 {
         let now = ms(step * 10);
         for (i, entry) in entries.iter_mut().enumerate() {
-            // The n-th entry has a request every n steps, and all of them fail.
+            // The entry at index i has a request every i + 1 steps, and all of them fail.
             if step % (i as u64 + 1) == 0 {
                 entry.request(now);
                 requests.push(now);
@@ -54,13 +54,13 @@
     }
     assert!(
         retries.len() as f64 > 0.1 * requests.len() as f64,
-        "hardly used"
+        "the budget is hardly used"
     );
 }
 
 #[test]
 fn an_entry_with_little_traffic_may_still_retry() {
-    // One request in a minute fails by chance. Its caller shouldn't pay for the entry's being idle.
+    // Guards against an idle entry that has no retry for the only request in a minute, which fails by chance.
     let mut budget = shared::Budget::new(shared::Config {
         ratio: 0.2,
         slack: 56.0,
@@ -72,10 +72,9 @@
 }
 
 #[test]
-fn streams_that_were_cut_find_retries_left() {
-    // A third of the engines crash. First come hundreds of tries that were refused at the engines that
-    // are left; a moment later the next third crashes, and streams that have begun are cut. The ones
-    // refused could be told to come back; a stream that finds no retry left is lost.
+fn interrupted_streams_find_retries_left() {
+    // Guards against refused attempts that use up all retries after a third of the engines crash. When the next
+    // third crashes, interrupted streams without a retry are lost; refused requests could come back later.
     let mut budget = shared::Budget::new(shared::Config {
         ratio: 0.2,
         slack: 56.0,
@@ -87,15 +86,15 @@
     let refused = refused.count();
     let cut = (0..100).filter(|n| budget.spend(ms(300 + n), Need::HasRun));
     let cut = cut.count();
-    assert!(refused >= 15, "{refused} tries that were refused went on");
-    assert!(cut >= 15, "{cut} streams went on");
+    assert!(refused >= 15, "{refused} refused attempts were retried");
+    assert!(cut >= 15, "{cut} interrupted streams were retried");
     assert!(refused + cut <= 42, "beyond the budget");
 }
 
 #[test]
-fn a_target_that_fails_at_once_draws_no_more_traffic() {
-    // A target refuses nine in ten at once and looks idle for it. It is left out after a few failures,
-    // for longer each time, while one whose failures are as usual as its peers' stays.
+fn a_target_that_fails_at_once_attracts_no_more_traffic() {
+    // Guards against a target that refuses nine requests in ten, looks idle and gets ever more, and against
+    // ejecting a target whose failure rate is that of its peers.
     let config = circuit_breaker::Config::default();
     let mut grey = CircuitBreaker::default();
     let mut sent = 0;
@@ -117,14 +116,17 @@
             0 => usual.failure(&config, ms(n * 10), 0.14),
             _ => usual.success(&config),
         }
-        assert!(usual.usable(ms(n * 10)), "left out for usual failures");
+        assert!(
+            usual.usable(ms(n * 10)),
+            "ejected for the usual failure rate"
+        );
     }
 }
 
 #[test]
-fn a_dark_target_is_asked_ever_less_and_comes_back() {
-    // A target can't be reached. Each try costs a caller a timeout, so tries become rare; once one
-    // succeeds, it is as good as before.
+fn an_unreachable_target_is_tried_less_and_less_and_recovers() {
+    // Guards against frequent attempts at an unreachable target, each of which costs a caller a timeout, and
+    // against a restriction that remains after a success.
     let config = circuit_breaker::Config::default();
     let mut dark = CircuitBreaker::default();
     let tries = (0..20_000u64).step_by(10).filter(|t| {
@@ -136,16 +138,16 @@
         tried
     });
     let tries = tries.count();
-    assert!((4..=12).contains(&tries), "{tries} tries in 20 s");
+    assert!((4..=12).contains(&tries), "{tries} attempts in 20 s");
     dark.success(&config);
     assert!(dark.usable(ms(20_001)));
     assert!(!dark.on_trial(ms(20_001)));
 }
 
 #[test]
-fn what_was_told_twice_late_or_never_again_doesn_t_count_for_good() {
-    // Words about prompts are lost, repeated and come in any order. What an engine has yet to read
-    // comes back to nothing all the same.
+fn repeated_late_or_lost_updates_leave_no_permanent_backlog() {
+    // Guards against an engine that looks busy forever because updates about its prompts are lost, repeated or
+    // reordered.
     let mut backlog = Backlog::default();
     backlog.add(ms(0), 1, 500);
     backlog.add(ms(0), 1, 500);
@@ -160,16 +162,16 @@
     assert_eq!(
         backlog.unread_tokens(),
         [0, 0, 9_000],
-        "the word of its end was lost"
+        "the update of its end was lost"
     );
     backlog.clear();
     assert_eq!(backlog.unread_tokens(), [0, 0, 0]);
 }
 
 #[test]
-fn short_prompts_pass_long_ones_within_a_callers_rank() {
-    // Engines read what is most urgent first. A caller's rank decides; among equals, a short prompt
-    // isn't kept waiting by long ones, and counts only a part of them as being before it.
+fn short_prompts_overtake_long_ones_within_a_callers_rank() {
+    // Guards against short prompts that wait behind long ones of the same caller's rank, and against estimates that
+    // count all of the long ones as being ahead.
     let ranks = [(0, 100), (0, 3_000), (0, 20_000), (1, 100), (1, 20_000)];
     let ranks = ranks.map(|(caller, read)| urgency::rank(caller, read));
     assert!(
@@ -184,10 +186,9 @@
 }
 
 #[test]
-fn a_burst_of_prompts_is_read_shortest_first_and_more_are_in_time() {
-    // A second's worth of prompts comes at once, one long for four short. By order of arrival half of
-    // the short ones are late behind long ones; by urgency they are in time, and the last long one
-    // ends no later than before.
+fn prefilling_a_burst_shortest_first_gets_more_prompts_in_time() {
+    // Guards against prefill in order of arrival: in a burst with one long prompt for four short ones, half of the
+    // short ones are late behind long ones. By urgency they are in time, and the last long one ends no later.
     const READ: f64 = 1.0 / 45.0;
     const AIM: f64 = 400.0;
     let reads: Vec<u32> = (0..60)
@@ -213,8 +214,8 @@
 
 #[test]
 fn long_prompts_are_judged_by_what_waits_before_them() {
-    // A prompt of 25,000 tokens takes longer to read than its aim. It is served on an idle engine and
-    // on a busy one, and refused only if its caller would have left before its answer.
+    // Guards against refusing a prompt of 25,000 tokens because its own prefill exceeds the targeted time. It is
+    // refused only if its caller would have left before the answer.
     struct Case {
         name: &'static str,
         prospect: Prospect,
@@ -268,9 +269,8 @@
 
 #[test]
 fn at_twice_the_load_refusing_keeps_others_in_time() {
-    // For ten seconds twice as much comes as one engine reads. If all is sent, the queue grows without
-    // end and nearly nothing is in time; if what can't be in time is refused, about as much is in time
-    // as the engine can read.
+    // Guards against a queue without bound when for ten seconds twice as many prompts arrive as an engine can
+    // prefill: nearly none would be in time. With refusals, about as many are in time as the engine can prefill.
     let served = |refuse: bool| {
         let (aim, left, own) = (600.0, 4_000.0, 100.0);
         let mut queue: f64 = 0.0;
@@ -297,9 +297,9 @@
 }
 
 #[test]
-fn engines_are_dealt_out_by_the_work_of_both_kinds() {
-    // Long prompts bring two thirds of the work, then nearly none. The engines kept for them follow
-    // within seconds; each kind always has one, unless there is but one engine.
+fn engines_are_divided_by_the_work_of_both_kinds() {
+    // Guards against a division that doesn't follow the work within seconds, when long prompts go from two thirds
+    // of it to nearly none, and against a kind of prompt without an engine.
     let mut work = length_partition::RecentWork::default();
     for n in 0..2_000 {
         let now = ms(n * 10);
@@ -329,14 +329,14 @@
     );
     assert!(
         !length_partition::stalls_streams(8, 0.0),
-        "no pause is named"
+        "no pause limit is set"
     );
 }
 
 #[test]
-fn a_few_read_for_all_and_the_next_in_rank_when_one_falls_silent() {
-    // Twenty-eight entries read the same list. After a first round two of them do; when one of the
-    // two is killed, the next takes its place within two seconds, and at no time does nobody read.
+fn two_entries_poll_for_all_and_the_next_rank_replaces_a_killed_one() {
+    // Guards against all 28 entries polling the same list, and against a time in which none polls it after one of
+    // the two that do is killed; the next rank takes over within two seconds.
     let mut entries: Vec<_> = (0..28).map(|_| Readers::default()).collect();
     let mut reads = Vec::new();
     for step in 0..100u64 {
@@ -364,10 +364,9 @@
 }
 
 #[test]
-fn a_silence_of_both_readers_is_noticed_in_time_whenever_it_begins() {
-    // Two of four entries read the list for all, and both are killed right after a read. A target leaves
-    // at that moment. The other two had looked for the readers' silence in steps of a pause: 1.2 s, and
-    // up to 0.8 s more, so that callers' requests reached the target later than the two seconds allowed.
+fn the_silence_of_both_pollers_is_noticed_in_time_whenever_it_begins() {
+    // Guards against checking for silence only between polls: after both polling entries are killed, 1.2 s of silence
+    // and up to 0.8 s until the next check let requests reach a target that left more than two seconds ago.
     let killed = 10_000;
     for read in (killed - 3_900..killed).step_by(50) {
         for draw in [0.0, 0.5, 1.0] {
@@ -384,11 +383,11 @@
             );
             assert!(
                 next >= seldom.min(ms(killed + 1_200)),
-                "put off as long as others read"
+                "not postponed while others poll"
             );
         }
     }
-    // One who is needed reads every 0.6 to 0.8 s, also where it is alone.
+    // An entry that has to poll does so every 0.6 to 0.8 s, even if it is the only entry.
     for (draw, want) in [(0.0, 600), (1.0, 800)] {
         assert_eq!(
             Readers::default().next(ms(5_000), 2, draw),
@@ -398,30 +397,28 @@
 }
 
 #[test]
-fn weights_grow_old_from_the_first_version_after_them() {
-    // New weights are named every two seconds while one engine is cut off and keeps version 2. Its
-    // age counts from the naming of version 3, however often something newer is named after that; a
-    // caller doesn't get an answer on weights that were replaced seven seconds ago.
+fn weights_are_outdated_from_the_first_newer_version_on() {
+    // Guards against an age that restarts with each newer version: while an engine keeps version 2, its age counts
+    // from version 3, so that no caller gets an answer on weights that were replaced seven seconds ago.
     let mut versions = Versions::default();
     for (version, at) in [(2, 1_000), (3, 4_000), (4, 6_000), (5, 8_000)] {
         assert!(versions.name(ms(at), version, false));
-        assert!(!versions.name(ms(at), version, false), "told twice");
+        assert!(!versions.name(ms(at), version, false), "recorded twice");
     }
     assert_eq!(versions.outdated(ms(10_000), 2), Some(ms(6_000)));
     assert_eq!(versions.outdated(ms(10_000), 4), Some(ms(2_000)));
     assert_eq!(versions.outdated(ms(10_000), 5), None);
     assert_eq!((versions.newest(), versions.heard()), (5, ms(8_000)));
-    // A process that starts in the middle of it doesn't know when version 5 was named.
+    // A process that starts later has no record of when version 5 was published.
     let mut started = Versions::default();
     started.name(ms(100), 5, true);
     assert_eq!(started.outdated(ms(1_100), 2), Some(ms(3_500)));
 }
 
 #[test]
-fn the_pace_of_reading_is_what_first_tokens_show() {
-    // Engines read ten tokens in a millisecond at one site and three hundred at another. With one figure
-    // for both, long prompts are refused that would be in time, or all go to an opening's holder however
-    // much waits there.
+fn the_prefill_rate_follows_the_times_to_first_tokens() {
+    // Guards against one fixed prefill rate for sites with ten and with three hundred tokens a millisecond: prompts
+    // that would be in time are refused, or all go to an opening's holder however long its queue is.
     struct Case {
         name: &'static str,
         speed: f64,
@@ -434,17 +431,17 @@
     let short = |n: u64| 600 + (n % 2) as u32;
     #[rustfmt::skip]
     let cases = [
-        Case { name: "nothing seen", speed: 75.0, tokens: mixed, prompts: 0, want: GUESS, within: 0.0 },
+        Case { name: "no samples", speed: 75.0, tokens: mixed, prompts: 0, want: GUESS, within: 0.0 },
         Case { name: "slow", speed: 10.0, tokens: mixed, prompts: 300, want: 1.0 / 10.0, within: 0.15 },
         Case { name: "middling", speed: 75.0, tokens: mixed, prompts: 300, want: 1.0 / 75.0, within: 0.15 },
         Case { name: "fast", speed: 300.0, tokens: mixed, prompts: 300, want: 1.0 / 300.0, within: 0.5 },
-        Case { name: "all alike, which tells nothing", speed: 75.0, tokens: short, prompts: 300, want: GUESS, within: 0.02 },
+        Case { name: "prompts of equal length, which give no slope", speed: 75.0, tokens: short, prompts: 300, want: GUESS, within: 0.02 },
     ];
     for c in cases {
         let mut pace = Pace::default();
         for n in 0..c.prompts {
             let tokens = (c.tokens)(n);
-            // Each first token takes 70 ms and some chance beside what is read.
+            // Each first token takes 70 ms and some variation on top of the prefill.
             let chance = (n * 31 % 17) as f64;
             pace.add(tokens, 70.0 + chance + f64::from(tokens) / c.speed);
         }
--- a/crates/policy/tests/liveness.rs
+++ b/crates/policy/tests/liveness.rs
@@ -1,16 +1,16 @@
-//! Which targets count as dead, by their checks and the bytes of their answers.
+//! Which targets count as dead, by their health checks and the bytes of their answers.
 
 use model::Micros;
 use policy::liveness::{Check, Liveness, State};
 
-/// Interval of checks.
+/// Interval between checks.
 const PERIOD: Micros = Micros::from_millis(500);
 
-/// Checks in their order, and the bytes that come meanwhile.
+/// A sequence of checks, and the bytes that arrive between them.
 struct Case {
     what: &'static str,
     checks: &'static [Check],
-    /// Interval of bytes, if there are any.
+    /// Interval between bytes, if any arrive.
     bytes: Option<Micros>,
     state: State,
 }
@@ -35,7 +35,7 @@
         Case { what: "exited", checks: &[Answered, Refused, Refused], bytes: None, state: State::Exited },
         Case { what: "exited after tokens", checks: &[Refused; 2], bytes: often, state: State::Exited },
         Case { what: "late, then refused once", checks: &[Answered, Late, Refused], bytes: None, state: State::Unresponsive },
-        Case { what: "refused between late ones", checks: &[Refused, Late, Refused], bytes: often, state: State::Alive },
+        Case { what: "two refused, one late between them", checks: &[Refused, Late, Refused], bytes: often, state: State::Alive },
         Case { what: "back", checks: &[Refused, Refused, Answered], bytes: None, state: State::Alive },
     ];
     for c in cases {
