--- a/crates/policy/src/delegate.rs
+++ b/crates/policy/src/delegate.rs
@@ -1,30 +1,29 @@
-//! Which entry acts for an engine that no sidecar reports on.
+//! Which entry acts for an engine on which no sidecar reports.
 //!
-//! Load pattern: a pool without sidecars, or with sidecars that are dead, paused or cut off, while new
-//! weights are named every few seconds. An engine that is never ordered keeps old weights, and once those
-//! are too old all of its callers are refused. If each entry orders it, orders of several holders cross.
+//! Load pattern: a pool has no sidecars, or its sidecars are dead, paused or partitioned, while new weights are published
+//! every few seconds. An engine that gets no order keeps old weights, and once those are too old all of its requests are
+//! refused. If every entry sent orders, orders of several holders would arrive out of order.
 //!
-//! Entries stand in an order of their own for each engine, by rendezvous hashing, those of its failure
-//! domain first. Silence decides when one of them acts: each place waits for a time longer than the one
-//! before it, so that an entry that is gone is followed by the next one without an agreement. An entry that
-//! acts continues until a sidecar reports, or an entry with an earlier place does.
+//! For each engine, rendezvous hashing ranks the entries, those in the engine's failure domain first. An entry acts after a
+//! time without reports that grows with its rank, so the next entry replaces one that is gone without any agreement. An
+//! entry that acts continues until a sidecar reports, or an entry of lower rank does.
 //!
-//! What two entries that act at a time can order is bounded elsewhere: by slots ([`crate::slots`]) and by
-//! the time between two holders ([`crate::holder`]).
+//! When two entries act at the same time, their orders are limited by slots ([`crate::slots`]) and by the time between two
+//! holders ([`crate::holder`]).
 
 use model::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Times of silence.
+/// Times without a report after which an entry acts.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// After which an engine without a sidecar gets a delegate; 2 s.
+    /// For an engine without a sidecar; 2 s.
     pub no_sidecar: Micros,
-    /// After which a sidecar that is a member is replaced; 6 s, longer than most restarts take.
+    /// For an engine whose sidecar is a member; 6 s, longer than most restarts take.
     pub silent_sidecar: Micros,
-    /// After which a delegate is replaced; 1.5 s, several of its updates.
+    /// For an engine whose last report came from another delegate; 1.5 s, several update intervals.
     pub lost_delegate: Micros,
-    /// By which each place waits longer than the one before it; 1.5 s.
+    /// Additional time for each rank; 1.5 s.
     pub step_per_rank: Micros,
 }
 
@@ -42,13 +41,13 @@
 /// An entry that may act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Key of its host's name.
+    /// Hash of its host's name.
     pub host: u64,
-    /// Key of its failure domain.
+    /// Hash of its failure domain.
     pub domain: u64,
 }
 
-/// Place of an entry among those that may act for an engine.
+/// Rank of the entry `own` among all entries that may act for an engine; 0 is the first to act.
 pub fn rank(
     engine: u64,
     domain: u64,
@@ -63,29 +62,29 @@
     others.into_iter().filter(before).count()
 }
 
-/// The process that last reported on an engine.
+/// Kind of the process that last reported on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporter {
-    /// None since the engine was listed or this process started.
+    /// No process has reported since the engine was listed or this process started.
     None,
-    /// Its sidecar.
+    /// The engine's sidecar.
     Sidecar,
-    /// Another entry, by its place.
+    /// Another entry, with its rank.
     Delegate(usize),
 }
 
-/// An engine as an entry knows it.
+/// What an entry has received about an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Engine {
-    /// Whether its sidecar is a member.
+    /// Whether the engine's sidecar is a member.
     pub sidecar: bool,
-    /// The process that last reported on it, other than this one.
+    /// The last process other than this one that reported on the engine.
     pub reporter: Reporter,
-    /// For how long nothing was received from that process.
+    /// Time since the last report of that process.
     pub silence: Micros,
 }
 
-/// Whether an entry at a place acts for an engine, or continues to.
+/// Whether the entry of a rank acts for an engine; `acting` says whether it does so already.
 pub fn acts(config: &Config, engine: &Engine, rank: usize, acting: bool) -> bool {
     let recent = engine.silence < config.lost_delegate;
     match engine.reporter {
@@ -96,7 +95,7 @@
     }
 }
 
-/// Silence after which a place acts.
+/// Time without a report after which the entry of a rank acts.
 fn required_silence(config: &Config, sidecar: bool, reporter: Reporter, rank: usize) -> Micros {
     let base = match reporter {
         Reporter::Delegate(_) => config.lost_delegate,
--- a/crates/policy/src/holder.rs
+++ b/crates/policy/src/holder.rs
@@ -1,105 +1,105 @@
-//! Whether a process may order an engine that another one may have ordered.
+//! Whether a process may order an engine to load weights after another process may have done so.
 //!
-//! Load pattern: the orders of an engine change hands between its sidecar and entries that act for it, while
-//! processes are paused, killed and cut off from one another. Orders of two holders within a lease may cross
-//! on their way, and an engine that doesn't check fencing tokens carries out the older one last.
+//! Load pattern: the right to order an engine passes between its sidecar and entries that act for it, while processes are
+//! paused, killed and partitioned from one another. Orders that two holders send within one lease may arrive out of order,
+//! and an engine that doesn't check fencing tokens executes the older one last.
 //!
-//! The engine counts the orders that it has accepted, and every holder reads that count. A holder that finds
-//! it risen by an order that isn't its own waits for a lease. As an order also demands the count that was
-//! read, the second of two that come together is refused.
+//! The engine counts the orders that it has accepted, and every holder reads this count. A holder that finds the count
+//! raised by another process's order waits for one lease. Each order also carries the count that was read, and the engine
+//! refuses it if the count has changed, so the second of two simultaneous orders fails.
 //!
-//! What happened before its start a process doesn't know, so it waits for a lease from the first count that
-//! it has read. An engine's sidecar is spared that if an entry says that none has acted for the sidecar.
+//! A process has no record of orders from before its start, so it waits for one lease after it first reads the count. An
+//! engine's sidecar needn't wait if an entry reports that no other process has acted for the engine in that time.
 
 use model::Micros;
 
-/// Age of a remote engine's report, which the lease is extended by.
+/// Largest age of a report from an engine on another host; extends the lease.
 const LAG: Micros = Micros::from_millis(500);
 
-/// One process's right to order an engine.
+/// One process's right to send orders to an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Holder {
-    /// How long orders of two holders stay apart.
+    /// Least time between orders of two holders.
     lease: Micros,
-    /// Orders that the engine has accepted, as last read.
+    /// Number of orders that the engine has accepted, as last read.
     count: Option<u64>,
-    /// Orders of this process that may have been accepted since the count was read.
-    ours: u64,
-    /// From when on an order of another process that is known may be followed.
-    free: Micros,
-    /// The same for orders from before this process's start; none once there are none.
-    unknown: Option<Micros>,
+    /// Number of this process's orders that the engine may have accepted since the count was read.
+    own_orders: u64,
+    /// Earliest time of an order by this process, given the known orders of other processes.
+    earliest: Micros,
+    /// Earliest time given possible orders from before this process's start; `None` once such orders are ruled out.
+    unknown_until: Option<Micros>,
 }
 
 impl Holder {
-    /// A process that may order an engine.
+    /// A process that hasn't read the engine's count yet.
     pub fn new(lease: Micros) -> Self {
         Self {
             lease,
             count: None,
-            ours: 0,
-            free: Micros::ZERO,
-            unknown: Some(Micros::MAX),
+            own_orders: 0,
+            earliest: Micros::ZERO,
+            unknown_until: Some(Micros::MAX),
         }
     }
 
-    /// How long after an order of another process this one may order.
-    fn apart(&self) -> Micros {
+    /// How long this process waits after an order of another one.
+    fn handover_delay(&self) -> Micros {
         self.lease + LAG
     }
 
-    /// Takes over the count of orders from the engine's report; true if another process has ordered it.
+    /// Updates the count of orders from the engine's report; true if it shows an order of another process.
     pub fn update_count(&mut self, now: Micros, orders: u64) -> bool {
         let Some(known) = self.count.replace(orders) else {
-            let until = now + self.apart();
-            self.unknown = self.unknown.map(|_| until);
+            let until = now + self.handover_delay();
+            self.unknown_until = self.unknown_until.map(|_| until);
             return false;
         };
-        // A count that has fallen is that of another incarnation.
+        // A lower count is that of a new incarnation of the engine.
         if orders < known {
-            self.ours = 0;
+            self.own_orders = 0;
             return false;
         }
-        let foreign = orders > known + self.ours;
-        if foreign {
+        let other_ordered = orders > known + self.own_orders;
+        if other_ordered {
             self.record_other_holder(now);
         }
         if orders > known {
-            self.ours = 0;
+            self.own_orders = 0;
         }
-        foreign
+        other_ordered
     }
 
-    /// Notes an order of this process that the engine may have accepted.
+    /// Records an order of this process that the engine may have accepted.
     pub fn record_order(&mut self) {
-        self.ours += 1;
+        self.own_orders += 1;
     }
 
-    /// Notes that another process may have ordered the engine up to some time.
+    /// Records that another process may have sent orders until a time.
     pub fn record_other_holder(&mut self, at: Micros) {
-        self.free = self.free.max(at + self.apart());
+        self.earliest = self.earliest.max(at + self.handover_delay());
     }
 
-    /// Takes over how long no other process has acted for the engine, as an entry knows it.
+    /// Records an entry's report that no other process has acted for the engine for a time.
     pub fn record_quiet(&mut self, now: Micros, quiet: Micros) {
-        if quiet >= self.apart() {
-            self.unknown = None;
+        if quiet >= self.handover_delay() {
+            self.unknown_until = None;
         }
         self.record_other_holder(now - quiet);
     }
 
-    /// Takes over that the whole system starts for the first time.
+    /// Records that the whole system starts for the first time, so there are no earlier orders.
     pub fn record_first_start(&mut self) {
-        self.unknown = None;
+        self.unknown_until = None;
     }
 
-    /// Whether orders from before its start may still matter.
+    /// Whether orders from before this process's start may still conflict with its own.
     pub fn has_unknown_orders(&self, now: Micros) -> bool {
-        self.unknown.is_some_and(|until| now < until)
+        self.unknown_until.is_some_and(|until| now < until)
     }
 
-    /// Whether this process may order the engine.
+    /// Whether this process may send an order now.
     pub fn may_order(&self, now: Micros) -> bool {
-        self.count.is_some() && !self.has_unknown_orders(now) && now >= self.free
+        self.count.is_some() && !self.has_unknown_orders(now) && now >= self.earliest
     }
 }
--- a/crates/policy/tests/delegates.rs
+++ b/crates/policy/tests/delegates.rs
@@ -1,5 +1,5 @@
-//! Engines that no sidecar reports on: which entry acts, when orders may change hands, and what is still sent
-//! to old weights.
+//! Engines on which no sidecar reports: which entry acts, when the right to send orders passes on, and which prompts may
+//! still be sent to old weights.
 
 use model::Micros;
 use policy::delegate::{self, Config, Engine, Entry, Reporter};
@@ -10,18 +10,18 @@
 
 /// How long orders of two processes stay apart.
 const LEASE: u64 = 3_000;
-/// Age of an engine's report that was read from another host.
+/// Age of an engine's report when read from another host.
 const LAG: u64 = 200;
-/// Pause between two looks of a process.
-const LOOK: u64 = 250;
+/// Interval at which a process acts, in milliseconds.
+const INTERVAL: u64 = 250;
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
 }
 
-/// An entry acts too early beside a living agent, or not at all.
+/// Guards against an entry that acts beside a live agent, or doesn't act at all.
 #[test]
-fn silence_and_place_decide_which_entry_acts() {
+fn silence_and_rank_decide_which_entry_acts() {
     struct Case {
         name: &'static str,
         sidecar: bool,
@@ -36,17 +36,17 @@
     let cases = [
         Case { name: "just listed", sidecar: false, reporter: None, silence: 1_900, rank: 0, acting: false, acts: false },
         Case { name: "no sidecar", sidecar: false, reporter: None, silence: 2_000, rank: 0, acting: false, acts: true },
-        Case { name: "no sidecar, the second", sidecar: false, reporter: None, silence: 2_000, rank: 1, acting: false, acts: false },
-        Case { name: "no sidecar, the first is gone", sidecar: false, reporter: None, silence: 3_500, rank: 1, acting: false, acts: true },
-        Case { name: "a sidecar that restarts", sidecar: true, reporter: Sidecar, silence: 4_000, rank: 0, acting: false, acts: false },
-        Case { name: "a sidecar that was never received", sidecar: true, reporter: None, silence: 5_900, rank: 0, acting: false, acts: false },
-        Case { name: "a sidecar that is gone", sidecar: true, reporter: Sidecar, silence: 6_000, rank: 0, acting: false, acts: true },
+        Case { name: "no sidecar, second rank", sidecar: false, reporter: None, silence: 2_000, rank: 1, acting: false, acts: false },
+        Case { name: "no sidecar, the first rank is gone", sidecar: false, reporter: None, silence: 3_500, rank: 1, acting: false, acts: true },
+        Case { name: "the sidecar restarts", sidecar: true, reporter: Sidecar, silence: 4_000, rank: 0, acting: false, acts: false },
+        Case { name: "the sidecar is a member but has never reported", sidecar: true, reporter: None, silence: 5_900, rank: 0, acting: false, acts: false },
+        Case { name: "the sidecar is gone", sidecar: true, reporter: Sidecar, silence: 6_000, rank: 0, acting: false, acts: true },
         Case { name: "the sidecar is back", sidecar: true, reporter: Sidecar, silence: 50, rank: 0, acting: true, acts: false },
         Case { name: "a delegate reports", sidecar: false, reporter: Delegate(3), silence: 200, rank: 0, acting: false, acts: false },
         Case { name: "a delegate is lost", sidecar: false, reporter: Delegate(3), silence: 1_500, rank: 0, acting: false, acts: true },
-        Case { name: "an earlier one acts too", sidecar: false, reporter: Delegate(0), silence: 200, rank: 1, acting: true, acts: false },
-        Case { name: "a later one acts too", sidecar: false, reporter: Delegate(2), silence: 200, rank: 1, acting: true, acts: true },
-        Case { name: "none reports, it continues", sidecar: false, reporter: None, silence: 60_000, rank: 4, acting: true, acts: true },
+        Case { name: "an entry of lower rank acts too", sidecar: false, reporter: Delegate(0), silence: 200, rank: 1, acting: true, acts: false },
+        Case { name: "an entry of higher rank acts too", sidecar: false, reporter: Delegate(2), silence: 200, rank: 1, acting: true, acts: true },
+        Case { name: "no other process reports, the entry continues", sidecar: false, reporter: None, silence: 60_000, rank: 4, acting: true, acts: true },
     ];
     for c in cases {
         let engine = Engine {
@@ -59,9 +59,9 @@
     }
 }
 
-/// All engines of a pool get the same entry, or one in another failure domain.
+/// Guards against one entry acting for all engines of a pool, or an entry in another failure domain.
 #[test]
-fn places_spread_engines_over_the_entries_of_their_domain() {
+fn ranks_spread_engines_over_the_entries_of_their_domain() {
     let entries: Vec<_> = (0..6)
         .map(|i| Entry {
             host: 100 + i,
@@ -84,7 +84,7 @@
     assert!(first[..3].iter().all(|n| *n > 60), "{first:?}");
 }
 
-/// A prompt that waits at an engine begins on weights that no request may begin on any more.
+/// Guards against a prompt that waits at an engine and begins on weights that are too old by then.
 #[test]
 fn prompt_goes_to_older_weights_only_if_it_begins_in_time() {
     struct Case {
@@ -115,65 +115,67 @@
     }
 }
 
-/// One process that may order the engine.
+/// A process that may send orders to the engine.
 struct Process {
     entry: Entry,
     sidecar: bool,
     holder: Holder,
     acting: bool,
-    /// Not there before, paused until.
+    /// Time at which the process starts.
     start: u64,
+    /// Time until which the process is paused.
     paused: u64,
-    /// The last report of another process.
-    heard: Option<(usize, u64)>,
+    /// The last report from another process: its index and the time.
+    last_report: Option<(usize, u64)>,
     report: (u64, u64),
 }
 
-/// What happens to the processes of one engine.
+/// Faults that occur at the processes of one engine.
 #[derive(Clone, Copy)]
-struct Play {
+struct Scenario {
     name: &'static str,
     sidecar: bool,
     loss: f64,
-    /// Chance a second that a process is killed, or paused.
+    /// Probability per second that a process is killed.
     kills: f64,
+    /// Probability per second that a process is paused.
     pauses: f64,
 }
 
-/// Orders of two holders cross on their way to an engine that doesn't check tokens.
+/// Guards against orders of two holders that arrive out of order at an engine that doesn't check fencing tokens.
 #[test]
-fn orders_of_two_processes_stay_a_lease_apart_whatever_happens_to_them() {
+fn orders_of_two_processes_stay_a_lease_apart_under_all_faults() {
     #[rustfmt::skip]
-    let plays = [
-        Play { name: "calm", sidecar: false, loss: 0.0, kills: 0.0, pauses: 0.0 },
-        Play { name: "entries are killed", sidecar: false, loss: 0.1, kills: 0.05, pauses: 0.0 },
-        Play { name: "entries are paused", sidecar: false, loss: 0.1, kills: 0.0, pauses: 0.1 },
-        Play { name: "cut off from one another", sidecar: false, loss: 1.0, kills: 0.02, pauses: 0.0 },
-        Play { name: "a sidecar is killed and paused", sidecar: true, loss: 0.1, kills: 0.05, pauses: 0.05 },
-        Play { name: "a sidecar that is cut off", sidecar: true, loss: 1.0, kills: 0.0, pauses: 0.0 },
+    let scenarios = [
+        Scenario { name: "no faults", sidecar: false, loss: 0.0, kills: 0.0, pauses: 0.0 },
+        Scenario { name: "entries are killed", sidecar: false, loss: 0.1, kills: 0.05, pauses: 0.0 },
+        Scenario { name: "entries are paused", sidecar: false, loss: 0.1, kills: 0.0, pauses: 0.1 },
+        Scenario { name: "entries are partitioned", sidecar: false, loss: 1.0, kills: 0.02, pauses: 0.0 },
+        Scenario { name: "the sidecar is killed and paused", sidecar: true, loss: 0.1, kills: 0.05, pauses: 0.05 },
+        Scenario { name: "the sidecar is partitioned", sidecar: true, loss: 1.0, kills: 0.0, pauses: 0.0 },
     ];
-    for p in plays {
+    for p in scenarios {
         let mut given = 0;
         for seed in 0..60 {
-            given += play(p, seed);
+            given += simulate(p, seed);
         }
         assert!(given > 60, "{}: {given} orders", p.name);
     }
 }
 
-/// Plays two minutes of an engine whose weights are always out of date; gives the orders it accepted.
-fn play(p: Play, seed: u64) -> usize {
+/// Simulates two minutes of an engine whose weights are always outdated; returns the number of accepted orders.
+fn simulate(p: Scenario, seed: u64) -> usize {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut all: Vec<_> = (0..4).map(|i| process(i, p.sidecar && i == 0)).collect();
     let mut orders: Vec<(u64, usize)> = Vec::new();
-    for now in (0..120_000).step_by(LOOK as usize) {
+    for now in (0..120_000).step_by(INTERVAL as usize) {
         for (i, one) in all.iter_mut().enumerate() {
             let lasts = rng.random_range(500..9_000);
-            if rng.random_bool(p.kills * LOOK as f64 / 1_000.0) {
+            if rng.random_bool(p.kills * INTERVAL as f64 / 1_000.0) {
                 *one = process(i, one.sidecar);
                 one.start = now + lasts / 4;
             }
-            if rng.random_bool(p.pauses * LOOK as f64 / 1_000.0) {
+            if rng.random_bool(p.pauses * INTERVAL as f64 / 1_000.0) {
                 one.paused = now + lasts;
             }
         }
@@ -190,7 +192,7 @@
             }
             for to in (0..all.len()).filter(|to| *to != i) {
                 if !rng.random_bool(p.loss) {
-                    all[to].heard = Some((i, now));
+                    all[to].last_report = Some((i, now));
                 }
             }
             order(&mut all[i], i, now, &mut orders);
@@ -215,12 +217,12 @@
         acting: sidecar,
         start: 0,
         paused: 0,
-        heard: None,
+        last_report: None,
         report: (0, 0),
     }
 }
 
-/// Lets a sidecar ask the entries how long none has acted for it.
+/// Reports to a sidecar for how long no entry has acted for it.
 fn ask(all: &mut [Process], i: usize, now: u64) {
     if !all[i].holder.has_unknown_orders(ms(now)) {
         return;
@@ -229,7 +231,7 @@
         .iter()
         .filter(|o| !o.sidecar && now >= o.start && now >= o.paused);
     let quiet: Vec<_> = there
-        .map(|o| match o.heard.filter(|(from, _)| *from != i) {
+        .map(|o| match o.last_report.filter(|(from, _)| *from != i) {
             _ if o.acting => 0,
             Some((_, at)) => now - at,
             None => now - o.start,
@@ -240,7 +242,7 @@
     }
 }
 
-/// Lets a process decide whether it acts.
+/// Updates whether a process acts.
 fn act(all: &mut [Process], i: usize, now: u64) {
     if all[i].sidecar {
         return;
@@ -250,17 +252,17 @@
         let others = entries.iter().filter(|e| **e != own).copied();
         delegate::rank(7, 0, own, others)
     };
-    let reporter = match all[i].heard {
+    let reporter = match all[i].last_report {
         None => Reporter::None,
         Some((from, _)) if all[from].sidecar => Reporter::Sidecar,
         Some((from, _)) => Reporter::Delegate(rank(all[from].entry)),
     };
-    let heard = all[i].heard.map_or(all[i].start, |(_, at)| at);
+    let reported_at = all[i].last_report.map_or(all[i].start, |(_, at)| at);
     let engine = Engine {
         sidecar: all.iter().any(|o| o.sidecar),
         reporter,
-        // A process that was paused counts from its end.
-        silence: ms(now - heard.max(all[i].paused).min(now)),
+        // After a pause, silence counts from the end of the pause.
+        silence: ms(now - reported_at.max(all[i].paused).min(now)),
     };
     let (acting, own) = (all[i].acting, rank(all[i].entry));
     let acts = delegate::acts(&Config::default(), &engine, own, acting);
@@ -270,7 +272,7 @@
     all[i].acting = acts;
 }
 
-/// Lets a process read the engine's report and order it, if it may.
+/// Lets a process read the engine's report and send an order, if it may.
 fn order(process: &mut Process, i: usize, now: u64, orders: &mut Vec<(u64, usize)>) {
     let lag = if process.sidecar { 0 } else { LAG };
     let count = orders.iter().filter(|(at, _)| *at + lag <= now).count() as u64;
@@ -279,7 +281,7 @@
     if !process.holder.may_order(ms(now)) || !now.is_multiple_of(1_000) {
         return;
     }
-    // The engine refuses an order whose count isn't its own.
+    // The engine refuses an order with an outdated count.
     if count == orders.len() as u64 {
         process.holder.record_order();
         orders.push((now, i));
