--- a/crates/daemon/src/sidecar/decide/admission.rs
+++ b/crates/daemon/src/sidecar/decide/admission.rs
@@ -48,7 +48,7 @@
         Told {
             matched,
             wait,
-            prefill: self.cost.block(),
+            prefill: self.cost.prefill_per_block(),
             busy: self.busy.get(now, q.class),
             refusal,
             convicted,
--- a/crates/daemon/src/sidecar/decide/running.rs
+++ b/crates/daemon/src/sidecar/decide/running.rs
@@ -25,9 +25,9 @@
         // Engines prefill one prompt after another: this one began when the one before ended.
         let took = now.since(handed.max(self.last));
         self.last = now;
-        self.cost.measured(blocks, took);
+        self.cost.record(blocks, took);
         let sample = Sample {
-            expected: expected.max(self.cost.block()),
+            expected: expected.max(self.cost.prefill_per_block()),
             took: now.since(handed),
             running: self.prefilling() + 1,
         };
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -54,8 +54,8 @@
 impl Sidecar {
     pub(crate) fn new(target: TargetKey, block: Micros, token: Micros) -> Self {
         let cost = cost::Config {
-            first: block,
-            token,
+            initial: block,
+            decode_per_token: token,
             ..cost::Config::default()
         };
         Self {
@@ -91,7 +91,7 @@
             incarnation: self.index.incarnation(),
             matched,
             wait,
-            prefill: self.cost.block(),
+            prefill: self.cost.prefill_per_block(),
             state,
             busy: self.busy.get(now, ask.class),
             load: self.queue.len() as u32 + self.prefilling,
@@ -168,7 +168,7 @@
     /// Notes that the engine has sent a first token.
     pub(crate) fn prefilled(&mut self, now: Micros, blocks: u32, took: Micros, handed: Micros) {
         self.prefilling = self.prefilling.saturating_sub(1);
-        self.cost.measured(blocks, took);
+        self.cost.record(blocks, took);
         let sample = Sample {
             expected: self.cost.prefill(blocks),
             took: now.since(handed),
--- a/crates/policy/src/cost.rs
+++ b/crates/policy/src/cost.rs
@@ -15,20 +15,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Time to prefill one block before the first sample; 2 ms, 8,000 tokens a second.
-    pub first: Micros,
+    pub initial: Micros,
     /// Weight of a new sample; 0.05.
-    pub smooth: f64,
+    pub smoothing: f64,
     /// An output token's share of the engine's time when it decodes a full batch; 800 µs, 25 ms a step for 32
     /// requests.
-    pub token: Micros,
+    pub decode_per_token: Micros,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            first: Micros::from_millis(2),
-            smooth: 0.05,
-            token: Micros(800),
+            initial: Micros::from_millis(2),
+            smoothing: 0.05,
+            decode_per_token: Micros(800),
         }
     }
 }
@@ -50,21 +50,21 @@
         Self {
             config,
             blocks: INITIAL_WEIGHT,
-            time: config.first.0 as f64 * INITIAL_WEIGHT,
+            time: config.initial.0 as f64 * INITIAL_WEIGHT,
         }
     }
 
     /// Records how long the engine took to prefill a number of uncached blocks.
-    pub fn measured(&mut self, blocks: u32, took: Micros) {
+    pub fn record(&mut self, blocks: u32, took: Micros) {
         if blocks > 0 {
-            let keep = 1.0 - self.config.smooth;
+            let keep = 1.0 - self.config.smoothing;
             self.blocks = self.blocks * keep + f64::from(blocks);
             self.time = self.time * keep + took.0 as f64;
         }
     }
 
     /// Estimated time to prefill one block.
-    pub fn block(&self) -> Micros {
+    pub fn prefill_per_block(&self) -> Micros {
         Micros((self.time / self.blocks) as u64)
     }
 
@@ -75,6 +75,6 @@
 
     /// Estimated engine time of a whole request, given its uncached blocks and output tokens.
     pub fn work(&self, blocks: u32, output: u32) -> Micros {
-        self.prefill(blocks) + Micros(self.config.token.0 * u64::from(output))
+        self.prefill(blocks) + Micros(self.config.decode_per_token.0 * u64::from(output))
     }
 }
