--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -96,7 +96,7 @@
         let mut memory = self.cx.memory.lock();
         memory.recent.used(&self.job.want.chain, p.target);
         if memory.health.usable(clock::now(), p.target) == health::Use::Trial {
-            memory.health.tried(clock::now(), p.target);
+            memory.health.start_trial(clock::now(), p.target);
         }
     }
 
--- a/crates/daemon/src/entry/drive.rs
+++ b/crates/daemon/src/entry/drive.rs
@@ -213,7 +213,7 @@
             (false, None) => return,
         };
         let mut memory = self.cx.memory.lock();
-        memory.health.measured(clock::now(), target, sample);
+        memory.health.record(clock::now(), target, sample);
     }
 
     /// Ends a request whose attempt was broken off.
--- a/crates/policy/examples/replay/sim/run.rs
+++ b/crates/policy/examples/replay/sim/run.rs
@@ -269,7 +269,7 @@
             self.live[i].wait = told.map_or(Micros::ZERO, |o| o.wait);
             self.live[i].expected = Micros(least.0 * missing) + WAY[0];
             self.entries[entry].recent.used(&prompt.chain, best.target);
-            self.entries[entry].health.tried(now, best.target);
+            self.entries[entry].health.start_trial(now, best.target);
         }
         let order: Vec<usize> = choices.iter().map(|c| self.replica(c.target)).collect();
         self.send(now + WAY[0], i, order);
@@ -387,7 +387,7 @@
         };
         self.entries[entry]
             .health
-            .measured(now, self.targets[r], sample);
+            .record(now, self.targets[r], sample);
         let life = self.engines[r].life.0;
         self.push(now + decode, Step::Decoded(r, life, i));
         self.publish(now, r);
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -143,7 +143,7 @@
     }
 
     /// Records that a target on trial got its request.
-    pub fn tried(&mut self, now: Micros, target: TargetKey) {
+    pub fn start_trial(&mut self, now: Micros, target: TargetKey) {
         if let Some(record) = self.records.get_mut(&target) {
             record.state = match record.state {
                 State::Out { until } if until <= now => State::Trial {
@@ -160,7 +160,7 @@
     }
 
     /// Records that a request ended without a result that says anything about its target.
-    pub fn cancelled(&mut self, target: TargetKey) {
+    pub fn cancel_trial(&mut self, target: TargetKey) {
         if let Some(Record {
             state: State::Trial { in_flight, .. },
             ..
@@ -171,7 +171,7 @@
     }
 
     /// Records the result of a request, and ejects or restores the target.
-    pub fn measured(&mut self, now: Micros, target: TargetKey, sample: Sample) {
+    pub fn record(&mut self, now: Micros, target: TargetKey, sample: Sample) {
         let config = self.config;
         let slow = self.median(target).map(|m| m * config.slow);
         let may_eject = self.may_eject();
--- a/crates/policy/tests/control.rs
+++ b/crates/policy/tests/control.rs
@@ -111,21 +111,21 @@
     let mut health = Health::new(health::Config::default());
     for _ in 0..20 {
         for (i, target) in all.iter().enumerate() {
-            health.measured(ms(0), *target, answered(if i == 4 { 10 } else { 1 }));
+            health.record(ms(0), *target, answered(if i == 4 { 10 } else { 1 }));
         }
     }
     assert_eq!(health.usable(ms(4_999), all[4]), Use::Out);
     assert_eq!(health.usable(ms(4_999), all[3]), Use::Normal);
     assert_eq!(health.usable(secs(5), all[4]), Use::Trial);
-    health.tried(secs(5), all[4]);
+    health.start_trial(secs(5), all[4]);
     assert_eq!(health.usable(secs(5), all[4]), Use::Out);
     // Still slow: out for twice the time.
-    health.measured(secs(6), all[4], answered(10));
+    health.record(secs(6), all[4], answered(10));
     assert_eq!(health.usable(secs(15), all[4]), Use::Out);
     for _ in 0..3 {
         assert_eq!(health.usable(secs(16), all[4]), Use::Trial);
-        health.tried(secs(16), all[4]);
-        health.measured(secs(16), all[4], answered(1));
+        health.start_trial(secs(16), all[4]);
+        health.record(secs(16), all[4], answered(1));
     }
     assert_eq!(health.usable(secs(16), all[4]), Use::Normal);
 }
@@ -171,7 +171,7 @@
                     true => health::Sample::Failed,
                     false => answered(1 + round % 2),
                 };
-                health.measured(ms(round), *target, sample);
+                health.record(ms(round), *target, sample);
             }
         }
         assert_eq!(health.ejected(), case.ejected, "{}", case.name);
