--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -119,7 +119,7 @@
 /// Notes that a job's answer broke off at a target that it was sent to at a time.
 pub(super) fn broke(ctx: &Ctx, job: &Job, boot: &Boot, sent: Micros) {
     let run = BrokenAnswer {
-        print: job.print,
+        fingerprint: job.print,
         crash: crash(boot),
         sent,
         at: ctx.now(),
@@ -130,7 +130,7 @@
         .crash_attribution
         .answer_broken(run)
     {
-        strike(ctx, run.print, run.crash, Some(&job.id));
+        strike(ctx, run.fingerprint, run.crash, Some(&job.id));
     }
 }
 
--- a/crates/policy/src/crash_attribution.rs
+++ b/crates/policy/src/crash_attribution.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BrokenAnswer {
     /// The request.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// The target and its incarnation.
     pub crash: Crash,
     /// When the request was sent.
@@ -64,9 +64,9 @@
             self.ends.push_back((now, crash));
         }
         let there = self.breaks.iter().filter(|b| b.crash == crash);
-        let prints = there.map(|b| b.print).collect();
+        let fingerprints = there.map(|b| b.fingerprint).collect();
         self.breaks.retain(|b| b.crash != crash);
-        prints
+        fingerprints
     }
 
     fn expire(&mut self, now: Micros) {
--- a/crates/policy/tests/crashes.rs
+++ b/crates/policy/tests/crashes.rs
@@ -42,7 +42,7 @@
         let mut broken = CrashAttribution::default();
         let end = crash(if case.same { 1 } else { 2 });
         let run = BrokenAnswer {
-            print,
+            fingerprint: print,
             crash: crash(1),
             sent: ms(case.sent),
             at: ms(case.broke),
