--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -1,18 +1,21 @@
 //! The prompt tokens that an engine has yet to prefill, summed over all entries.
 //!
-//! Load pattern: many entries send to the same engines, and each has data only on its own requests. All of them see the
-//! same engine as idle and choose it at once. An engine's own report counts requests, not the tokens that they have yet to
-//! prefill, which differ by a factor of a hundred.
+//! Load pattern: many entries send to the same engines, and each has data only on its own requests. All of
+//! them see the same engine as idle and choose it at once. An engine's own report counts requests, not the
+//! tokens that they have yet to prefill, which differ by a factor of a hundred.
 //!
-//! Entries report each prompt that they send, and its first event, to the engine's sidecar. A prompt that is neither
-//! prefilled nor cancelled stops counting after a time, so that a lost update doesn't make an engine look busy forever.
+//! Entries report each prompt that they send, and its first event, to the engine's sidecar. A prompt that is
+//! neither prefilled nor cancelled stops counting after a time, so that a lost update doesn't make an engine
+//! look busy forever.
 //!
-//! The speed of each engine isn't estimated: the backlog of a slow engine grows here and diverts prompts by itself. With
-//! estimates from these updates, the estimates differed more than the engines did, prompts moved from engines that held
-//! their openings to engines that were thought faster, and the value of the answers at 52 and 56 engines fell from 0.42 and
-//! 0.50 to 0.31 and 0.36. Only one prefill speed for all engines is estimated ([`crate::pace`]).
+//! The speed of each engine isn't estimated: the backlog of a slow engine grows here and diverts prompts by
+//! itself. With estimates from these updates, the estimates differed more than the engines did, prompts moved
+//! from engines that held their openings to engines that were thought faster, and the value of the answers at
+//! 52 and 56 engines fell from 0.42 and 0.50 to 0.31 and 0.36. Only one prefill speed for all engines is
+//! estimated ([`crate::pace`]).
 //!
-//! An expiry of 3 s is longer than the wait of nearly all prompts, and short relative to the time in which load shifts.
+//! An expiry of 3 s is longer than the wait of nearly all prompts, and short relative to the time in which
+//! load shifts.
 
 use std::collections::HashMap;
 
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -1,16 +1,17 @@
 //! A circuit breaker for each target.
 //!
-//! Load pattern: some targets of a pool are unreachable, refuse connections, or fail a part of their requests, while the
-//! platform's list and their health checks report them as good. A target that fails at once looks idle and gets more
-//! requests the worse it is; an unreachable one holds each request until a timeout.
+//! Load pattern: some targets of a pool are unreachable, refuse connections, or fail a part of their
+//! requests, while the platform's list and their health checks report them as good. A target that fails at
+//! once looks idle and gets more requests the worse it is; an unreachable one holds each request until a
+//! timeout.
 //!
-//! The breaker of a target that can't be reached opens for a time that doubles with each opening. The breaker of a target
-//! that answers but fails opens once its failure rate, averaged over its last few answers, is far above that of its peers,
-//! since some requests fail at any target. After that time the target is on trial: it gets one request at a time. If the
-//! breakers of all targets of a pool are open, all of them are used.
+//! The breaker of a target that can't be reached opens for a time that doubles with each opening. The breaker
+//! of a target that answers but fails opens once its failure rate, averaged over its last few answers, is far
+//! above that of its peers, since some requests fail at any target. After that time the target is on trial:
+//! it gets one request at a time. If the breakers of all targets of a pool are open, all of them are used.
 //!
-//! One request in three lost to a single target costs a pool of nine more than that target's share of the work. With a
-//! weight of 0.15 for a new answer, about four failures in a row open the breaker.
+//! One request in three lost to a single target costs a pool of nine more than that target's share of the
+//! work. With a weight of 0.15 for a new answer, about four failures in a row open the breaker.
 
 use model::Micros;
 
--- a/crates/policy/src/cost.rs
+++ b/crates/policy/src/cost.rs
@@ -1,13 +1,13 @@
 //! Estimating the engine time of a request from measured prefills.
 //!
-//! Load pattern: requests differ by a factor of a hundred in work, most of which is saved where their prefix is cached,
-//! and replicas differ in speed. Counting requests makes a replica with three long ones look idle beside one with five
-//! short ones; relying on a data sheet overloads a slow replica.
+//! Load pattern: requests differ by a factor of a hundred in work, most of which is saved where their prefix
+//! is cached, and replicas differ in speed. Counting requests makes a replica with three long ones look idle
+//! beside one with five short ones; relying on a data sheet overloads a slow replica.
 //!
-//! Prefill time is close to proportional to the number of uncached blocks, so one slope is enough. It is measured as total
-//! time over total blocks, both decaying with each sample, so that requests of few blocks, which are mostly overhead, have
-//! little weight. With a weight of 5% for a new sample the estimate follows a change of speed within some 20 requests, a few
-//! seconds of one replica's traffic.
+//! Prefill time is close to proportional to the number of uncached blocks, so one slope is enough. It is
+//! measured as total time over total blocks, both decaying with each sample, so that requests of few blocks,
+//! which are mostly overhead, have little weight. With a weight of 5% for a new sample the estimate follows a
+//! change of speed within some 20 requests, a few seconds of one replica's traffic.
 
 use model::Micros;
 
--- a/crates/policy/src/crash_attribution.rs
+++ b/crates/policy/src/crash_attribution.rs
@@ -1,16 +1,17 @@
 //! Attributing broken answers to the crash of their target.
 //!
-//! Load pattern: a connection breaks without a reason. The target may have crashed, the network may have dropped the
-//! connection, or a process in between may have been restarted. Only a crash says anything about the requests that ran on
-//! the target ([`crate::quarantine`]). The process with the broken connection learns of the target's end before or after
-//! the break: from the target's sidecar within a fraction of a second, from the platform's list within seconds.
+//! Load pattern: a connection breaks without a reason. The target may have crashed, the network may have
+//! dropped the connection, or a process in between may have been restarted. Only a crash says anything about
+//! the requests that ran on the target ([`crate::quarantine`]). The process with the broken connection learns
+//! of the target's end before or after the break: from the target's sidecar within a fraction of a second,
+//! from the platform's list within seconds.
 //!
-//! Breaks and ends are therefore both kept for a while and matched in whichever order they come. A request that was sent
-//! after the end was known can't have caused it.
+//! Breaks and ends are therefore both kept for a while and matched in whichever order they come. A request
+//! that was sent after the end was known can't have caused it.
 //!
-//! The platform's list drops a silent target some three seconds after its last heartbeat, and is read within one more
-//! second; five seconds cover both. A break and an end that fall into these five seconds by chance cost one strike of
-//! several, and a successful answer removes it.
+//! The platform's list drops a silent target some three seconds after its last heartbeat, and is read within
+//! one more second; five seconds cover both. A break and an end that fall into these five seconds by chance
+//! cost one strike of several, and a successful answer removes it.
 
 use std::collections::VecDeque;
 
--- a/crates/policy/src/delegate.rs
+++ b/crates/policy/src/delegate.rs
@@ -1,15 +1,17 @@
 //! Which entry acts for an engine on which no sidecar reports.
 //!
-//! Load pattern: a pool has no sidecars, or its sidecars are dead, paused or partitioned, while new weights are published
-//! every few seconds. An engine that gets no order keeps old weights, and once those are too old all of its requests are
-//! refused. If every entry sent orders, orders of several holders would arrive out of order.
+//! Load pattern: a pool has no sidecars, or its sidecars are dead, paused or partitioned, while new weights
+//! are published every few seconds. An engine that gets no order keeps old weights, and once those are too
+//! old all of its requests are refused. If every entry sent orders, orders of several holders would arrive
+//! out of order.
 //!
-//! For each engine, rendezvous hashing ranks the entries, those in the engine's failure domain first. An entry acts after a
-//! time without reports that grows with its rank, so the next entry replaces one that is gone without any agreement. An
-//! entry that acts continues until a sidecar reports, or an entry of lower rank does.
+//! For each engine, rendezvous hashing ranks the entries, those in the engine's failure domain first. An
+//! entry acts after a time without reports that grows with its rank, so the next entry replaces one that is
+//! gone without any agreement. An entry that acts continues until a sidecar reports, or an entry of lower
+//! rank does.
 //!
-//! When two entries act at the same time, their orders are limited by slots ([`crate::slots`]) and by the time between two
-//! holders ([`crate::holder`]).
+//! When two entries act at the same time, their orders are limited by slots ([`crate::slots`]) and by the
+//! time between two holders ([`crate::holder`]).
 
 use model::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/policy/src/drain.rs
+++ b/crates/policy/src/drain.rs
@@ -1,16 +1,16 @@
 //! Graceful shutdown that cuts off no request.
 //!
-//! Load pattern: every process is replaced on an ordinary day, under load, often many in a row. A process that exits on its
-//! signal cuts all its streams. One that stops listening first refuses requests that the load balancer still sends, as the
-//! balancer learns of the shutdown late.
+//! Load pattern: every process is replaced on an ordinary day, under load, often many in a row. A process
+//! that exits on its signal cuts all its streams. One that stops listening first refuses requests that the
+//! load balancer still sends, as the balancer learns of the shutdown late.
 //!
-//! Steps: readiness is withdrawn, so that the balancer and the entries choose other processes. Queued requests are returned
-//! as not run and placed elsewhere. Until the notice ends, late arrivals are accepted at an entry, and refused as not run at
-//! a sidecar. Running requests finish, then the process exits. There is no time limit here: the sender of the signal decides
-//! how long a request may take.
+//! Steps: readiness is withdrawn, so that the balancer and the entries choose other processes. Queued
+//! requests are returned as not run and placed elsewhere. Until the notice ends, late arrivals are accepted
+//! at an entry, and refused as not run at a sidecar. Running requests finish, then the process exits. There
+//! is no time limit here: the sender of the signal decides how long a request may take.
 //!
-//! Balancers check readiness every second or two and need two failures, hence 5 s of notice at an entry. A sidecar refuses
-//! at once, since entries retry elsewhere at no cost.
+//! Balancers check readiness every second or two and need two failures, hence 5 s of notice at an entry. A
+//! sidecar refuses at once, since entries retry elsewhere at no cost.
 
 use model::Micros;
 
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,23 +1,25 @@
 //! Ejecting targets that are much slower than their peers or fail more (outlier ejection).
 //!
-//! Load pattern: one target of a pool answers, but at a fraction of its speed, because of a hot accelerator, a noisy
-//! neighbour or a bad disk. Heartbeats don't detect this. Its share of the requests, one in nine, determines the p99 of the
-//! whole pool. A fixed threshold doesn't help: under load all targets are slow, and ejecting all of them would end the
-//! service.
+//! Load pattern: one target of a pool answers, but at a fraction of its speed, because of a hot accelerator,
+//! a noisy neighbour or a bad disk. Heartbeats don't detect this. Its share of the requests, one in nine,
+//! determines the p99 of the whole pool. A fixed threshold doesn't help: under load all targets are slow, and
+//! ejecting all of them would end the service.
 //!
-//! A target is compared with the median of its pool. Beyond [`Config::slow`] times the median it is ejected, unless
-//! [`Config::ejected`] of the pool is out already. After a time that doubles with each ejection the target is on trial: it
-//! gets one request at a time. The first bad one ejects it again, and [`Config::trials`] good ones restore it.
+//! A target is compared with the median of its pool. Beyond [`Config::slow`] times the median it is ejected,
+//! unless [`Config::ejected`] of the pool is out already. After a time that doubles with each ejection the
+//! target is on trial: it gets one request at a time. The first bad one ejects it again, and
+//! [`Config::trials`] good ones restore it.
 //!
-//! The compared figure is the time taken divided by the time promised in the target's own offer, so that long requests or a
-//! correctly announced queue don't make a target look slow. Both times are averaged before the division: with averages of
-//! ratios, a few short requests ejected a busy replica and lost the prefixes that it holds. For the same reason a request
-//! whose announced wait is longer than its expected service time isn't counted; at full load these are nearly all requests.
-//! A failure counts as [`FAILURE_FACTOR`] times the usual time.
+//! The compared figure is the time taken divided by the time promised in the target's own offer, so that long
+//! requests or a correctly announced queue don't make a target look slow. Both times are averaged before the
+//! division: with averages of ratios, a few short requests ejected a busy replica and lost the prefixes that
+//! it holds. For the same reason a request whose announced wait is longer than its expected service time
+//! isn't counted; at full load these are nearly all requests. A failure counts as [`FAILURE_FACTOR`] times
+//! the usual time.
 //!
-//! Replicas under the same load differ by up to a factor of two through their queues, so three times the median lies beyond
-//! normal variation. With a quarter of the pool out, the others have a third more to do, which they can handle below 75%
-//! load.
+//! Replicas under the same load differ by up to a factor of two through their queues, so three times the
+//! median lies beyond normal variation. With a quarter of the pool out, the others have a third more to do,
+//! which they can handle below 75% load.
 
 use std::collections::HashMap;
 
--- a/crates/policy/src/holder.rs
+++ b/crates/policy/src/holder.rs
@@ -1,15 +1,18 @@
 //! Whether a process may order an engine to load weights after another process may have done so.
 //!
-//! Load pattern: the right to order an engine passes between its sidecar and entries that act for it, while processes are
-//! paused, killed and partitioned from one another. Orders that two holders send within one lease may arrive out of order,
-//! and an engine that doesn't check fencing tokens executes the older one last.
+//! Load pattern: the right to order an engine passes between its sidecar and entries that act for it, while
+//! processes are paused, killed and partitioned from one another. Orders that two holders send within one
+//! lease may arrive out of order, and an engine that doesn't check fencing tokens executes the older one
+//! last.
 //!
-//! The engine counts the orders that it has accepted, and every holder reads this count. A holder that finds the count
-//! raised by another process's order waits for one lease. Each order also carries the count that was read, and the engine
-//! refuses it if the count has changed, so the second of two simultaneous orders fails.
+//! The engine counts the orders that it has accepted, and every holder reads this count. A holder that finds
+//! the count raised by another process's order waits for one lease. Each order also carries the count that
+//! was read, and the engine refuses it if the count has changed, so the second of two simultaneous orders
+//! fails.
 //!
-//! A process has no record of orders from before its start, so it waits for one lease after it first reads the count. An
-//! engine's sidecar needn't wait if an entry reports that no other process has acted for the engine in that time.
+//! A process has no record of orders from before its start, so it waits for one lease after it first reads
+//! the count. An engine's sidecar needn't wait if an entry reports that no other process has acted for the
+//! engine in that time.
 
 use model::Micros;
 
--- a/crates/policy/src/length_partition.rs
+++ b/crates/policy/src/length_partition.rs
@@ -1,22 +1,22 @@
 //! Separate engines for long and for short prompts.
 //!
-//! Load pattern: an engine prefills in large chunks between the tokens that it generates. While it prefills one long prompt
-//! after the other, each token of the streams beside them takes ten times as long. Short questions with long answers then
-//! pause for half a second, and remain for so long that they fill the engine's memory. Long prompts with answers of a few
-//! tokens don't suffer from this.
+//! Load pattern: an engine prefills in large chunks between the tokens that it generates. While it prefills
+//! one long prompt after the other, each token of the streams beside them takes ten times as long. Short
+//! questions with long answers then pause for half a second, and remain for so long that they fill the
+//! engine's memory. Long prompts with answers of a few tokens don't suffer from this.
 //!
-//! Where an event holds few tokens, or long pauses are allowed, streams tolerate the pauses, and separating the two kinds
-//! only leaves one half idle while the other is full. Engines are therefore separated only where a stream beside a prefill
-//! would pause for too long.
+//! Where an event holds few tokens, or long pauses are allowed, streams tolerate the pauses, and separating
+//! the two kinds only leaves one half idle while the other is full. Engines are therefore separated only
+//! where a stream beside a prefill would pause for too long.
 //!
-//! The engines of a pool are divided among both kinds in proportion to the work of each, in an order that all entries
-//! derive without communication. Using an engine of the other kind only adds a cost: when one half is full, the other takes
-//! the rest.
+//! The engines of a pool are divided among both kinds in proportion to the work of each, in an order that all
+//! entries derive without communication. Using an engine of the other kind only adds a cost: when one half is
+//! full, the other takes the rest.
 //!
-//! A prompt of 2,500 tokens is prefilled in more than one chunk. The proportions come from an entry's own work over some
-//! seconds. On 52 engines with 131 long and 368 short prompts a second and a quarter of the engines unreachable, 10,329
-//! instead of 8,417 of 13,590 short streams were in time, and the number of long ones in time fell by no more than one in a
-//! hundred.
+//! A prompt of 2,500 tokens is prefilled in more than one chunk. The proportions come from an entry's own
+//! work over some seconds. On 52 engines with 131 long and 368 short prompts a second and a quarter of the
+//! engines unreachable, 10,329 instead of 8,417 of 13,590 short streams were in time, and the number of long
+//! ones in time fell by no more than one in a hundred.
 
 use model::Micros;
 
--- a/crates/policy/src/liveness.rs
+++ b/crates/policy/src/liveness.rs
@@ -1,11 +1,12 @@
 //! Whether a target is alive, from its health checks and the bytes of its answers.
 //!
-//! Load pattern: a target under full load, or on a host without spare processor time, answers its checks late or not at all
-//! while it works on everything that it has accepted. If it is taken for dead, all the answers that it computes are lost.
+//! Load pattern: a target under full load, or on a host without spare processor time, answers its checks late
+//! or not at all while it works on everything that it has accepted. If it is taken for dead, all the answers
+//! that it computes are lost.
 //!
-//! A refused connection means that no process listens: the target has exited. A late check doesn't mean that, and neither
-//! does a target whose answers still arrive. Only a target that for seconds neither answers checks nor sends bytes counts as
-//! hung; requests that may be repeated then move to another target.
+//! A refused connection means that no process listens: the target has exited. A late check doesn't mean that,
+//! and neither does a target whose answers still arrive. Only a target that for seconds neither answers
+//! checks nor sends bytes counts as hung; requests that may be repeated then move to another target.
 
 use model::Micros;
 
--- a/crates/policy/src/misdirected.rs
+++ b/crates/policy/src/misdirected.rs
@@ -1,12 +1,13 @@
 //! Excluding a target after another one has answered at its address.
 //!
-//! Load pattern: a target's process has ended, another one has taken its address, and the list names both for some seconds.
-//! Each request to the former target is refused there and costs a retry, so that target is excluded. The exclusion may be
-//! wrong, when the refusal was caused by another host's restart or by a wrong row in the list. If it lasted until the row
-//! is removed, an entry would never again use that target in this incarnation.
+//! Load pattern: a target's process has ended, another one has taken its address, and the list names both for
+//! some seconds. Each request to the former target is refused there and costs a retry, so that target is
+//! excluded. The exclusion may be wrong, when the refusal was caused by another host's restart or by a wrong
+//! row in the list. If it lasted until the row is removed, an entry would never again use that target in this
+//! incarnation.
 //!
-//! A target that renews its row after the refusal was alive after it, so renewals end the exclusion. As rows may also be
-//! written by another process, each further exclusion needs twice as many renewals to end.
+//! A target that renews its row after the refusal was alive after it, so renewals end the exclusion. As rows
+//! may also be written by another process, each further exclusion needs twice as many renewals to end.
 
 use model::{Micros, Position};
 
--- a/crates/policy/src/probe_placement.rs
+++ b/crates/policy/src/probe_placement.rs
@@ -1,28 +1,30 @@
 //! Choosing a replica by probing sidecars.
 //!
-//! Load pattern: prompts share long prefixes, nested in several levels. A few prefixes are very hot, and engines
-//! evict cached blocks within seconds. Spreading requests evenly recomputes each prefix at each replica; pinning each
-//! prefix to one replica overloads that replica as soon as the prefix is hot.
+//! Load pattern: prompts share long prefixes, nested in several levels. A few prefixes are very hot, and
+//! engines evict cached blocks within seconds. Spreading requests evenly recomputes each prefix at each
+//! replica; pinning each prefix to one replica overloads that replica as soon as the prefix is hot.
 //!
-//! An entry probes at most [`Config::probes`] sidecars, whose data on their engine's cache and queue is exact. It
-//! chooses the least sum of expected wait, prefill of the blocks that aren't cached, and network delay. Hot prefixes
-//! therefore spread without coordination: once the wait at the replica that holds a prefix exceeds the cost of
-//! computing it again, the next replica in rendezvous order computes it and is found there from then on. When the
-//! load on the prefix drops, the first replica in the order is idle enough again and the copies are evicted.
+//! An entry probes at most [`Config::probes`] sidecars, whose data on their engine's cache and queue is
+//! exact. It chooses the least sum of expected wait, prefill of the blocks that aren't cached, and network
+//! delay. Hot prefixes therefore spread without coordination: once the wait at the replica that holds a
+//! prefix exceeds the cost of computing it again, the next replica in rendezvous order computes it and is
+//! found there from then on. When the load on the prefix drops, the first replica in the order is idle enough
+//! again and the copies are evicted.
 //!
-//! The time that a recomputation costs its own request is the smaller part of its cost: it also evicts other prefixes
-//! and delays later requests. If a recomputation counted for only one and a half times its own time, load would lower
-//! the hit rate, which raises the load: in the replay even an oracle's hit rate fell from 0.78 at half load to 0.47 at
-//! 0.9. A recomputation therefore counts for more the busier the replicas are, and for more in less urgent classes. It
-//! counts for less if the prefix makes up more than one replica's share of the traffic: such a copy is used as often
-//! as needed, and without it the requests of a suddenly hot prefix wait for the only replica that holds it.
+//! The time that a recomputation costs its own request is the smaller part of its cost: it also evicts other
+//! prefixes and delays later requests. If a recomputation counted for only one and a half times its own time,
+//! load would lower the hit rate, which raises the load: in the replay even an oracle's hit rate fell from
+//! 0.78 at half load to 0.47 at 0.9. A recomputation therefore counts for more the busier the replicas are,
+//! and for more in less urgent classes. It counts for less if the prefix makes up more than one replica's
+//! share of the traffic: such a copy is used as often as needed, and without it the requests of a suddenly
+//! hot prefix wait for the only replica that holds it.
 //!
-//! Which replicas are probed: the replica that this entry used last for the longest known prefix is the most likely
-//! holder. The first replicas in rendezvous order of the deepest level are the same at every entry, so an entry
-//! without a memory, such as a restarted one, finds copies made through other entries. With ranks of the middle
-//! levels or random replicas in their place, copies were made that no other entry found. A random replica is probed
-//! only if its wait is far below that of all the others. Four probes of about 250 bytes cost an entry 8 KB/s at the
-//! target size, a third of its allowance.
+//! Which replicas are probed: the replica that this entry used last for the longest known prefix is the most
+//! likely holder. The first replicas in rendezvous order of the deepest level are the same at every entry, so
+//! an entry without a memory, such as a restarted one, finds copies made through other entries. With ranks of
+//! the middle levels or random replicas in their place, copies were made that no other entry found. A random
+//! replica is probed only if its wait is far below that of all the others. Four probes of about 250 bytes
+//! cost an entry 8 KB/s at the target size, a third of its allowance.
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
 use prefix::{levels, rank};
--- a/crates/policy/src/ttft_placement.rs
+++ b/crates/policy/src/ttft_placement.rs
@@ -1,28 +1,29 @@
 //! Choosing an engine by the estimated time to the first token (TTFT), without probes.
 //!
-//! Load pattern: a hundred subjects have long shared openings, and all entries send requests for each of them. Engines
-//! differ in speed, and their memory holds only a part of all openings. Sending each subject to one engine builds a
-//! queue at the engines of hot subjects. Spreading by load alone prefills every opening on every engine, which costs
-//! more than all other work. New weights empty the engines' caches one after the other.
+//! Load pattern: a hundred subjects have long shared openings, and all entries send requests for each of
+//! them. Engines differ in speed, and their memory holds only a part of all openings. Sending each subject to
+//! one engine builds a queue at the engines of hot subjects. Spreading by load alone prefills every opening
+//! on every engine, which costs more than all other work. New weights empty the engines' caches one after the
+//! other.
 //!
-//! An opening that an engine is about to prefill will soon be cached there. Another engine that meanwhile gets a prompt
-//! with the same opening is given the first engine's address to fetch from: the opening may be there when the prompt
-//! leaves the queue, and a fetch in vain costs a millisecond. On two fleets of nine engines that take new weights six
-//! times in 35 s, 102,000 to 131,000 shared tokens were prefilled again in four runs with this, and 152,000 in one run
-//! of each fleet without it.
+//! An opening that an engine is about to prefill will soon be cached there. Another engine that meanwhile
+//! gets a prompt with the same opening is given the first engine's address to fetch from: the opening may be
+//! there when the prompt leaves the queue, and a fetch in vain costs a millisecond. On two fleets of nine
+//! engines that take new weights six times in 35 s, 102,000 to 131,000 shared tokens were prefilled again in
+//! four runs with this, and 152,000 in one run of each fleet without it.
 //!
-//! All costs are in one unit, milliseconds until the first token: the wait before the prompt, prefill of the tokens that
-//! the engine doesn't hold, fetching tokens that others hold, and network delay. A fetch is chosen where it is faster
-//! than prefill, so load can be spread without prefilling twice.
+//! All costs are in one unit, milliseconds until the first token: the wait before the prompt, prefill of the
+//! tokens that the engine doesn't hold, fetching tokens that others hold, and network delay. A fetch is
+//! chosen where it is faster than prefill, so load can be spread without prefilling twice.
 //!
-//! Tokens that an engine takes in evict other tokens, which are then prefilled again for other requests. Each token that
-//! the engine doesn't hold yet therefore costs a little more than the time to bring it there. Without this cost, more
-//! copies are made the more exactly loads are known: on 56 engines at full load the shared tokens prefilled again rose
-//! from 4.9 to 9.0 million in 34 s when loads became exact.
+//! Tokens that an engine takes in evict other tokens, which are then prefilled again for other requests. Each
+//! token that the engine doesn't hold yet therefore costs a little more than the time to bring it there.
+//! Without this cost, more copies are made the more exactly loads are known: on 56 engines at full load the
+//! shared tokens prefilled again rose from 4.9 to 9.0 million in 34 s when loads became exact.
 //!
-//! Prefill of 6,300 tokens takes 120 to 140 ms, fetching them takes 4 to 30 ms from an engine and some 50 ms from a store;
-//! waiting for an engine that holds them is worth no more than that. Only the few best holders of each failure domain are
-//! compared, as the others would take as long.
+//! Prefill of 6,300 tokens takes 120 to 140 ms, fetching them takes 4 to 30 ms from an engine and some 50 ms
+//! from a store; waiting for an engine that holds them is worth no more than that. Only the few best holders
+//! of each failure domain are compared, as the others would take as long.
 
 /// Factor for the time of a fetch between failure domains.
 const CROSS_DOMAIN_FACTOR: f64 = 2.0;
--- a/crates/policy/tests/delegates.rs
+++ b/crates/policy/tests/delegates.rs
@@ -1,5 +1,5 @@
-//! Engines on which no sidecar reports: which entry acts, when the right to send orders passes on, and which prompts may
-//! still be sent to old weights.
+//! Engines on which no sidecar reports: which entry acts, when the right to send orders passes on, and which
+//! prompts may still be sent to old weights.
 
 use model::Micros;
 use policy::delegate::{self, Config, Engine, Entry, Reporter};
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -129,16 +129,16 @@
     // against a restriction that remains after a success.
     let config = circuit_breaker::Config::default();
     let mut dark = CircuitBreaker::default();
-    let tries = (0..20_000u64).step_by(10).filter(|t| {
+    let attempts = (0..20_000u64).step_by(10).filter(|t| {
         let now = ms(*t);
-        let tried = dark.usable(now);
-        if tried {
+        let attempted = dark.usable(now);
+        if attempted {
             dark.unreachable(&config, now);
         }
-        tried
+        attempted
     });
-    let tries = tries.count();
-    assert!((4..=12).contains(&tries), "{tries} attempts in 20 s");
+    let attempts = attempts.count();
+    assert!((4..=12).contains(&attempts), "{attempts} attempts in 20 s");
     dark.success(&config);
     assert!(dark.usable(ms(20_001)));
     assert!(!dark.on_trial(ms(20_001)));
@@ -189,23 +189,23 @@
 fn prefilling_a_burst_shortest_first_gets_more_prompts_in_time() {
     // Guards against prefill in order of arrival: in a burst with one long prompt for four short ones, half of the
     // short ones are late behind long ones. By urgency they are in time, and the last long one ends no later.
-    const READ: f64 = 1.0 / 45.0;
+    const PREFILL: f64 = 1.0 / 45.0;
     const AIM: f64 = 400.0;
-    let reads: Vec<u32> = (0..60)
+    let prompts: Vec<u32> = (0..60)
         .map(|n| if n % 5 == 0 { 7_000 } else { 800 })
         .collect();
     let in_time = |order: &[u32]| {
         let mut clock = 0.0;
-        let done = order.iter().map(|read| {
-            clock += f64::from(*read) * READ;
-            (*read, clock)
+        let done = order.iter().map(|tokens| {
+            clock += f64::from(*tokens) * PREFILL;
+            (*tokens, clock)
         });
-        let short = done.filter(|(read, at)| *read < 1_500 && *at <= AIM);
+        let short = done.filter(|(tokens, at)| *tokens < 1_500 && *at <= AIM);
         short.count()
     };
-    let mut urgent = reads.clone();
-    urgent.sort_by_key(|read| urgency::rank(0, *read));
-    let (arrival, urgent) = (in_time(&reads), in_time(&urgent));
+    let mut urgent = prompts.clone();
+    urgent.sort_by_key(|tokens| urgency::rank(0, *tokens));
+    let (arrival, urgent) = (in_time(&prompts), in_time(&urgent));
     assert!(
         urgent >= arrival * 2,
         "{arrival} by arrival, {urgent} by urgency"
@@ -371,9 +371,9 @@
     for read in (killed - 3_900..killed).step_by(50) {
         for draw in [0.0, 0.5, 1.0] {
             let mut readers = Readers::default();
-            for told in (killed - 4_200..=killed).step_by(700) {
-                readers.hear(ms(told), 0);
-                readers.hear(ms(told), 1);
+            for at in (killed - 4_200..=killed).step_by(700) {
+                readers.hear(ms(at), 0);
+                readers.hear(ms(at), 1);
             }
             let next = readers.next(ms(read), 2, draw);
             let seldom = ms(read + 4_000);
--- a/crates/policy/tests/probe_placement.rs
+++ b/crates/policy/tests/probe_placement.rs
@@ -58,12 +58,12 @@
     let mut memory = Recent::new(recent::Config::default());
     memory.used(&long, peers[7].target);
     memory.used(&long[..600], peers[8].target);
-    let asked = replicas_to_probe(&config, &long[..520], &peers, &memory, &mut rng);
-    assert_eq!(asked[0], peers[8].target);
-    let asked = replicas_to_probe(&config, &long, &peers, &memory, &mut rng);
-    assert_eq!(asked[0], peers[7].target);
-    let asked = replicas_to_probe(&config, &long, &peers[..7], &memory, &mut rng);
-    assert!(!asked.contains(&peers[7].target));
+    let probed = replicas_to_probe(&config, &long[..520], &peers, &memory, &mut rng);
+    assert_eq!(probed[0], peers[8].target);
+    let probed = replicas_to_probe(&config, &long, &peers, &memory, &mut rng);
+    assert_eq!(probed[0], peers[7].target);
+    let probed = replicas_to_probe(&config, &long, &peers[..7], &memory, &mut rng);
+    assert!(!probed.contains(&peers[7].target));
     assert!(replicas_to_probe(&config, &long, &[], &memory, &mut rng).is_empty());
     let alone = replicas_to_probe(&config, &[], &peers[..1], &memory, &mut rng);
     assert_eq!(alone, [peers[0].target]);
@@ -214,15 +214,15 @@
     for seed in 0..2_000 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut left = all.clone();
-        let mut asked = Vec::new();
+        let mut probed = Vec::new();
         for _ in 0..2 {
             let round = replicas_to_probe(&config, &[], &left, &memory, &mut rng);
             left.retain(|p| !round.contains(&p.target));
-            asked.extend(round);
+            probed.extend(round);
         }
         assert!(
-            asked.iter().any(|t| !loading.contains(t)),
-            "seed {seed}: {asked:?}"
+            probed.iter().any(|t| !loading.contains(t)),
+            "seed {seed}: {probed:?}"
         );
     }
 }
--- a/crates/policy/tests/ttft_placement.rs
+++ b/crates/policy/tests/ttft_placement.rs
@@ -185,8 +185,8 @@
         ..source(addr, &engine(0.0, 6_000))
     };
     let all: Vec<_> = (0..200).map(|i| holder(i, i as u64 % 4)).collect();
-    let fetched = |turn: usize, domain: u64| {
-        let sources = Sources::new(all[turn..].iter().chain(&all[..turn]).copied());
+    let fetched = |start: usize, domain: u64| {
+        let sources = Sources::new(all[start..].iter().chain(&all[..start]).copied());
         let lacking = Candidate {
             addr: 999,
             domain,
@@ -195,7 +195,7 @@
         let choice = choose(7_000, [(lacking, &sources)]).expect("a choice");
         choice.fetch.expect("a holder")
     };
-    let from: std::collections::BTreeSet<_> = (0..200).map(|turn| fetched(turn, 2)).collect();
+    let from: std::collections::BTreeSet<_> = (0..200).map(|start| fetched(start, 2)).collect();
     assert!(from.len() >= 40, "only {} holders were used", from.len());
     assert!(
         from.iter().all(|a| a % 4 == 2),
