--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use model::{Micros, Position};
-use policy::{lapse, standing};
+use policy::{circuit_breaker, lapse};
 use site::{Boot, Part, PartId, State, Target};
 use slotmap::{new_key_type, SlotMap};
 
@@ -116,7 +116,11 @@
     /// request or two to the former one and took what the sidecar told of the new one for the former's.
     fn supersede(&mut self) {
         let mut latest: HashMap<SocketAddr, Position> = HashMap::new();
-        for r in self.replicas.values().filter(|r| !r.misdirected.marked()) {
+        for r in self
+            .replicas
+            .values()
+            .filter(|r| !r.misdirected.is_excluded())
+        {
             let heard = latest.entry(r.target.addr).or_default();
             *heard = r.target.renewed.max(*heard);
         }
@@ -252,7 +256,7 @@
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        replica.standing.good(&standing::Config::default());
+        replica.breaker.success(&circuit_breaker::Config::default());
         let usual = self.usual.entry(replica.target.pool.clone()).or_default();
         *usual *= 1.0 - USUAL;
     }
@@ -263,12 +267,12 @@
             return;
         };
         let usual = self.usual.entry(replica.target.pool.clone()).or_default();
-        let before = replica.standing.usable(now);
+        let before = replica.breaker.usable(now);
         replica
-            .standing
-            .bad(&standing::Config::default(), now, *usual);
+            .breaker
+            .failure(&circuit_breaker::Config::default(), now, *usual);
         *usual += (1.0 - *usual) * USUAL;
-        if before && !replica.standing.usable(now) {
+        if before && !replica.breaker.usable(now) {
             left_out(replica, reason);
         }
     }
@@ -277,7 +281,7 @@
     /// more; each request sent there would be refused and cost a retry.
     pub fn replaced(&mut self, now: Micros, key: Key) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.misdirected.mark(now);
+            replica.misdirected.exclude(now);
             replica.idle.clear();
             left_out(replica, "another target has its address");
         }
@@ -290,10 +294,10 @@
             return;
         };
         replica.idle.clear();
-        let before = replica.standing.usable(now);
+        let before = replica.breaker.usable(now);
         replica
-            .standing
-            .unreachable(&standing::Config::default(), now);
+            .breaker
+            .unreachable(&circuit_breaker::Config::default(), now);
         if before {
             left_out(replica, reason);
         }
@@ -311,7 +315,7 @@
     log::event(&Event::LeftOut {
         target: &replica.target.boot.id,
         reason,
-        failed: replica.standing.failed,
+        failed: replica.breaker.failure_rate,
     });
 }
 
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 
 use model::Micros;
-use policy::apart;
 use policy::latency_admission::{self, Decision, Estimate};
+use policy::length_partition;
 use policy::quarantine::Verdict::Suspect;
-use policy::spot::{self, Sources};
+use policy::ttft_placement::{self, Sources};
 use policy::versions;
 use site::{Boot, Engine, Plan, Prompt, Scope};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -112,7 +112,8 @@
         .map(|r| scope(r).map_or(0, |s| r.will_hold(now, s.key(), prompt.shared())));
     let missing = prompt.shared_tokens() - known.max().unwrap_or_default();
     let suffers = plan.routes_to(&job.pool).any(|route| {
-        route.mode.streams() && apart::suffers(engine.stride, route.gap.as_secs_f64() * 1e3)
+        route.mode.streams()
+            && length_partition::stalls_streams(engine.stride, route.gap.as_secs_f64() * 1e3)
     });
     let read = ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
     let view = View {
@@ -142,10 +143,10 @@
         let wait = Micros::from_millis(candidate.wait as u64);
         may_begin(r, wait).then_some((candidate, sources.get(&scope)?))
     });
-    let choice = spot::choose(prompt.input, candidates).ok_or(Reason::NoTarget)?;
+    let choice = ttft_placement::choose(prompt.input, candidates).ok_or(Reason::NoTarget)?;
     let estimate = Estimate {
         wait: choice.wait,
-        prefill: (choice.time - choice.wait).max(0.0),
+        prefill: (choice.ttft - choice.wait).max(0.0),
         latency_goal: job.route.aim.as_secs_f64() * 1e3,
         time_left: job.left(now).as_secs_f64() * 1e3,
     };
@@ -174,10 +175,10 @@
         weights: r.weights.get(&prompt.model).copied(),
         scope,
         held,
-        cold: choice.read.saturating_sub(own),
-        read: choice.read,
+        cold: choice.prefill_tokens.saturating_sub(own),
+        read: choice.prefill_tokens,
         idle: choice.fetch.is_none() && choice.wait <= IDLE,
-        estimate: choice.time,
+        estimate: choice.ttft,
         age: r.heard.map(|h| now.since(h.at)),
     })
 }
@@ -200,7 +201,12 @@
 }
 
 /// The engines of a pool that are for long prompts, in an order that all entries see.
-fn long(fleet: &Fleet, work: &apart::Work, pool: &str, suffers: bool) -> Option<HashSet<String>> {
+fn long(
+    fleet: &Fleet,
+    work: &length_partition::RecentWork,
+    pool: &str,
+    suffers: bool,
+) -> Option<HashSet<String>> {
     if !suffers {
         return None;
     }
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -5,11 +5,11 @@
 
 use model::{Micros, Position};
 use platform::replica::Load;
-use policy::ledger::Unread;
+use policy::backlog::UnreadTokens;
+use policy::circuit_breaker::CircuitBreaker;
 use policy::loading::Left;
-use policy::misdirected::Marks;
+use policy::misdirected::Exclusion;
 use policy::prefill_priority;
-use policy::standing::Standing;
 use site::{Part, PartId, Target};
 
 use super::idle::Idle;
@@ -48,7 +48,7 @@
     /// For how long it is expected to continue to load them since then, if it is loading.
     pub load: Option<Left>,
     /// Prompt tokens that it has yet to read, for all entries, by step of urgency.
-    pub unread_tokens: Unread,
+    pub unread_tokens: UnreadTokens,
 }
 
 impl Heard {
@@ -62,7 +62,7 @@
     /// What a sidecar's word says of its engine.
     pub(super) fn new(now: Micros, update: &Update, from: SocketAddr) -> Self {
         let time = |ms: u32| Micros::from_millis(ms.into());
-        let mut unread_tokens = Unread::default();
+        let mut unread_tokens = UnreadTokens::default();
         let told = unread_tokens.iter_mut().zip(&update.tokens);
         told.for_each(|(u, t)| *u = *t);
         Self {
@@ -112,11 +112,11 @@
     /// Parts that it is about to read or fetch, and until when that is believed.
     expected: HashMap<(u64, PartId), (u32, Micros)>,
     /// How it has done.
-    pub standing: Standing,
+    pub breaker: CircuitBreaker,
     /// Until when it is kept though the list lacks it.
     pub(super) missing: Option<Micros>,
     /// Whether another target has answered at its address.
-    pub misdirected: Marks,
+    pub misdirected: Exclusion,
     /// Position of its last heartbeat when its sidecar found that its process had ended.
     pub(super) over: Option<Position>,
     /// Whether the list names another target at its address that was heard later.
@@ -141,9 +141,9 @@
             heard: None,
             held: HashMap::new(),
             expected: HashMap::new(),
-            standing: Standing::default(),
+            breaker: CircuitBreaker::default(),
             missing: None,
-            misdirected: Marks::default(),
+            misdirected: Exclusion::default(),
             over: None,
             superseded: false,
             epoch: 0,
@@ -154,7 +154,7 @@
     /// Whether it is, as far as known, what listens at its address.
     pub fn there(&self, now: Micros) -> bool {
         let kept = self.missing.is_none_or(|until| now < until);
-        kept && !self.misdirected.marked() && !self.superseded && self.over.is_none()
+        kept && !self.misdirected.is_excluded() && !self.superseded && self.over.is_none()
     }
 
     /// Tokens at the beginning of a prompt that it holds under a scope.
@@ -184,7 +184,7 @@
     }
 
     /// Tokens yet to read with those sent after a time, which its sidecar hasn't counted yet.
-    pub fn unread_since(&self, mut told: Unread, from: Micros) -> Unread {
+    pub fn unread_since(&self, mut told: UnreadTokens, from: Micros) -> UnreadTokens {
         for (_, tokens) in self.recent.iter().rev().take_while(|(at, _)| *at >= from) {
             told[prefill_priority::tier(*tokens)] += tokens;
         }
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 
 use model::Micros;
-use policy::apart;
 use policy::engine_load::{self, Load};
+use policy::length_partition;
 use policy::prefill_priority;
-use policy::spot::{Candidate, Source, Sources};
+use policy::ttft_placement::{Candidate, Source, Sources};
 use policy::versions::Versions;
 use site::{Engine, Plan, Prompt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -47,7 +47,7 @@
         let near = r.target.domain == self.domain;
         let far = if near { 0.0 } else { FAR };
         let apart = self.long.as_ref().map_or(0.0, |long| {
-            apart::cost(self.prompt.input, long.contains(&r.target.boot.id))
+            length_partition::mismatch_cost(self.prompt.input, long.contains(&r.target.boot.id))
         });
         let load = self.load(r, self.prompt.input.saturating_sub(held));
         let version = r.weights.get(&self.prompt.model);
@@ -57,12 +57,12 @@
             addr: r.target.addr,
             domain: domain_key(&r.target.domain),
             wait: load.wait(self.prompt.input + self.prompt.output, self.read),
-            read: self.read,
+            prefill_per_token: self.read,
             held,
-            room: self.read * ROOM,
-            way: far,
-            bias: apart + self.order(r),
-            doubt: doubt(r, self.now) * engine_load::outdated_weights_factor(outdated),
+            eviction_cost: self.read * ROOM,
+            network_delay: far,
+            penalty: apart + self.order(r),
+            cost_factor: doubt(r, self.now) * engine_load::outdated_weights_factor(outdated),
         }
     }
 
@@ -114,7 +114,7 @@
         let there = |r: &Replica| {
             r.target.pool == job.pool
                 && same(r)
-                && r.standing.usable(self.now)
+                && r.breaker.usable(self.now)
                 && surely_answers(r, self.now)
         };
         let engines: Vec<_> = fleet.replicas.values().filter(|r| there(r)).collect();
@@ -124,9 +124,9 @@
             addr: o.target.addr,
             domain: domain_key(&o.target.domain),
             held: o.holds(scope, parts),
-            soon: o.will_hold(self.now, scope, parts),
-            rate: rate(self.engine.link),
-            setup: SETUP,
+            held_soon: o.will_hold(self.now, scope, parts),
+            fetch_per_token: rate(self.engine.link),
+            fetch_setup: SETUP,
         });
         let kept = plan.kept().iter().filter_map(|k| {
             let held = holds(&fleet.kept.get(&k.addr)?.held, scope, parts);
@@ -134,9 +134,9 @@
                 addr: k.addr,
                 domain: domain_key(&k.domain),
                 held,
-                soon: held,
-                rate: rate(k.link),
-                setup: SETUP,
+                held_soon: held,
+                fetch_per_token: rate(k.link),
+                fetch_setup: SETUP,
             })
         });
         Sources::new(engines.chain(kept))
--- a/crates/policy/examples/replay/sim/run.rs
+++ b/crates/policy/examples/replay/sim/run.rs
@@ -8,7 +8,7 @@
 
 use model::{BlockHash, Class, Micros, TargetKey, TeamKey};
 use policy::health::{self, Use};
-use policy::place::{self, candidates, choose, Offer, Peer};
+use policy::probe_placement::{self, choose, replicas_to_probe, Offer, Peer};
 use prefix::{levels, rank, Event, Marks, Need};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -211,7 +211,7 @@
         let usable = |p: &&Peer| entry.health.usable(now, p.target) != Use::Out;
         let peers: Vec<Peer> = entry.peers.iter().filter(usable).copied().collect();
         let chain = &self.live[i].prompt.chain;
-        let chosen = candidates(
+        let chosen = replicas_to_probe(
             &self.setup.place,
             chain,
             &peers,
@@ -253,15 +253,15 @@
             }
         }
         let share = self.entries[entry].recent.share(&prompt.chain);
-        let place = place::Ask {
+        let request = probe_placement::PlacementRequest {
             class: ask.class,
             blocks: ask.blocks,
             heat: share * self.setup.replicas as f64,
-            home: place::home(&prompt.chain, &self.entries[entry].peers),
+            home: probe_placement::home(&prompt.chain, &self.entries[entry].peers),
         };
         self.entries[entry].recent.record_request(&prompt.chain);
         let way = |t| self.way(entry, self.replica(t));
-        let choices = choose(&self.setup.place, &place, &offers, way);
+        let choices = choose(&self.setup.place, &request, &offers, way);
         let least = offers.iter().map(|o| o.prefill).min().unwrap_or_default();
         if let Some(best) = choices.first() {
             let told = offers.iter().find(|o| o.target == best.target);
@@ -271,7 +271,7 @@
             self.entries[entry]
                 .recent
                 .record_use(&prompt.chain, best.target);
-            self.entries[entry].health.tried(now, best.target);
+            self.entries[entry].health.start_trial(now, best.target);
         }
         let order: Vec<usize> = choices.iter().map(|c| self.replica(c.target)).collect();
         self.send(now + WAY[0], i, order);
@@ -389,7 +389,7 @@
         };
         self.entries[entry]
             .health
-            .measured(now, self.targets[r], sample);
+            .record(now, self.targets[r], sample);
         let life = self.engines[r].life.0;
         self.push(now + decode, Step::Decoded(r, life, i));
         self.publish(now, r);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,7 +5,7 @@
 //! replay of traces run the same code. The head of each module describes the load pattern that it
 //! handles, what happens without it, and the reasons for its constants.
 //!
-//! At an entry: [`limit`] and [`quarantine`] may refuse a request, [`place`] chooses the replicas
+//! At an entry: [`limit`] and [`quarantine`] may refuse a request, [`probe_placement`] chooses the replicas
 //! to probe and the one to use, [`recent_replicas`] remembers the replicas used for each prefix,
 //! [`health`] ejects slow replicas, and [`retry`] allows further attempts.
 //!
@@ -15,31 +15,32 @@
 //! request. [`cost`] and [`utilization`] measure the engine for these decisions.
 //!
 //! Where targets are reached without a sidecar:
-//! - Choice of a target: [`spot`] places a prompt of named parts by the load of each engine
+//! - Choice of a target: [`ttft_placement`] places a prompt of named parts by the load of each engine
 //!   ([`engine_load`]) and the prefill rate of the pool ([`prefill_rate`]). [`prefill_priority`] ranks
-//!   requests at an engine, [`ledger`] counts the prefill that an engine has pending, and [`apart`]
+//!   requests at an engine, [`backlog`] counts the prefill that an engine has pending, and [`length_partition`]
 //!   keeps long prompts on engines of their own.
 //! - Admission: [`latency_admission`] refuses prompts that would be late, and [`loading`] bounds how
 //!   long a request waits while all engines load weights.
 //! - Retries: [`retry_budget`] keeps all entries together within one budget.
-//! - Targets to avoid or keep: [`standing`] ejects targets that fail, [`misdirected`] decides how long
+//! - Targets to avoid or keep: [`circuit_breaker`] ejects targets that fail, [`misdirected`] decides how long
 //!   a target isn't used whose address answered for another, and [`lapse`] which targets are retained
 //!   although the list lacks them.
 //! - Sources of state: [`subscription`] selects the engines that an entry subscribes to, and [`readers`]
 //!   the processes that read a list for all.
 //! - Weights: [`rollout`] decides which engines load new weights, [`slots`] when an engine does so, by
 //!   the answers of its peers ([`contact`]), and [`versions`] how long weights have been out of date.
-//! - Crashes: [`broken`] separates crashes from lost connections for [`quarantine`], and [`trial`]
+//! - Crashes: [`crash_attribution`] separates crashes from lost connections for [`quarantine`], and [`trial`]
 //!   decides when a suspect request runs.
 //! - Ownership: [`delegate`] selects the entry that acts for an engine without a sidecar, and
 //!   [`holder`] decides when an engine's orders may pass from one process to another.
 
 pub mod admit;
-pub mod apart;
-pub mod broken;
+pub mod backlog;
+pub mod circuit_breaker;
 pub mod concurrency;
 pub mod contact;
 pub mod cost;
+pub mod crash_attribution;
 pub mod delegate;
 pub mod drain;
 pub mod engine_load;
@@ -47,14 +48,14 @@
 pub mod holder;
 pub mod lapse;
 pub mod latency_admission;
-pub mod ledger;
+pub mod length_partition;
 pub mod limit;
 pub mod liveness;
 pub mod loading;
 pub mod misdirected;
-pub mod place;
 pub mod prefill_priority;
 pub mod prefill_rate;
+pub mod probe_placement;
 pub mod quarantine;
 pub mod queue;
 pub mod readers;
@@ -64,9 +65,8 @@
 pub mod retry_budget;
 pub mod rollout;
 pub mod slots;
-pub mod spot;
-pub mod standing;
 pub mod subscription;
 pub mod trial;
+pub mod ttft_placement;
 pub mod utilization;
 pub mod versions;
--- a/crates/policy/tests/engine_load.rs
+++ b/crates/policy/tests/engine_load.rs
@@ -1,7 +1,7 @@
 //! Choice between engines that are short of memory.
 
 use policy::engine_load::Load;
-use policy::spot::{choose, Candidate, Sources};
+use policy::ttft_placement::{choose, Candidate, Sources};
 
 /// Tokens of an engine's memory.
 const MEMORY: u32 = 85_000;
@@ -47,12 +47,12 @@
                 addr: i,
                 domain: 0,
                 wait: load.wait(PROMPT, READ),
-                read: READ,
+                prefill_per_token: READ,
                 held: if i == 0 { OPENING } else { 0 },
-                room: READ * 0.8,
-                way: 0.0,
-                bias: 0.0,
-                doubt: 1.0,
+                eviction_cost: READ * 0.8,
+                network_delay: 0.0,
+                penalty: 0.0,
+                cost_factor: 1.0,
             };
             (candidate, &sources)
         };
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/probe_placement.rs
@@ -1,7 +1,9 @@
-//! Whom an entry asks and whom it chooses.
+//! Which replicas an entry probes, and which one it chooses.
 
 use model::{BlockHash, Class, Incarnation, Micros, TargetKey};
-use policy::place::{candidates, choose, fallback, Ask, Config, Offer, Peer, State};
+use policy::probe_placement::{
+    choose, rendezvous_order, replicas_to_probe, Config, Offer, Peer, PlacementRequest, State,
+};
 use policy::recent_replicas::{self, RecentReplicas};
 use prefix::{chain, Seed, BLOCK_BYTES};
 use rand::rngs::SmallRng;
@@ -36,39 +38,39 @@
 }
 
 #[test]
-fn entries_without_a_memory_ask_the_same_replicas() {
+fn entries_without_a_memory_probe_the_same_replicas() {
     let (peers, chain, config) = (peers(200), hashes(1_000, 1), Config::default());
     let memory = RecentReplicas::new(recent_replicas::Config::default());
     let ask = |seed| {
         let mut rng = SmallRng::seed_from_u64(seed);
-        candidates(&config, &chain, &peers, &memory, &mut rng)
+        replicas_to_probe(&config, &chain, &peers, &memory, &mut rng)
     };
     let (one, two) = (ask(1), ask(2));
     assert_eq!((one.len(), two.len()), (4, 4));
     assert_eq!(one[..3], two[..3]);
-    assert!(fallback(&chain, &peers).starts_with(&one[..1]));
+    assert!(rendezvous_order(&chain, &peers).starts_with(&one[..1]));
 }
 
 #[test]
-fn the_replicas_used_lately_are_asked_first_while_they_live() {
+fn recently_used_replicas_are_probed_first_while_they_are_live() {
     let (peers, long, config) = (peers(50), hashes(1_000, 1), Config::default());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut memory = RecentReplicas::new(recent_replicas::Config::default());
     memory.record_use(&long, peers[7].target);
     memory.record_use(&long[..600], peers[8].target);
-    let asked = candidates(&config, &long[..520], &peers, &memory, &mut rng);
-    assert_eq!(asked[0], peers[8].target);
-    let asked = candidates(&config, &long, &peers, &memory, &mut rng);
-    assert_eq!(asked[0], peers[7].target);
-    let asked = candidates(&config, &long, &peers[..7], &memory, &mut rng);
-    assert!(!asked.contains(&peers[7].target));
-    assert!(candidates(&config, &long, &[], &memory, &mut rng).is_empty());
-    let alone = candidates(&config, &[], &peers[..1], &memory, &mut rng);
+    let probed = replicas_to_probe(&config, &long[..520], &peers, &memory, &mut rng);
+    assert_eq!(probed[0], peers[8].target);
+    let probed = replicas_to_probe(&config, &long, &peers, &memory, &mut rng);
+    assert_eq!(probed[0], peers[7].target);
+    let probed = replicas_to_probe(&config, &long, &peers[..7], &memory, &mut rng);
+    assert!(!probed.contains(&peers[7].target));
+    assert!(replicas_to_probe(&config, &long, &[], &memory, &mut rng).is_empty());
+    let alone = replicas_to_probe(&config, &[], &peers[..1], &memory, &mut rng);
     assert_eq!(alone, [peers[0].target]);
 }
 
 #[test]
-fn the_memory_is_bounded_and_forgets_what_it_is_told_to() {
+fn the_memory_is_bounded_and_drops_missed_prefixes() {
     let peers = peers(2);
     let mut memory = RecentReplicas::new(recent_replicas::Config { prefixes: 100 });
     for fill in 0..50 {
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn the_least_of_wait_recomputation_and_way_is_chosen() {
+fn the_least_sum_of_wait_recomputation_and_delay_is_chosen() {
     struct Case {
         name: &'static str,
         heat: f64,
@@ -97,7 +99,7 @@
     let busy = |o: Offer| Offer { busy: 0.9, ..o };
     let cases = [
         Case {
-            name: "the holder, though it is a little busier",
+            name: "the holder, despite a slightly longer wait",
             heat: 0.0,
             home: None,
             offers: vec![at(0, 0, 0), at(1, 1_000, 1_900)],
@@ -125,14 +127,14 @@
             order: vec![2, 3],
         },
         Case {
-            name: "at its home, if nobody holds it and none waits much longer",
+            name: "the home replica, if no replica holds the prefix and its wait is little longer",
             heat: 0.0,
             home: Some(2),
             offers: vec![at(0, 0, 0), at(2, 0, 90), at(1, 0, 0)],
             order: vec![2, 0, 1],
         },
         Case {
-            name: "only those that serve",
+            name: "only replicas that serve",
             heat: 0.0,
             home: None,
             offers: vec![
@@ -153,7 +155,7 @@
             order: vec![3],
         },
         Case {
-            name: "a full holder, once waiting for it is the better way",
+            name: "a full holder rules out copies once waiting for it costs less",
             heat: 0.0,
             home: None,
             offers: vec![
@@ -167,7 +169,7 @@
             order: vec![2],
         },
         Case {
-            name: "a full holder while there is room for a copy",
+            name: "a full holder allows copies while there is room",
             heat: 0.0,
             home: None,
             offers: vec![
@@ -180,7 +182,7 @@
             order: vec![0],
         },
         Case {
-            name: "nobody answered",
+            name: "no replica answered",
             heat: 0.0,
             home: None,
             offers: vec![],
@@ -189,38 +191,38 @@
     ];
     for case in cases {
         let delay = |t| Micros(if t == peers[3].target { 1_000 } else { 100 });
-        let ask = Ask {
+        let request = PlacementRequest {
             class: Class::Call,
             blocks: 1_000,
             heat: case.heat,
             home: case.home.map(|i| peers[i].target),
         };
-        let choices = choose(&Config::default(), &ask, &case.offers, delay);
+        let choices = choose(&Config::default(), &request, &case.offers, delay);
         let order: Vec<TargetKey> = choices.iter().map(|c| c.target).collect();
         let expected: Vec<TargetKey> = case.order.iter().map(|i| peers[*i].target).collect();
         assert_eq!(order, expected, "{}", case.name);
     }
 }
 
-/// Two replicas of four load new weights. A short request whose two rounds of probes met only
-/// these would be refused as if all were full, although the others are idle.
+/// Guards against two rounds of probes that reach only the two replicas of four that load weights: the request
+/// would be refused although the other two are idle.
 #[test]
-fn two_rounds_of_probes_reach_one_that_serves() {
+fn two_rounds_of_probes_reach_a_serving_replica() {
     let (all, config) = (peers(4), Config::default());
     let memory = RecentReplicas::new(recent_replicas::Config::default());
     let loading = [all[0].target, all[1].target];
     for seed in 0..2_000 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut left = all.clone();
-        let mut asked = Vec::new();
+        let mut probed = Vec::new();
         for _ in 0..2 {
-            let round = candidates(&config, &[], &left, &memory, &mut rng);
+            let round = replicas_to_probe(&config, &[], &left, &memory, &mut rng);
             left.retain(|p| !round.contains(&p.target));
-            asked.extend(round);
+            probed.extend(round);
         }
         assert!(
-            asked.iter().any(|t| !loading.contains(t)),
-            "seed {seed}: {asked:?}"
+            probed.iter().any(|t| !loading.contains(t)),
+            "seed {seed}: {probed:?}"
         );
     }
 }
