--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -2,7 +2,7 @@
 //!
 //! The list changes with every heartbeat of every target, so a call held open would be answered all
 //! the time. It is read in whole a few times a second instead, by a few entries at a time
-//! ([`policy::readers`]); the others ask one of them for it when it has found something new. A target
+//! ([`policy::pollers`]); the others ask one of them for it when it has found something new. A target
 //! that leaves must get nothing new two seconds after it said so: the pause, a reader's word, a slow
 //! answer and the requests under way fit into that.
 
@@ -14,7 +14,7 @@
 use platform::store::TARGETS;
 use platform::{Row, Store, StoreError};
 use policy::lapse;
-use policy::readers::Readers;
+use policy::pollers::Pollers;
 use rand::Rng;
 use site::Target;
 use tokio::sync::{watch, Notify};
@@ -35,7 +35,7 @@
 /// What entries tell one another of the list.
 #[derive(Debug, Default)]
 pub(super) struct Shared {
-    readers: RefCell<Readers>,
+    pollers: RefCell<Pollers>,
     /// Hash of the list as this entry last read it; 0 before.
     own: Cell<u64>,
     changed: Notify,
@@ -58,7 +58,7 @@
 
     /// Takes over what another entry has found; tells whether that is what this one knows.
     pub(super) fn hear(&self, now: Micros, listed: Listed, from: SocketAddr) -> bool {
-        self.readers.borrow_mut().hear(now, listed.rank);
+        self.pollers.borrow_mut().record(now, listed.rank);
         let same = listed.hash == self.own.get();
         if !same {
             self.finder.set(Some(from));
@@ -209,7 +209,7 @@
 /// Tells the other entries what was found, if this one is a reader.
 fn tell(ctx: &Ctx, rank: u64) {
     let hash = ctx.list.own.get();
-    if !ctx.list.readers.borrow().reads(ctx.now(), rank) {
+    if !ctx.list.pollers.borrow().should_poll(ctx.now(), rank) {
         return;
     }
     let update = Update {
@@ -243,7 +243,7 @@
     let draw = rand::rng().random();
     loop {
         // What others tell meanwhile puts the next read off.
-        let next = ctx.list.readers.borrow().next(read, rank, draw);
+        let next = ctx.list.pollers.borrow().next_poll(read, rank, draw);
         let now = ctx.now();
         ctx.fleet.borrow_mut().expire(now);
         if now >= next {
--- a/crates/policy/src/readers.rs
+++ b/crates/policy/src/pollers.rs
@@ -26,32 +26,32 @@
 const SELDOM: Micros = Micros::from_millis(4_000);
 /// Over how long processes spread that would read at one moment.
 const SPREAD: Micros = Micros::from_millis(200);
-/// Readers that are enough.
+/// Pollers that are enough.
 const ENOUGH: usize = 2;
 /// Silence after which a reader counts no more.
 const SILENCE: Micros = Micros::from_millis(1_200);
 
 /// The readers that one process hears.
 #[derive(Debug, Default)]
-pub struct Readers {
+pub struct Pollers {
     heard: HashMap<u64, Micros>,
 }
 
-impl Readers {
+impl Pollers {
     /// Notes that another process has read.
-    pub fn hear(&mut self, now: Micros, rank: u64) {
+    pub fn record(&mut self, now: Micros, rank: u64) {
         self.heard.insert(rank, now);
         self.heard.retain(|_, at| now.since(*at) < SILENCE);
     }
 
     /// Whether a process of a rank has to read itself.
-    pub fn reads(&self, now: Micros, own: u64) -> bool {
+    pub fn should_poll(&self, now: Micros, own: u64) -> bool {
         self.silent(own).is_none_or(|at| at <= now)
     }
 
     /// When a process of a rank reads next unless it hears more, if it has read at some time; `draw` is
     /// a random number from 0 to 1.
-    pub fn next(&self, read: Micros, own: u64, draw: f64) -> Micros {
+    pub fn next_poll(&self, read: Micros, own: u64, draw: f64) -> Micros {
         let spread = Micros((SPREAD.0 as f64 * draw.clamp(0.0, 1.0)) as u64);
         let silent = self.silent(own).unwrap_or_default();
         (read + PAUSE).max(silent).min(read + SELDOM) + spread
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -4,7 +4,7 @@
 use policy::lateness::{judge, Prospect, Verdict};
 use policy::ledger::Ledger;
 use policy::pace::{Pace, GUESS};
-use policy::readers::Readers;
+use policy::pollers::Pollers;
 use policy::shared::Need;
 use policy::standing::{self, Standing};
 use policy::versions::Versions;
@@ -326,17 +326,17 @@
 fn a_few_read_for_all_and_the_next_in_rank_when_one_falls_silent() {
     // Twenty-eight entries read the same list. After a first round two of them do; when one of the
     // two is killed, the next takes its place within two seconds, and at no time does nobody read.
-    let mut entries: Vec<_> = (0..28).map(|_| Readers::default()).collect();
+    let mut entries: Vec<_> = (0..28).map(|_| Pollers::default()).collect();
     let mut reads = Vec::new();
     for step in 0..100u64 {
         let now = ms(step * 100);
         let killed = |rank: u64| rank == 0 && now >= ms(5_000);
         if step % 7 == 0 {
             let due: Vec<u64> = (0..28u64)
-                .filter(|r| !killed(*r) && entries[*r as usize].reads(now, *r))
+                .filter(|r| !killed(*r) && entries[*r as usize].should_poll(now, *r))
                 .collect();
             for entry in &mut entries {
-                due.iter().for_each(|r| entry.hear(now, *r));
+                due.iter().for_each(|r| entry.record(now, *r));
             }
             reads.push((now, due));
         }
@@ -360,12 +360,12 @@
     let killed = 10_000;
     for read in (killed - 3_900..killed).step_by(50) {
         for draw in [0.0, 0.5, 1.0] {
-            let mut readers = Readers::default();
+            let mut pollers = Pollers::default();
             for told in (killed - 4_200..=killed).step_by(700) {
-                readers.hear(ms(told), 0);
-                readers.hear(ms(told), 1);
+                pollers.record(ms(told), 0);
+                pollers.record(ms(told), 1);
             }
-            let next = readers.next(ms(read), 2, draw);
+            let next = pollers.next_poll(ms(read), 2, draw);
             let seldom = ms(read + 4_000);
             assert!(
                 next <= ms(killed + 1_400),
@@ -380,7 +380,7 @@
     // One who is needed reads every 0.6 to 0.8 s, also where it is alone.
     for (draw, want) in [(0.0, 600), (1.0, 800)] {
         assert_eq!(
-            Readers::default().next(ms(5_000), 2, draw),
+            Pollers::default().next_poll(ms(5_000), 2, draw),
             ms(5_000 + want)
         );
     }
