--- a/crates/daemon/src/sidecar/control/fleet.rs
+++ b/crates/daemon/src/sidecar/control/fleet.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use model::Micros;
-use policy::contact::Ask;
+use policy::contact::Query;
 use policy::trial::Claim;
 use wire::{Findings, Inquiry, Message, Offer, Packet, Probe, Suspect};
 
@@ -58,8 +58,8 @@
         });
         let inquiry = Inquiry {
             from: self.rank,
-            round: step.ask.round,
-            sent: step.ask.sent.0,
+            round: step.query.round,
+            sent: step.query.sent.0,
             suspects: suspects.collect(),
         };
         metrics::counter!(meter::INQUIRIES).increment(step.peers.len() as u64);
@@ -98,7 +98,7 @@
     /// Takes over another sidecar's answer.
     fn findings(&mut self, f: Findings) {
         let now = clock::now();
-        let ask = Ask {
+        let ask = Query {
             round: f.round,
             sent: Micros(f.sent),
         };
--- a/crates/daemon/src/sidecar/decide/trials.rs
+++ b/crates/daemon/src/sidecar/decide/trials.rs
@@ -5,7 +5,7 @@
 //! (`policy::trial`).
 
 use model::Micros;
-use policy::contact::Ask;
+use policy::contact::Query;
 use policy::quarantine::{Fingerprint, Verdict};
 use policy::queue::Job;
 use policy::trial::{Claim, Step};
@@ -81,7 +81,7 @@
     }
 
     /// Takes over another sidecar's answer; gives the mark to report to the fleet, if any.
-    pub fn answered(&mut self, now: Micros, from: u64, ask: Ask, f: &Finding) -> Option<Mark> {
+    pub fn answered(&mut self, now: Micros, from: u64, ask: Query, f: &Finding) -> Option<Mark> {
         let print = mark::print(f.print);
         self.trials.answered(now, from, ask, print, f.busy);
         if f.good && self.verdict(now, f.print) != Verdict::Convicted {
--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -246,7 +246,7 @@
         let asked = d.inquire(NOW).expect("a question");
         assert_eq!(asked.peers, [PEER], "{}", c.what);
         if let Some(f) = &c.finding {
-            let mark = d.answered(NOW, PEER, asked.ask, f);
+            let mark = d.answered(NOW, PEER, asked.query, f);
             assert_eq!(mark.is_some(), c.rejected, "{}", c.what);
         }
         assert_eq!(turns(&mut d).len(), usize::from(c.runs), "{}", c.what);
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -8,7 +8,7 @@
 use model::Micros;
 use platform::replica::{self, EngineError, LoadOrder, Taken};
 use platform::Conn;
-use policy::contact::Ask;
+use policy::contact::Query;
 use policy::holder::Holder;
 use policy::rollout;
 use policy::slots::{Group, Lack, ModelKey, Outcome, Slots, State, Step};
@@ -86,7 +86,7 @@
         if let Some(ask) = update.slot_answer {
             let sent = Micros(ask.sent_us);
             let round = ask.round;
-            self.slots.answered(now, from, Ask { round, sent });
+            self.slots.answered(now, from, Query { round, sent });
         }
     }
 
@@ -306,7 +306,7 @@
     } = env;
     let peers = peers(node, agent);
     let (step, order) = step(node, agent, &peers);
-    if let Some((ask, mut to)) = step.asks {
+    if let Some((ask, mut to)) = step.query {
         let update = for_peers(&summary(node, agent));
         to.sort_unstable_by_key(|a| a.delegate);
         for agents in to.chunk_by(|a, b| a.delegate == b.delegate) {
--- a/crates/policy/src/contact.rs
+++ b/crates/policy/src/contact.rs
@@ -16,7 +16,7 @@
 
 /// A question for a peer's state as of now, which its answer repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Query {
     /// Draw of the round that the question belongs to; 0 outside of one.
     pub round: u64,
     /// When it was sent, on the asking process's clock.
@@ -77,7 +77,7 @@
 
     /// Notes a peer's answer. A late one doesn't count: a peer that is always late would neither be waited
     /// for with success nor passed over.
-    pub fn answered(&mut self, now: Micros, from: K, ask: Ask) {
+    pub fn answered(&mut self, now: Micros, from: K, ask: Query) {
         let contact = self.all.entry(from).or_default();
         if self.round == Some(ask.round) && now.since(ask.sent) <= RECENT {
             contact.answered = contact.answered.max(Some(ask.sent));
@@ -86,13 +86,13 @@
     }
 
     /// An ask to some peers; none if there are none.
-    pub fn ask(&mut self, now: Micros, peers: Vec<K>) -> Option<(Ask, Vec<K>)> {
+    pub fn query(&mut self, now: Micros, peers: Vec<K>) -> Option<(Query, Vec<K>)> {
         for k in &peers {
             let contact = self.all.entry(*k).or_default();
             contact.open = contact.open.saturating_add(1);
             contact.silent |= contact.open > ASKS;
         }
-        let ask = Ask {
+        let ask = Query {
             round: self.round.unwrap_or_default(),
             sent: now,
         };
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -19,7 +19,7 @@
 use model::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::contact::{self, Ask, Contacts, RECENT};
+use crate::contact::{self, Contacts, Query, RECENT};
 use crate::rollout::{self, Engine, Pool};
 use crate::versions::Versions;
 
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step<K> {
     /// Asks these.
-    pub asks: Option<(Ask, Vec<K>)>,
+    pub query: Option<(Query, Vec<K>)>,
     /// Orders the load.
     pub orders: bool,
     /// Sidecars that were passed over, if it orders the load.
@@ -86,7 +86,7 @@
 impl<K> Default for Step<K> {
     fn default() -> Self {
         Self {
-            asks: None,
+            query: None,
             orders: false,
             silent: 0,
         }
@@ -216,7 +216,7 @@
     }
 
     /// Notes that another sidecar has answered an ask; its state is taken over by [`Self::receive`].
-    pub fn answered(&mut self, now: Micros, from: K, ask: Ask) {
+    pub fn answered(&mut self, now: Micros, from: K, ask: Query) {
         self.contacts.answered(now, from, ask);
     }
 
@@ -405,7 +405,7 @@
 
     fn ask(&mut self, now: Micros, peers: Vec<K>) -> Step<K> {
         Step {
-            asks: self.contacts.ask(now, peers),
+            query: self.contacts.query(now, peers),
             ..Step::default()
         }
     }
--- a/crates/policy/src/trial.rs
+++ b/crates/policy/src/trial.rs
@@ -16,7 +16,7 @@
 
 use model::Micros;
 
-use crate::contact::{Ask, Contacts, RECENT};
+use crate::contact::{Contacts, Query, RECENT};
 use crate::quarantine::Fingerprint;
 
 /// Interval at which the others are asked while a claim stands.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step<K> {
     /// Names the ask.
-    pub ask: Ask,
+    pub query: Query,
     /// The sidecars to ask.
     pub peers: Vec<K>,
     /// The claims to ask about.
@@ -152,8 +152,12 @@
         let mut claims: Vec<_> = claims.collect();
         claims.sort_unstable_by_key(|c| c.rank);
         claims.truncate(MOST);
-        let (ask, peers) = self.contacts.ask(now, to)?;
-        Some(Step { ask, peers, claims })
+        let (query, peers) = self.contacts.query(now, to)?;
+        Some(Step {
+            query,
+            peers,
+            claims,
+        })
     }
 
     /// When [`Self::step`] may have something to do.
@@ -179,7 +183,7 @@
     }
 
     /// Notes another sidecar's answer for one request: whether it runs it, or its own claim goes ahead.
-    pub fn answered(&mut self, now: Micros, from: K, ask: Ask, print: Fingerprint, busy: bool) {
+    pub fn answered(&mut self, now: Micros, from: K, ask: Query, print: Fingerprint, busy: bool) {
         self.contacts.received(from);
         self.contacts.answered(now, from, ask);
         let Some(own) = self.own.get_mut(&print) else {
--- a/crates/policy/tests/slots/main.rs
+++ b/crates/policy/tests/slots/main.rs
@@ -136,7 +136,7 @@
             let lacks = version < desired;
             slots.schedule(now, &group(1, 3), lacks.then_some(&lack));
             let step = slots.step(now, &[3, DEAD], true, 1);
-            if let Some((ask, to)) = step.asks {
+            if let Some((ask, to)) = step.query {
                 let live = to.into_iter().filter(|k| *k != DEAD);
                 live.for_each(|k| slots.answered(now, k, ask));
             }
@@ -160,7 +160,7 @@
 /// The same if its engine can be ordered.
 fn step_if(slots: &mut Slots<u8>, now: Micros, peers: &[u8], ordered: bool) -> bool {
     let step = slots.step(now, peers, ordered, 1);
-    if let Some((ask, to)) = step.asks {
+    if let Some((ask, to)) = step.query {
         to.into_iter().for_each(|k| slots.answered(now, k, ask));
     }
     step.orders
--- a/crates/policy/tests/slots/sim.rs
+++ b/crates/policy/tests/slots/sim.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use model::Micros;
-use policy::contact::Ask;
+use policy::contact::Query;
 use policy::slots::{Lack, Outcome, Slots, State};
 use policy::versions::Versions;
 use rand::rngs::StdRng;
@@ -87,8 +87,8 @@
     from: usize,
     /// None of an engine that doesn't answer and isn't known to load.
     state: Option<State>,
-    ask: Option<Ask>,
-    answer: Option<Ask>,
+    ask: Option<Query>,
+    answer: Option<Query>,
 }
 
 /// A sidecar and its engine.
@@ -277,7 +277,7 @@
         if step.orders && !n.busy(now) {
             n.loads.push((now, now + self.play.load, n.named.newest()));
         }
-        if let Some((ask, to)) = step.asks {
+        if let Some((ask, to)) = step.query {
             let mut question = self.datagram(now, i);
             question.ask = Some(ask);
             to.into_iter()
--- a/crates/policy/tests/trial.rs
+++ b/crates/policy/tests/trial.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use model::{Incarnation, MemberId, Micros};
-use policy::contact::Ask;
+use policy::contact::Query;
 use policy::quarantine::{Config, Crash, Fingerprint, Quarantine, Verdict};
 use policy::trial::{Claim, Trials};
 use rand::rngs::StdRng;
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug)]
 struct Datagram {
     from: usize,
-    ask: Ask,
+    ask: Query,
     claim: Claim,
     crashes: Vec<Crash>,
     /// Whether the request is busy there; none in an ask.
@@ -254,7 +254,7 @@
         if let Some(step) = n.trials.step(ms(now), &peers(self.play, i)) {
             let ask = Datagram {
                 from: i,
-                ask: step.ask,
+                ask: step.query,
                 claim: step.claims[0],
                 crashes: self.known(now, i),
                 busy: None,
