--- a/crates/daemon/src/mark.rs
+++ b/crates/daemon/src/mark.rs
@@ -99,6 +99,6 @@
 fn named(crash: u64) -> Crash {
     Crash {
         member: MemberId(crash),
-        life: Incarnation(0),
+        incarnation: Incarnation(0),
     }
 }
--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -84,7 +84,7 @@
 fn crash(boot: &Boot) -> Crash {
     Crash {
         member: MemberId(xxh3_64(boot.id.as_bytes())),
-        life: Incarnation(boot.born),
+        incarnation: Incarnation(boot.born),
     }
 }
 
@@ -251,7 +251,7 @@
             high: (print.body >> 64) as u64,
             low: print.body as u64,
             target: crash.map_or(0, |c| c.member.0),
-            born: crash.map_or(0, |c| c.life.0),
+            born: crash.map_or(0, |c| c.incarnation.0),
             cleared: crash.is_none(),
         }),
         ..Update::default()
@@ -295,6 +295,6 @@
 fn crash_of(strike: &Strike) -> Crash {
     Crash {
         member: MemberId(strike.target),
-        life: Incarnation(strike.born),
+        incarnation: Incarnation(strike.born),
     }
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -64,7 +64,7 @@
     /// Where.
     pub member: MemberId,
     /// The life that ended.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// What is to be done with a request.
--- a/crates/policy/tests/control.rs
+++ b/crates/policy/tests/control.rs
@@ -186,7 +186,7 @@
     let print = |body| Fingerprint { body, weights: 1 };
     let crash = |member, life| Crash {
         member: MemberId(member),
-        life: Incarnation(life),
+        incarnation: Incarnation(life),
     };
     for body in 1..=5 {
         assert_eq!(
--- a/crates/policy/tests/crashes.rs
+++ b/crates/policy/tests/crashes.rs
@@ -23,7 +23,7 @@
     }
     let crash = |life| Crash {
         member: MemberId(7),
-        life: Incarnation(life),
+        incarnation: Incarnation(life),
     };
     let print = Fingerprint {
         body: 1,
@@ -73,7 +73,7 @@
     });
     let crash = |member| Crash {
         member: MemberId(member),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
     };
     let print = |body| Fingerprint { body, weights: 0 };
     for member in 1..=20 {
@@ -122,7 +122,7 @@
         for member in 1..=3 {
             let crash = Crash {
                 member: MemberId(member),
-                life: Incarnation(1),
+                incarnation: Incarnation(1),
             };
             entry.strike(ms(0), print, crash);
         }
--- a/crates/policy/tests/trial.rs
+++ b/crates/policy/tests/trial.rs
@@ -187,7 +187,7 @@
         }
         let crash = Crash {
             member: MemberId(i as u64),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
         };
         let n = &mut self.nodes[i];
         n.run = None;
