--- a/crates/gate/src/entry/refuse.rs
+++ b/crates/gate/src/entry/refuse.rs
@@ -8,7 +8,7 @@
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use model::Micros;
-use policy::loading::Left;
+use policy::loading::RemainingLoad;
 use rand::Rng;
 
 use super::listen::Watch;
@@ -49,7 +49,7 @@
     /// All targets load weights, and refuse what is new until then.
     Loading {
         /// How long the first of them continues.
-        left: Left,
+        left: RemainingLoad,
     },
     /// It has crashed the targets that ran it.
     Quarantined {
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -6,7 +6,7 @@
 use model::{Micros, Position};
 use platform::replica::Load;
 use policy::ledger::Unread;
-use policy::loading::Left;
+use policy::loading::RemainingLoad;
 use policy::misdirected::Marks;
 use policy::standing::Standing;
 use policy::urgency;
@@ -46,17 +46,17 @@
     /// Whether its turn to load has come: what is sent there now is refused or met by the load.
     pub due: bool,
     /// For how long it is expected to continue to load them since then, if it is loading.
-    pub load: Option<Left>,
+    pub load: Option<RemainingLoad>,
     /// Prompt tokens that it has yet to read, for all entries, by step of urgency.
     pub unread_tokens: Unread,
 }
 
 impl Heard {
     /// For how long it continues to load weights, if it is loading.
-    pub(super) fn load_left(&self, now: Micros) -> Option<Left> {
+    pub(super) fn load_left(&self, now: Micros) -> Option<RemainingLoad> {
         let load = self.load?;
         let time = (self.at + load.time).since(now);
-        Some(Left { time, ..load })
+        Some(RemainingLoad { time, ..load })
     }
 
     /// What a sidecar's word says of its engine.
@@ -80,7 +80,7 @@
             due: update.due_ms.is_some(),
             load: update
                 .loading_ms
-                .map(|ms| Left::new(time(ms), update.load_ms.map(time))),
+                .map(|ms| RemainingLoad::new(time(ms), update.load_ms.map(time))),
             unread_tokens,
         }
     }
--- a/crates/gate/src/entry/tries.rs
+++ b/crates/gate/src/entry/tries.rs
@@ -10,7 +10,7 @@
 use hyper::{Response, StatusCode};
 use model::Micros;
 use platform::replica;
-use policy::loading::Left;
+use policy::loading::RemainingLoad;
 use policy::shared::Need;
 use site::{Boot, Mode};
 use tokio::time::{sleep, timeout};
@@ -115,7 +115,7 @@
 
 /// Whether a job waits for engines that load. What is sent to them meanwhile is refused, and each such try
 /// costs the pool a retry.
-fn worth_waiting(job: &Job, now: Micros, left: Left) -> bool {
+fn worth_waiting(job: &Job, now: Micros, left: RemainingLoad) -> bool {
     let rest = job.left(now).into();
     left.is_worth_waiting(rest, job.left(job.came).into())
 }
--- a/crates/gate/src/entry/usable.rs
+++ b/crates/gate/src/entry/usable.rs
@@ -1,7 +1,7 @@
 //! Which targets a request may go to, by what is believed of each.
 
 use model::Micros;
-use policy::loading::Left;
+use policy::loading::RemainingLoad;
 use policy::{outlook, subscription};
 use site::State;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -64,15 +64,15 @@
 }
 
 /// How long all of some engines continue to load weights, if they do; they refuse what is new until then.
-pub(super) fn all_load(open: &[(Key, &Replica)], now: Micros) -> Option<Left> {
+pub(super) fn all_load(open: &[(Key, &Replica)], now: Micros) -> Option<RemainingLoad> {
     let all: Option<Vec<_>> = open.iter().map(|(_, r)| load_left(r, now)).collect();
     all?.into_iter().min_by_key(|left| left.time)
 }
 
 /// How long an engine continues to load weights, if it does.
-fn load_left(r: &Replica, now: Micros) -> Option<Left> {
+fn load_left(r: &Replica, now: Micros) -> Option<RemainingLoad> {
     let heard = r.heard.filter(|h| h.busy && now.since(h.at) < HEARD)?;
-    let over = Left {
+    let over = RemainingLoad {
         time: Micros::ZERO,
         known: true,
     };
--- a/crates/policy/src/loading.rs
+++ b/crates/policy/src/loading.rs
@@ -13,14 +13,14 @@
 
 /// How long an engine continues to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Left {
+pub struct RemainingLoad {
     /// The time.
     pub time: Micros,
     /// Whether it comes from the observed length of a load.
     pub known: bool,
 }
 
-impl Left {
+impl RemainingLoad {
     /// What is left of a load that has lasted for some time and usually takes so long. One of unknown length
     /// is taken to last as long again.
     pub fn new(lasted: Micros, takes: Option<Micros>) -> Self {
--- a/crates/policy/tests/loading.rs
+++ b/crates/policy/tests/loading.rs
@@ -1,7 +1,7 @@
 //! Requests that wait while all engines load.
 
 use model::Micros;
-use policy::loading::Left;
+use policy::loading::RemainingLoad;
 
 /// A load, and a request that comes meanwhile.
 struct Case {
@@ -27,7 +27,7 @@
     ];
     for c in cases {
         let ms = Micros::from_millis;
-        let left = Left::new(ms(c.lasted), c.takes.map(ms));
+        let left = RemainingLoad::new(ms(c.lasted), c.takes.map(ms));
         let waits = left.is_worth_waiting(ms(c.rest), ms(c.whole));
         assert_eq!(waits, c.waits, "{}", c.what);
     }
