--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -64,7 +64,7 @@
         };
         // Kept only where its row may have lapsed, and until a time: kept for any absence soon after the
         // store's return, a target that had left got requests until the next read, and they were lost.
-        let lapsed = lapse::kept(config, &gap);
+        let lapsed = lapse::retain_until(config, &gap);
         let missing: Vec<_> = self
             .boots
             .iter()
--- a/crates/gate/tests/fleet.rs
+++ b/crates/gate/tests/fleet.rs
@@ -11,7 +11,7 @@
 /// How rows of the list lapse.
 const CONFIG: lapse::Config = lapse::Config {
     heartbeat: Micros::from_millis(1_200),
-    back: Micros::from_millis(2_200),
+    reentry: Micros::from_millis(2_200),
 };
 
 fn target(id: &str, renewed: u64) -> Target {
--- a/crates/policy/src/lapse.rs
+++ b/crates/policy/src/lapse.rs
@@ -26,14 +26,14 @@
     /// How often targets renew their rows, as the platform tells; 1.2 s.
     pub heartbeat: Micros,
     /// How long after the store's return a row may still be missing; 2.2 s.
-    pub back: Micros,
+    pub reentry: Micros,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
             heartbeat: Micros::from_millis(1_200),
-            back: Micros::from_millis(2_200),
+            reentry: Micros::from_millis(2_200),
         }
     }
 }
@@ -52,11 +52,11 @@
 }
 
 /// Until when a target is kept that the list lacks; none if it has left.
-pub fn kept(config: &Config, gap: &Gap) -> Option<Micros> {
+pub fn retain_until(config: &Config, gap: &Gap) -> Option<Micros> {
     let sure = Micros(config.heartbeat.0 * SURE);
     let may_lapse = gap.failed && gap.read.since(gap.known) >= sure;
-    let lapsed = may_lapse.then_some(gap.read + config.back);
+    let lapsed = may_lapse.then_some(gap.read + config.reentry);
     // A target that entered itself after the copy was made has to do so again.
-    let lost = gap.restored.map(|at| at + config.back);
+    let lost = gap.restored.map(|at| at + config.reentry);
     lapsed.max(lost.filter(|until| gap.read < *until))
 }
--- a/crates/policy/tests/lapse.rs
+++ b/crates/policy/tests/lapse.rs
@@ -1,7 +1,7 @@
 //! Targets that the list lacks: those that have left, and those whose row has only lapsed.
 
 use model::Micros;
-use policy::lapse::{kept, Config, Gap};
+use policy::lapse::{retain_until, Config, Gap};
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
@@ -42,7 +42,7 @@
             restored: c.restored.map(ms),
         };
         let want = c.want.map(ms);
-        assert_eq!(kept(&Config::default(), &gap), want, "{}", c.name);
+        assert_eq!(retain_until(&Config::default(), &gap), want, "{}", c.name);
     }
 }
 
@@ -60,6 +60,6 @@
         failed: true,
         restored: None,
     };
-    assert_eq!(kept(&config, &gap(14_000)), None);
-    assert_eq!(kept(&config, &gap(9_000)), Some(ms(22_200)));
+    assert_eq!(retain_until(&config, &gap(14_000)), None);
+    assert_eq!(retain_until(&config, &gap(9_000)), Some(ms(22_200)));
 }
