--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -203,7 +203,7 @@
             model: has.model.clone(),
             version: named.newest(),
         },
-        received: named.heard(),
+        received: named.received_at(),
     });
     let lack = lack.map(|(has, named)| Lack {
         model: model_key(&has.model),
--- a/crates/gate/src/world.rs
+++ b/crates/gate/src/world.rs
@@ -220,7 +220,7 @@
         let weights = platform::config::weights(value)?;
         let start = source != Source::Feed && now < START;
         let known = self.named.entry(weights.model.clone()).or_default();
-        if known.name(now, weights.version, start) {
+        if known.record(now, weights.version, start) {
             log::event(&Event::Named {
                 model: &weights.model,
                 version: weights.version,
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -312,7 +312,7 @@
             return;
         }
         self.desired = lack.named.newest();
-        self.named = lack.named.heard();
+        self.named = lack.named.received_at();
         let tie = rank(group.engine, 0);
         let claiming = self.claim.is_some();
         // A claim that sees others goes ahead of those with a higher tie, which withdraw.
@@ -497,7 +497,7 @@
         let others = self.others(now, lack, counts);
         if others.is_empty() && group.hosts > 1 {
             let blind = rollout::blind(&config, group.rank, group.hosts, group.allowed);
-            return now >= ALONE.max(named.heard() + blind);
+            return now >= ALONE.max(named.received_at() + blind);
         }
         let oldest = others.iter().map(|o| o.version).min();
         let oldest = oldest.unwrap_or(lack.version).min(lack.version);
--- a/crates/policy/src/versions.rs
+++ b/crates/policy/src/versions.rs
@@ -40,7 +40,7 @@
 impl Versions {
     /// Notes a version that was just heard of; tells whether it is news. At the start of a process
     /// it may have been named before.
-    pub fn name(&mut self, now: Micros, version: u64, start: bool) -> bool {
+    pub fn record(&mut self, now: Micros, version: u64, start: bool) -> bool {
         if version <= self.newest() {
             return false;
         }
@@ -58,7 +58,7 @@
     }
 
     /// When the newest version was heard of.
-    pub fn heard(&self) -> Micros {
+    pub fn received_at(&self) -> Micros {
         self.0.back().map_or(Micros::ZERO, |(_, _, at)| *at)
     }
 
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -393,16 +393,16 @@
     // caller doesn't get an answer on weights that were replaced seven seconds ago.
     let mut versions = Versions::default();
     for (version, at) in [(2, 1_000), (3, 4_000), (4, 6_000), (5, 8_000)] {
-        assert!(versions.name(ms(at), version, false));
-        assert!(!versions.name(ms(at), version, false), "told twice");
+        assert!(versions.record(ms(at), version, false));
+        assert!(!versions.record(ms(at), version, false), "told twice");
     }
     assert_eq!(versions.outdated(ms(10_000), 2), Some(ms(6_000)));
     assert_eq!(versions.outdated(ms(10_000), 4), Some(ms(2_000)));
     assert_eq!(versions.outdated(ms(10_000), 5), None);
-    assert_eq!((versions.newest(), versions.heard()), (5, ms(8_000)));
+    assert_eq!((versions.newest(), versions.received_at()), (5, ms(8_000)));
     // A process that starts in the middle of it doesn't know when version 5 was named.
     let mut started = Versions::default();
-    started.name(ms(100), 5, true);
+    started.record(ms(100), 5, true);
     assert_eq!(started.outdated(ms(1_100), 2), Some(ms(3_500)));
 }
 
--- a/crates/policy/tests/slots/main.rs
+++ b/crates/policy/tests/slots/main.rs
@@ -26,7 +26,7 @@
 
 fn named(version: u64, at: Micros) -> Versions {
     let mut named = Versions::default();
-    named.name(at, version, false);
+    named.record(at, version, false);
     named
 }
 
--- a/crates/policy/tests/slots/sim.rs
+++ b/crates/policy/tests/slots/sim.rs
@@ -252,7 +252,7 @@
             if now >= received {
                 let at = n.now(now);
                 n.named
-                    .name(at, version, at < ms(3_000) && received < n.start);
+                    .record(at, version, at < ms(3_000) && received < n.start);
             }
         }
         let others: Vec<_> = (0..self.play.engines).filter(|o| *o != i).collect();
