--- a/crates/daemon/src/sidecar/decide/trials.rs
+++ b/crates/daemon/src/sidecar/decide/trials.rs
@@ -76,7 +76,7 @@
             print: print.body as u64,
             crashes: mark::crashes(&self.quarantine, now, print),
             busy: running || self.trials.goes_ahead(claim),
-            good: self.quarantine.vouched(now, print),
+            good: self.quarantine.recently_succeeded(now, print),
         }
     }
 
@@ -85,7 +85,7 @@
         let print = mark::print(f.print);
         self.trials.answered(now, from, ask, print, f.busy);
         if f.good && self.verdict(now, f.print) != Verdict::Convicted {
-            self.quarantine.vouch(now, print);
+            self.quarantine.record_success(now, print);
         }
         self.learn(now, f.print, &f.crashes)
     }
@@ -96,7 +96,7 @@
             return;
         };
         if run.struck || self.quarantine.verdict(now, run.print) == Verdict::Suspect {
-            self.quarantine.vouch(now, run.print);
+            self.quarantine.record_success(now, run.print);
         }
     }
 
@@ -105,7 +105,7 @@
         let print = mark::print(work.fingerprint);
         match self.quarantine.verdict(now, print) {
             Verdict::Convicted => Verdict::Convicted,
-            _ if self.quarantine.vouched(now, print) => Verdict::Clear,
+            _ if self.quarantine.recently_succeeded(now, print) => Verdict::Clear,
             Verdict::Clear if work.strikes > 0 => Verdict::Suspect,
             verdict => verdict,
         }
--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -16,7 +16,7 @@
 
 use model::{Incarnation, MemberId, Micros};
 use policy::broken::{Break, Broken};
-use policy::quarantine::{self, Crash, Fingerprint, Place, Quarantine, Verdict};
+use policy::quarantine::{self, Crash, Fingerprint, ProcessRank, Quarantine, Verdict};
 use site::Boot;
 use tokio::time::sleep;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
@@ -101,18 +101,18 @@
     }
     let own = ctx.node.settings.borrow().peer;
     let entries = ctx.node.world.borrow();
-    let place = Place {
+    let place = ProcessRank {
         rank: entries.entries().filter(|a| *a < own).count(),
-        of: entries.entries().count() + 1,
+        total: entries.entries().count() + 1,
     };
     let mut suspects = ctx.suspects.borrow_mut();
-    suspects.quarantine.retry(ctx.now(), job.print, place)
+    suspects.quarantine.take_retry(ctx.now(), job.print, place)
 }
 
 /// How long a convicted job isn't run at least.
 pub(super) fn left(ctx: &Ctx, job: &Job) -> Micros {
     let now = ctx.now();
-    let next = ctx.suspects.borrow().quarantine.next(now, job.print);
+    let next = ctx.suspects.borrow().quarantine.next_retry(now, job.print);
     next.map_or(Micros::ZERO, |at| at.since(now))
 }
 
@@ -145,7 +145,7 @@
 pub(super) fn served(ctx: &Ctx, job: &Job) {
     let cleared = {
         let mut suspects = ctx.suspects.borrow_mut();
-        suspects.quarantine.vouch(ctx.now(), job.print)
+        suspects.quarantine.record_success(ctx.now(), job.print)
     };
     if cleared {
         tell(job.print, Some(&job.id), None, &Held::default(), "own");
@@ -158,7 +158,11 @@
     let print = print_of(&told);
     let now = ctx.now();
     if told.cleared {
-        let cleared = ctx.suspects.borrow_mut().quarantine.vouch(now, print);
+        let cleared = ctx
+            .suspects
+            .borrow_mut()
+            .quarantine
+            .record_success(now, print);
         if cleared {
             tell(print, None, None, &Held::default(), "peer");
             // Those whom this one has told of the crash must hear of it too.
@@ -166,7 +170,12 @@
         }
         return;
     }
-    if ctx.suspects.borrow().quarantine.vouched(now, print) {
+    if ctx
+        .suspects
+        .borrow()
+        .quarantine
+        .recently_succeeded(now, print)
+    {
         update::send(&ctx.socket, &update(print, None), [from]);
         return;
     }
@@ -280,7 +289,11 @@
 fn holds(ctx: &Ctx, strike: &Strike) -> bool {
     let print = print_of(strike);
     if strike.cleared {
-        return ctx.suspects.borrow().quarantine.vouched(ctx.now(), print);
+        return ctx
+            .suspects
+            .borrow()
+            .quarantine
+            .recently_succeeded(ctx.now(), print);
     }
     held(ctx, print).crashes.contains(&crash_of(strike))
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -33,7 +33,7 @@
     /// How long a strike or conviction lasts; 10 min.
     pub lasts: Micros,
     /// How long a good answer vouches for its content; 10 s.
-    pub vouches: Micros,
+    pub success_lasts: Micros,
     /// Most fingerprints kept; 4,096, some 400 KB. The oldest go first.
     pub kept: usize,
 }
@@ -43,7 +43,7 @@
         Self {
             strikes: 2,
             lasts: Micros::from_secs(600),
-            vouches: Micros::from_secs(10),
+            success_lasts: Micros::from_secs(10),
             kept: 4_096,
         }
     }
@@ -97,11 +97,11 @@
 
 /// Which of some processes one is, by an order that all of them see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct ProcessRank {
     /// Processes before it.
     pub rank: usize,
     /// Processes in all.
-    pub of: usize,
+    pub total: usize,
 }
 
 /// The suspects and convicted that one process knows of.
@@ -136,7 +136,7 @@
     pub fn strike(&mut self, now: Micros, print: Fingerprint, crash: Crash) -> Verdict {
         // First, so that a crash of long ago doesn't count beside this one.
         self.expire(now);
-        if self.vouched(now, print) {
+        if self.recently_succeeded(now, print) {
             return Verdict::Clear;
         }
         let until = now + self.config.lasts;
@@ -171,7 +171,7 @@
 
     /// Whether a convicted request may run once more, through this process. Each of its few tries
     /// falls to one process, so that many don't try at one moment.
-    pub fn retry(&mut self, now: Micros, print: Fingerprint, place: Place) -> bool {
+    pub fn take_retry(&mut self, now: Micros, print: Fingerprint, place: ProcessRank) -> bool {
         let Some(record) = self.records.get_mut(&print) else {
             return false;
         };
@@ -179,7 +179,7 @@
             return false;
         };
         let due = TRIES.iter().filter(|t| convicted + **t <= now).count();
-        let whose = (print.body as usize).wrapping_add(due) % place.of.max(1);
+        let whose = (print.body as usize).wrapping_add(due) % place.total.max(1);
         if due <= record.tries || whose != place.rank {
             return false;
         }
@@ -188,7 +188,7 @@
     }
 
     /// When a convicted request may run again at the earliest.
-    pub fn next(&self, now: Micros, print: Fingerprint) -> Option<Micros> {
+    pub fn next_retry(&self, now: Micros, print: Fingerprint) -> Option<Micros> {
         let record = self.records.get(&print)?;
         let convicted = record.convicted?;
         let tries = TRIES.iter().map(|t| convicted + *t);
@@ -196,8 +196,8 @@
     }
 
     /// Notes a good answer and takes back what is held; true if there was anything.
-    pub fn vouch(&mut self, now: Micros, print: Fingerprint) -> bool {
-        let until = now + self.config.vouches;
+    pub fn record_success(&mut self, now: Micros, print: Fingerprint) -> bool {
+        let until = now + self.config.success_lasts;
         self.good.insert(print, until);
         self.goods.push_back((until, print));
         while self.goods.len() > self.config.kept {
@@ -212,7 +212,7 @@
     }
 
     /// Whether a good answer vouches for a request.
-    pub fn vouched(&self, now: Micros, print: Fingerprint) -> bool {
+    pub fn recently_succeeded(&self, now: Micros, print: Fingerprint) -> bool {
         self.good.get(&print).is_some_and(|until| *until > now)
     }
 
--- a/crates/policy/tests/crashes.rs
+++ b/crates/policy/tests/crashes.rs
@@ -2,7 +2,7 @@
 
 use model::{Incarnation, MemberId, Micros};
 use policy::broken::{Break, Broken};
-use policy::quarantine::{Config, Crash, Fingerprint, Place, Quarantine, Verdict as Held};
+use policy::quarantine::{Config, Crash, Fingerprint, ProcessRank, Quarantine, Verdict as Held};
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
@@ -82,20 +82,26 @@
         let vouched = member > 1;
         assert_eq!(struck == Held::Suspect, !vouched);
         quarantine.strike(now, print(2), crash(member));
-        assert_eq!(quarantine.vouch(now, print(1)), !vouched);
+        assert_eq!(quarantine.record_success(now, print(1)), !vouched);
     }
     let now = Micros::from_secs(21);
     assert_eq!(quarantine.verdict(now, print(1)), Held::Clear);
     assert_eq!(quarantine.verdict(now, print(2)), Held::Convicted);
     // Somebody else has had a good answer to it.
-    assert!(quarantine.vouch(now, print(2)), "a convict wasn't cleared");
+    assert!(
+        quarantine.record_success(now, print(2)),
+        "a convict wasn't cleared"
+    );
     assert_eq!(quarantine.verdict(now, print(2)), Held::Clear);
     // Crashes ten minutes apart are no series.
     quarantine.strike(now, print(3), crash(1));
     quarantine.strike(now, print(3), crash(2));
     let late = now + Config::default().lasts;
-    let soon = now + Config::default().vouches;
-    assert!(!quarantine.vouched(soon, print(1)), "vouched for too long");
+    let soon = now + Config::default().success_lasts;
+    assert!(
+        !quarantine.recently_succeeded(soon, print(1)),
+        "vouched for too long"
+    );
     assert_eq!(quarantine.strike(late, print(3), crash(3)), Held::Suspect);
     assert_eq!(
         quarantine.crashes(late, print(3)).map(|(c, _)| c.len()),
@@ -116,8 +122,8 @@
         body: 123_456,
         weights: 0,
     };
-    let of = 30;
-    let mut entries: Vec<_> = (0..of).map(|_| Quarantine::new(strikes)).collect();
+    let total = 30;
+    let mut entries: Vec<_> = (0..total).map(|_| Quarantine::new(strikes)).collect();
     for entry in &mut entries {
         for member in 1..=3 {
             let crash = Crash {
@@ -130,8 +136,8 @@
     let mut tries = Vec::new();
     for second in 0..600 {
         for (rank, entry) in entries.iter_mut().enumerate() {
-            let place = Place { rank, of };
-            if entry.retry(Micros::from_secs(second), print, place) {
+            let place = ProcessRank { rank, total };
+            if entry.take_retry(Micros::from_secs(second), print, place) {
                 tries.push(second);
             }
         }
