--- a/crates/gate/src/agent/watch.rs
+++ b/crates/gate/src/agent/watch.rs
@@ -116,7 +116,7 @@
                 false => (a.kind == Kind::Delegate).then_some(IDLE),
             };
             let late = interval.is_some_and(|i| since.is_none_or(|s| s >= i));
-            (late, a.rollout.slots.answers(node.now()))
+            (late, a.rollout.slots.can_answer(node.now()))
         };
         if !answers || (timeless == self.reported && !renew) {
             return;
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -136,7 +136,7 @@
         let state = self.slots.state(now, 0, Vec::new());
         update.due_ms = state.due.map(ms);
         update.loading_ms = state.loading.map(ms);
-        update.load_ms = state.load.map(ms);
+        update.load_ms = state.load_time.map(ms);
         update.wanted = state.desired;
         update.claims = state.claims;
         update.process = self.process;
@@ -159,7 +159,7 @@
             .busy
             .then(|| ms(update.loading_ms.unwrap_or_default())),
         due: update.due_ms.map(ms),
-        load: update.load_ms.map(ms),
+        load_time: update.load_ms.map(ms),
         desired: update.wanted,
         claims: update.claims,
         process: update.process,
@@ -188,8 +188,8 @@
     let Some(report) = a.report.as_ref().filter(|_| a.alive) else {
         rollout.lack = None;
         return match a.ended {
-            true => rollout.slots.lost(now),
-            false => rollout.slots.missed(now),
+            true => rollout.slots.engine_exited(now),
+            false => rollout.slots.report_missed(now),
         };
     };
     let weights = report.weights.iter();
@@ -332,7 +332,7 @@
         agent,
         socket,
     } = env;
-    if !agent.borrow().rollout.slots.answers(node.now()) {
+    if !agent.borrow().rollout.slots.can_answer(node.now()) {
         return;
     }
     let update = Update {
@@ -361,7 +361,7 @@
         active: report.active,
         boot: boot.map(|b| b.id.clone()),
         taken: now,
-        silent: step.silent,
+        silent: step.skipped,
     });
     (step, order)
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -61,7 +61,7 @@
     /// For how long it has been free to load without doing so.
     pub due: Option<Micros>,
     /// How long a load takes, as far as its sidecar knows.
-    pub load: Option<Micros>,
+    pub load_time: Option<Micros>,
     /// The version that it lacks; 0 if it lacks none.
     pub desired: u64,
     /// Whether it claims a slot.
@@ -80,7 +80,7 @@
     /// Orders the load.
     pub orders: bool,
     /// Sidecars that were passed over, if it orders the load.
-    pub silent: usize,
+    pub skipped: usize,
 }
 
 impl<K> Default for Step<K> {
@@ -88,7 +88,7 @@
         Self {
             query: None,
             orders: false,
-            silent: 0,
+            skipped: 0,
         }
     }
 }
@@ -222,7 +222,7 @@
 
     /// Whether asks may be answered: a process that has just started doesn't know yet whether its engine
     /// loads by an order of the one before it.
-    pub fn answers(&self, now: Micros) -> bool {
+    pub fn can_answer(&self, now: Micros) -> bool {
         self.loading.is_some() || self.settled.is_some_and(|at| now >= at)
     }
 
@@ -235,7 +235,7 @@
             weights,
             loading: self.loading.map(|l| now.since(l.since)),
             due: self.due.filter(|_| free).map(|at| now.since(at)),
-            load: self.load(now),
+            load_time: self.load(now),
             desired: self.desired,
             claims: self.claim.is_some(),
             process: 0,
@@ -289,15 +289,15 @@
 
     /// Notes that the engine's report is late. That doesn't end a load, which makes an engine slow: it keeps
     /// its slot for as long as other sidecars would count it without an update.
-    pub fn missed(&mut self, now: Micros) {
+    pub fn report_missed(&mut self, now: Micros) {
         let counts = |l: &Loading| now.since(l.since.max(self.read)) < self.load_lease(self.load);
         if !self.loading.as_ref().is_some_and(counts) {
-            self.lost(now);
+            self.engine_exited(now);
         }
     }
 
     /// Notes that the engine has exited.
-    pub fn lost(&mut self, now: Micros) {
+    pub fn engine_exited(&mut self, now: Micros) {
         self.settled.get_or_insert(now);
         self.loading = None;
         self.rest();
@@ -326,7 +326,7 @@
     /// Advances the claim of a slot if the engine is due to load and can be ordered to. Once the slot is
     /// taken the engine counts as loading. `peers` are the sidecars that are listed, `draw` is random.
     pub fn step(&mut self, now: Micros, peers: &[K], ordered: bool, draw: u64) -> Step<K> {
-        let may = ordered && self.loading.is_none() && self.answers(now) && now >= self.pause;
+        let may = ordered && self.loading.is_none() && self.can_answer(now) && now >= self.pause;
         let Some(due) = self.due.filter(|_| may) else {
             self.withdraw();
             return self.look_around(now, peers);
@@ -346,7 +346,7 @@
             self.take(now);
             return Step {
                 orders: true,
-                silent: recent.len(),
+                skipped: recent.len(),
                 ..Step::default()
             };
         }
@@ -441,7 +441,7 @@
     /// Updates that count: recent ones, and of a load as long as it may last.
     fn recent(&self, now: Micros) -> impl Iterator<Item = (&K, &Peer)> {
         let lease = move |p: &Peer| match p.state.loading {
-            Some(_) => self.load_lease(p.state.load.or(self.load)),
+            Some(_) => self.load_lease(p.state.load_time.or(self.load)),
             None => LEASE,
         };
         self.peers
@@ -459,7 +459,10 @@
         if self.load.is_some() {
             return self.load;
         }
-        let mut seen: Vec<_> = self.recent(now).filter_map(|(_, p)| p.state.load).collect();
+        let mut seen: Vec<_> = self
+            .recent(now)
+            .filter_map(|(_, p)| p.state.load_time)
+            .collect();
         seen.sort_unstable();
         seen.get(seen.len() / 2).copied()
     }
--- a/crates/policy/tests/slots/sim.rs
+++ b/crates/policy/tests/slots/sim.rs
@@ -237,7 +237,7 @@
             if let Some(answer) = d.answer {
                 n.slots.answered(at, d.from, answer);
             }
-            if let (Some(ask), true) = (d.ask, n.slots.answers(at)) {
+            if let (Some(ask), true) = (d.ask, n.slots.can_answer(at)) {
                 let mut answer = self.datagram(now, i);
                 answer.answer = Some(ask);
                 self.send(now, d.from, answer);
@@ -262,7 +262,7 @@
         let late = self.play.late > 0.0 && n.busy(now);
         n.silent = late && self.rng.random_bool(self.play.late);
         if n.silent {
-            n.slots.missed(at);
+            n.slots.report_missed(at);
         } else {
             n.slots.report(at, &[(MODEL, version)], busy);
             let lack = (n.named.newest() > version).then_some(Lack {
@@ -309,7 +309,7 @@
         let n = &mut self.nodes[i];
         let at = n.now(now);
         let renew = now >= n.renewed + RENEW && n.slots.under_way(at);
-        if n.slots.answers(at) && (timeless != n.sent || renew) {
+        if n.slots.can_answer(at) && (timeless != n.sent || renew) {
             n.sent = timeless;
             n.renewed = now;
             self.broadcast(now, &update);
