--- a/crates/daemon/src/sidecar/control/fleet.rs
+++ b/crates/daemon/src/sidecar/control/fleet.rs
@@ -52,9 +52,9 @@
         let now = clock::now();
         let step = self.decide.inquire(now)?;
         let suspects = step.claims.iter().map(|c| Suspect {
-            fingerprint: c.print.body as u64,
+            fingerprint: c.fingerprint.body as u64,
             rank: c.rank,
-            crashes: self.decide.crashes(now, c.print.body as u64),
+            crashes: self.decide.crashes(now, c.fingerprint.body as u64),
         });
         let inquiry = Inquiry {
             from: self.rank,
@@ -76,7 +76,7 @@
             let mark = self.decide.learn(now, s.fingerprint, &s.crashes);
             self.convicted(now, mark);
             let claim = Claim {
-                print: mark::print(s.fingerprint),
+                fingerprint: mark::print(s.fingerprint),
                 rank: s.rank,
             };
             let f = self.decide.inquired(now, i.from, claim);
--- a/crates/daemon/src/sidecar/decide/trials.rs
+++ b/crates/daemon/src/sidecar/decide/trials.rs
@@ -69,13 +69,13 @@
     /// Answers another sidecar that would run a suspect, whose crashes have been learnt.
     pub fn inquired(&mut self, now: Micros, from: u64, claim: Claim) -> Finding {
         self.trials.receive(now, from, claim);
-        let print = claim.print;
+        let print = claim.fingerprint;
         let runs = |r: &Running| r.print == print && r.may_crash(now);
         let running = self.running.iter().any(|(_, r)| runs(r));
         Finding {
             print: print.body as u64,
             crashes: mark::crashes(&self.quarantine, now, print),
-            busy: running || self.trials.goes_ahead(claim),
+            busy: running || self.trials.outranks(claim),
             good: self.quarantine.recently_succeeded(now, print),
         }
     }
--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -272,7 +272,7 @@
 #[test]
 fn run_is_told_until_its_crash_is_counted() {
     let claim = Claim {
-        print: mark::print(5),
+        fingerprint: mark::print(5),
         rank: 1,
     };
     let mut d = decide();
--- a/crates/policy/src/trial.rs
+++ b/crates/policy/src/trial.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// The request.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Random; the lower one of two claims goes ahead.
     pub rank: u64,
 }
@@ -146,7 +146,7 @@
         let to = peers.iter().filter(|k| !self.contacts.passed(k));
         let to = to.copied().collect();
         let claims = self.own.iter().map(|(print, o)| Claim {
-            print: *print,
+            fingerprint: *print,
             rank: o.rank,
         });
         let mut claims: Vec<_> = claims.collect();
@@ -167,8 +167,10 @@
     }
 
     /// Whether a claim of this sidecar goes ahead of another one's.
-    pub fn goes_ahead(&self, of: Claim) -> bool {
-        self.own.get(&of.print).is_some_and(|o| o.rank < of.rank)
+    pub fn outranks(&self, of: Claim) -> bool {
+        self.own
+            .get(&of.fingerprint)
+            .is_some_and(|o| o.rank < of.rank)
     }
 
     /// Notes another sidecar's claim.
@@ -179,7 +181,7 @@
             rank: claim.rank,
             at: now,
         };
-        self.others.insert((from, claim.print), other);
+        self.others.insert((from, claim.fingerprint), other);
     }
 
     /// Notes another sidecar's answer for one request: whether it runs it, or its own claim goes ahead.
--- a/crates/policy/tests/trial.rs
+++ b/crates/policy/tests/trial.rs
@@ -164,7 +164,7 @@
                 continue;
             }
             n.trials.receive(ms(now), d.from, d.claim);
-            let busy = n.run.is_some() || n.trials.goes_ahead(d.claim);
+            let busy = n.run.is_some() || n.trials.outranks(d.claim);
             let answer = Datagram {
                 from: i,
                 crashes: self.known(now, i),
