--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -41,7 +41,7 @@
 /// Age up to which a report that a delegate has read is good enough for an order.
 const AHEAD: Micros = Micros::from_millis(150);
 /// How long after its start a sidecar reports to all entries; each that uses it subscribes within that.
-const STARTED: Micros = Micros(2 * subscription::RENEW.0);
+const STARTED: Micros = Micros(2 * subscription::RENEW_INTERVAL.0);
 
 /// An agent, as other processes address it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -230,7 +230,7 @@
             };
             update::send(&ctx.socket, &update, [sidecar]);
         }
-        sleep(subscription::pause(ctx.now(), all_confirmed).into()).await;
+        sleep(subscription::renewal_delay(ctx.now(), all_confirmed).into()).await;
     }
 }
 
@@ -243,10 +243,10 @@
     let world = ctx.node.world.borrow();
     let sidecars = world.sidecars().map(|m| Sidecar {
         addr: m.addr,
-        near: m.domain == domain,
+        same_domain: m.domain == domain,
         rank: xxh3_64_with_seed(m.addr.to_string().as_bytes(), own),
     });
-    subscription::desired(sidecars)
+    subscription::select(sidecars)
 }
 
 /// Takes over what sidecars tell.
--- a/crates/gate/src/entry/usable.rs
+++ b/crates/gate/src/entry/usable.rs
@@ -82,7 +82,7 @@
 /// Those of a pool's engines that are heard of. Up to some number all are, or the words of those that
 /// aren't are lost; beyond it the others look idle, since nothing is known of what they have to do.
 pub(super) fn heard(open: Vec<(Key, &Replica)>, now: Micros) -> Vec<(Key, &Replica)> {
-    if open.len() <= subscription::MOST {
+    if open.len() <= subscription::MAX_ENGINES {
         return open;
     }
     let fresh = |r: &Replica| r.heard.is_some_and(|h| now.since(h.at) < HEARD);
--- a/crates/policy/src/subscription.rs
+++ b/crates/policy/src/subscription.rs
@@ -17,9 +17,9 @@
 use model::Micros;
 
 /// Engines that an entry subscribes to at most.
-pub const MOST: usize = 96;
+pub const MAX_ENGINES: usize = 96;
 /// Interval at which subscriptions are renewed.
-pub const RENEW: Micros = Micros::from_secs(2);
+pub const RENEW_INTERVAL: Micros = Micros::from_secs(2);
 /// Retry interval of subscriptions to sidecars that have not confirmed the engine's incarnation.
 const RETRY: Micros = Micros::from_millis(200);
 /// How long after an entry's start it retries that often; sidecars that are gone for good stay members.
@@ -32,9 +32,9 @@
 /// A sidecar orders nothing before an entry has sent it the engine's incarnation, and an entry knows that
 /// only of sidecars that it has received. At the interval of renewals, no engine took weights that were
 /// named in the first 2 s after a start of all processes.
-pub fn pause(running: Micros, all_confirmed: bool) -> Micros {
+pub fn renewal_delay(running: Micros, all_confirmed: bool) -> Micros {
     match all_confirmed || running > STARTUP {
-        true => RENEW,
+        true => RENEW_INTERVAL,
         false => RETRY,
     }
 }
@@ -45,17 +45,17 @@
     /// Where it is reached.
     pub addr: SocketAddr,
     /// Whether it is in the entry's failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Its rank in the entry's own order.
     pub rank: u64,
 }
 
 /// The sidecars that an entry subscribes to.
-pub fn desired(sidecars: impl IntoIterator<Item = Sidecar>) -> Vec<SocketAddr> {
+pub fn select(sidecars: impl IntoIterator<Item = Sidecar>) -> Vec<SocketAddr> {
     let mut all: Vec<_> = sidecars.into_iter().collect();
-    if all.len() > MOST {
-        all.sort_by_key(|s| (!s.near, s.rank));
-        all.truncate(MOST);
+    if all.len() > MAX_ENGINES {
+        all.sort_by_key(|s| (!s.same_domain, s.rank));
+        all.truncate(MAX_ENGINES);
     }
     all.into_iter().map(|s| s.addr).collect()
 }
--- a/crates/policy/tests/subscription.rs
+++ b/crates/policy/tests/subscription.rs
@@ -28,10 +28,10 @@
     for c in cases {
         let sidecars = (0..c.engines).map(|n| Sidecar {
             addr: addr(n),
-            near: n % c.domains == 0,
+            same_domain: n % c.domains == 0,
             rank: (n as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15),
         });
-        let desired = subscription::desired(sidecars);
+        let desired = subscription::select(sidecars);
         assert_eq!(desired.len(), c.chosen, "{}", c.name);
         let near = desired
             .iter()
@@ -71,7 +71,7 @@
         Case { name: "some sidecar is gone for good", running: 60_000, all_confirmed: false, want: 2_000 },
     ];
     for c in cases {
-        let pause = subscription::pause(ms(c.running), c.all_confirmed);
+        let pause = subscription::renewal_delay(ms(c.running), c.all_confirmed);
         assert_eq!(pause, ms(c.want), "{}", c.name);
     }
 }
