--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -255,7 +255,7 @@
     let (rank, agents) = place(node, &world, &a);
     let own = node.settings.borrow().host.clone();
     let sidecars = world.others(&own);
-    let same = rollout::group(rank, agents);
+    let same = rollout::same_group(rank, agents);
     let rank_of = |i: usize| match a.kind {
         Kind::Sidecar if i >= rank => i + 1,
         _ => i,
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -76,7 +76,7 @@
     /// The other engines that are heard of.
     pub others: &'a [Engine],
     /// How long a load takes, if one was seen anywhere in the pool.
-    pub load: Option<Micros>,
+    pub load_time: Option<Micros>,
     /// Time that is allowed for a change.
     pub allowed: Micros,
     /// For how long the oldest weights in use have been out of date.
@@ -106,7 +106,7 @@
     let share = (engines as f64 * config.share).round() as usize;
     let most = (engines as f64 * config.most) as usize;
     let left = part(pool.allowed, config.hurry).since(pool.outdated);
-    let needed = pool.load.map_or(0, |load| {
+    let needed = pool.load_time.map_or(0, |load| {
         let rounds = (left.0 / load.0.max(1)).max(1) as usize;
         pending.div_ceil(rounds)
     });
@@ -115,7 +115,7 @@
 
 /// When an engine that hears no other one loads, after it heard of new weights. Its sidecar knows
 /// only its own rank among all members.
-pub fn blind(config: &Config, rank: usize, engines: usize, allowed: Micros) -> Micros {
+pub fn isolated_start(config: &Config, rank: usize, engines: usize, allowed: Micros) -> Micros {
     let at_once = (engines as f64 * config.share).round().max(1.0) as usize;
     let rounds = engines.div_ceil(at_once).max(1);
     let span = part(allowed, config.hurry);
@@ -127,7 +127,7 @@
 
 /// The group of engines that one belongs to, where there are too many for each to hear all. Each
 /// group takes new weights like a pool of its own.
-pub fn group(rank: usize, engines: usize) -> impl Fn(usize) -> bool {
+pub fn same_group(rank: usize, engines: usize) -> impl Fn(usize) -> bool {
     let groups = engines.div_ceil(GROUP).max(1);
     move |other| other % groups == rank % groups
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -499,7 +499,7 @@
         let named = lack.named;
         let others = self.others(now, lack, counts);
         if others.is_empty() && group.hosts > 1 {
-            let blind = rollout::blind(&config, group.rank, group.hosts, group.allowed);
+            let blind = rollout::isolated_start(&config, group.rank, group.hosts, group.allowed);
             return now >= ALONE.max(named.received_at() + blind);
         }
         let oldest = others.iter().map(|o| o.version).min();
@@ -507,7 +507,7 @@
         let pool = Pool {
             newest: named.newest(),
             others: &others,
-            load: self.load(now),
+            load_time: self.load(now),
             allowed: group.allowed,
             outdated: named.outdated(now, oldest).unwrap_or_default(),
         };
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -156,7 +156,8 @@
         |i: usize| i != own && !p.deaf && (now < told[i].gone.0 + 1_500 || now >= told[i].gone.1);
     if p.deaf {
         let named = p.named[newest as usize - 2];
-        return now >= named + rollout::blind(config, own, p.engines, ms(p.allowed)).as_millis();
+        return now
+            >= named + rollout::isolated_start(config, own, p.engines, ms(p.allowed)).as_millis();
     }
     let engine = |i: usize, n: &Node| Engine {
         version: n.version,
@@ -180,7 +181,7 @@
     let pool = Pool {
         newest,
         others: &others,
-        load: seen.get(seen.len() / 2).copied(),
+        load_time: seen.get(seen.len() / 2).copied(),
         allowed: ms(p.allowed),
         outdated: ms(now.saturating_sub(p.named[oldest as usize - 1])),
     };
@@ -290,7 +291,7 @@
         let sizes: Vec<_> = (0..engines)
             .map(|own| {
                 (0..engines)
-                    .filter(|o| rollout::group(own, engines)(*o))
+                    .filter(|o| rollout::same_group(own, engines)(*o))
                     .count()
             })
             .collect();
@@ -338,7 +339,7 @@
         let pool = Pool {
             newest: 2,
             others: &others,
-            load: None,
+            load_time: None,
             allowed: ms(15_000),
             outdated: ms(3_000),
         };
