--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -11,7 +11,7 @@
 use policy::contact::Query;
 use policy::holder::Holder;
 use policy::rollout;
-use policy::slots::{Group, Lack, ModelKey, Outcome, Slots, State, Step};
+use policy::slots::{Group, ModelKey, Outcome, OutdatedWeights, Slots, State, Step};
 use policy::versions::Versions;
 use site::{Report, Swap, Weights};
 use xxhash_rust::xxh3::xxh3_64;
@@ -205,10 +205,10 @@
         },
         received: named.received_at(),
     });
-    let lack = lack.map(|(has, named)| Lack {
+    let lack = lack.map(|(has, named)| OutdatedWeights {
         model: model_key(&has.model),
         version: has.version,
-        named,
+        announced: named,
     });
     rollout.slots.schedule(now, &group, lack.as_ref());
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -108,13 +108,13 @@
 
 /// Weights that the engine lacks.
 #[derive(Clone, Copy, Debug)]
-pub struct Lack<'a> {
+pub struct OutdatedWeights<'a> {
     /// The model.
     pub model: ModelKey,
     /// The version in use.
     pub version: u64,
     /// The versions that were named.
-    pub named: &'a Versions,
+    pub announced: &'a Versions,
 }
 
 /// How an order ended.
@@ -304,15 +304,15 @@
     }
 
     /// Brings the schedule up to date with what the engine lacks.
-    pub fn schedule(&mut self, now: Micros, group: &Group, lack: Option<&Lack<'_>>) {
+    pub fn schedule(&mut self, now: Micros, group: &Group, lack: Option<&OutdatedWeights<'_>>) {
         let Some(lack) = lack else {
             return self.rest();
         };
         if self.loading.is_some() {
             return;
         }
-        self.desired = lack.named.newest();
-        self.named = lack.named.received_at();
+        self.desired = lack.announced.newest();
+        self.named = lack.announced.received_at();
         let tie = rank(group.engine, 0);
         let claiming = self.claim.is_some();
         // A claim that sees others goes ahead of those with a higher tie, which withdraw.
@@ -468,8 +468,13 @@
     }
 
     /// The other engines; claims that count are loads.
-    fn others(&self, now: Micros, lack: &Lack<'_>, counts: impl Fn(&State) -> bool) -> Vec<Engine> {
-        let newest = lack.named.newest();
+    fn others(
+        &self,
+        now: Micros,
+        lack: &OutdatedWeights<'_>,
+        counts: impl Fn(&State) -> bool,
+    ) -> Vec<Engine> {
+        let newest = lack.announced.newest();
         let engine = |p: &Peer| {
             let (_, version) = p.state.weights.iter().find(|(m, _)| *m == lack.model)?;
             let since = now.since(p.at);
@@ -492,11 +497,11 @@
         &self,
         now: Micros,
         group: &Group,
-        lack: &Lack<'_>,
+        lack: &OutdatedWeights<'_>,
         counts: impl Fn(&State) -> bool,
     ) -> bool {
         let config = rollout::Config::default();
-        let named = lack.named;
+        let named = lack.announced;
         let others = self.others(now, lack, counts);
         if others.is_empty() && group.hosts > 1 {
             let blind = rollout::isolated_start(&config, group.rank, group.hosts, group.allowed);
--- a/crates/policy/tests/slots/main.rs
+++ b/crates/policy/tests/slots/main.rs
@@ -3,7 +3,7 @@
 mod sim;
 
 use model::Micros;
-use policy::slots::{Group, Lack, ModelKey, Outcome, Slots, State};
+use policy::slots::{Group, ModelKey, Outcome, OutdatedWeights, Slots, State};
 use policy::versions::Versions;
 
 use sim::{Play, Sim, Stop};
@@ -30,11 +30,11 @@
     named
 }
 
-fn lack(named: &Versions) -> Lack<'_> {
-    Lack {
+fn lack(named: &Versions) -> OutdatedWeights<'_> {
+    OutdatedWeights {
         model: MODEL,
         version: 1,
-        named,
+        announced: named,
     }
 }
 
@@ -129,7 +129,7 @@
                 ..State::default()
             };
             slots.receive(now, 3, Some(third));
-            let lack = Lack {
+            let lack = OutdatedWeights {
                 version,
                 ..lack(&named)
             };
--- a/crates/policy/tests/slots/sim.rs
+++ b/crates/policy/tests/slots/sim.rs
@@ -5,7 +5,7 @@
 
 use model::Micros;
 use policy::contact::Query;
-use policy::slots::{Lack, Outcome, Slots, State};
+use policy::slots::{Outcome, OutdatedWeights, Slots, State};
 use policy::versions::Versions;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -265,10 +265,10 @@
             n.slots.report_missed(at);
         } else {
             n.slots.report(at, &[(MODEL, version)], busy);
-            let lack = (n.named.newest() > version).then_some(Lack {
+            let lack = (n.named.newest() > version).then_some(OutdatedWeights {
                 model: MODEL,
                 version,
-                named: &n.named,
+                announced: &n.named,
             });
             n.slots
                 .schedule(at, &group(i as u64, self.play.engines), lack.as_ref());
