--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -1,17 +1,19 @@
-//! When one engine loads new weights, from what its sidecar and the sidecars of its pool report.
+//! Slots for weight loads: when one engine may load new weights, given what its own sidecar and the other
+//! sidecars of its pool report.
 //!
-//! Load pattern: new weights are named every few seconds under full load, sidecars are paused, killed and
-//! restarted meanwhile, and updates between them are lost, late or out of order. [`crate::rollout`]
-//! decides on the state of a pool; this module keeps that state for one sidecar: what the others reported
-//! and when, the load under way, how long loads take, and the orders that had no answer.
+//! Load pattern: new weights are announced every few seconds under full load. Meanwhile sidecars are paused,
+//! killed and restarted, and the updates between them are lost, delayed or reordered. [`crate::rollout`]
+//! decides from the state of a pool whether an engine is due to load. This module keeps that state for one
+//! sidecar: the latest update of each other sidecar and its age, the load in progress, how long loads take,
+//! and the orders that got no answer.
 //!
-//! State that others sent unasked may be out of date: a process that continues after a pause has updates
-//! from before it, and one whose updates were lost has none of the last. So a slot is claimed first. The
-//! sidecar asks the others, each answers with its state as of now, and the engine loads only if all answers
-//! are recent and leave a slot free. Who answers counts the claim as a load for a while, so that of two
-//! claims at least the later one sees the other; of claims that see one another the lower tie goes ahead.
-//! The claim ends before those who answered stop counting it. A sidecar that doesn't answer
-//! is passed over ([`crate::contact`]), on its last state.
+//! Updates alone may be out of date: a process that resumes after a pause still has updates from before the
+//! pause, and a process whose updates were lost lacks the latest ones. A sidecar therefore claims a slot
+//! first. It queries the other sidecars, each answers with its current state, and the engine loads only if
+//! all answers are recent and leave a slot free. A sidecar that answers counts the claim as a load for a
+//! while, so of two claims at least the later one sees the other. Among claims that see one another the one
+//! with the lower tie-break value proceeds. A claim ends before the sidecars that answered it stop counting
+//! it. A sidecar that doesn't answer is skipped ([`crate::contact`]), and its last known state is used.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -19,67 +21,67 @@
 use model::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::contact::{self, Contacts, Query, RECENT};
+use crate::contact::{self, Contacts, Query, ANSWER_LIFETIME};
 use crate::rollout::{self, Engine, Pool};
 use crate::versions::Versions;
 
-/// Age up to which another sidecar's update counts; three of its updates while weights change.
-const LEASE: Micros = Micros::from_millis(1_600);
-/// How long after weights were named, or the process started, the first updates are waited for.
-const LISTEN: Micros = Micros::from_millis(150);
-/// How long a process that has just started and has received nothing waits for an update.
-const ALONE: Micros = Micros::from_millis(1_500);
-/// Age of an answer from which on the sidecar is asked again.
-const RENEW: Micros = Micros::from_millis(100);
-/// How long another sidecar's claim counts after it was received. Longer than answers count, so that a
-/// claim has ended, or its load has been reported, before others stop counting it.
-const CLAIM: Micros = Micros::from_millis(500);
-/// Steps that a claim may last; enough to pass over all peers and see other claims withdrawn.
-const STEPS: u32 = 4 * contact::ASKS;
-/// Pause after an order that was refused or had no answer, and after a claim that came to nothing.
-const AGAIN: Micros = Micros::from_millis(300);
-/// Time after an order in which the engine's report may not show it yet.
-const SHOWN: Micros = Micros::from_millis(500);
-/// Time after an order from which on a load of unknown length may have ended.
-const FIRST: Micros = Micros::from_millis(250);
-/// Weight of a new load's length.
-const SMOOTH: f64 = 0.5;
-
-/// Key of a model's name.
+/// How long another sidecar's update is valid: three update intervals while weights change.
+const UPDATE_LEASE: Micros = Micros::from_millis(1_600);
+/// How long the first updates are awaited after new weights were announced or the process started.
+const INITIAL_WAIT: Micros = Micros::from_millis(150);
+/// How long a newly started process that has received no update waits for one.
+const STARTUP_WAIT: Micros = Micros::from_millis(1_500);
+/// Age of an answer after which the sidecar is queried again.
+const ANSWER_REFRESH: Micros = Micros::from_millis(100);
+/// How long another sidecar's claim counts after it was received. Longer than answers are valid, so that a
+/// claim has ended, or its load has been reported, before the other sidecars stop counting the claim.
+const CLAIM_LEASE: Micros = Micros::from_millis(500);
+/// Maximum number of steps of a claim: enough to skip all silent peers and to see other claims withdrawn.
+const MAX_CLAIM_STEPS: u32 = 4 * contact::MAX_UNANSWERED;
+/// Pause after an order was refused or got no answer, and after a claim failed.
+const RETRY_DELAY: Micros = Micros::from_millis(300);
+/// Time after an order within which the engine's report may not show the load yet.
+const REPORT_DELAY: Micros = Micros::from_millis(500);
+/// Time after an order before which a load of unknown duration is assumed not to have ended.
+const MIN_LOAD_TIME: Micros = Micros::from_millis(250);
+/// Weight of the latest load in the moving average of load times.
+const LOAD_TIME_WEIGHT: f64 = 0.5;
+
+/// Hash of a model's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ModelKey(pub u64);
 
-/// State of an engine as its sidecar reports it to the others.
+/// State of an engine as its sidecar reports it to the other sidecars.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
-    /// Key of the engine's address, the same for all sidecars.
+    /// Hash of the engine's address, the same at all sidecars.
     pub engine: u64,
-    /// Weights in use.
+    /// Models and the versions of their weights that are in use.
     pub weights: Vec<(ModelKey, u64)>,
-    /// For how long it has been loading, if it is.
+    /// How long the engine has been loading, if it is loading.
     pub loading: Option<Micros>,
-    /// For how long it has been free to load without doing so.
+    /// How long the engine has been due to load without loading.
     pub due: Option<Micros>,
-    /// How long a load takes, as far as its sidecar knows.
+    /// How long a load takes, if the sidecar has observed one or received a figure.
     pub load_time: Option<Micros>,
-    /// The version that it lacks; 0 if it lacks none.
+    /// Version that the engine still has to load; 0 if it is up to date.
     pub desired: u64,
-    /// Whether it claims a slot.
+    /// Whether the sidecar claims a slot.
     pub claims: bool,
-    /// Draw of the sidecar's process, another one after each start.
+    /// Random number of the sidecar's process, a new one after each start.
     pub process: u64,
-    /// When the sidecar sent it, on its own clock.
+    /// When the sidecar sent the state, on its own clock.
     pub sent: Micros,
 }
 
-/// What a sidecar does next.
+/// Next action of a sidecar.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step<K> {
-    /// Asks these.
+    /// Query to send, and the sidecars to send it to.
     pub query: Option<(Query, Vec<K>)>,
-    /// Orders the load.
+    /// Whether to order the engine to load.
     pub orders: bool,
-    /// Sidecars that were passed over, if it orders the load.
+    /// Number of sidecars that were skipped, if the load is ordered.
     pub skipped: usize,
 }
 
@@ -93,90 +95,92 @@
     }
 }
 
-/// The pool as a sidecar knows it from the list of members.
+/// A sidecar's position in its pool, from the list of members.
 #[derive(Clone, Copy, Debug)]
 pub struct Group {
-    /// Key of this sidecar's engine.
+    /// Hash of the address of this sidecar's engine.
     pub engine: u64,
-    /// Place of this host among the hosts with an engine.
+    /// Rank of this host among the hosts with an engine.
     pub rank: usize,
-    /// Number of such hosts.
+    /// Number of hosts with an engine.
     pub hosts: usize,
-    /// Time allowed for a change of weights.
+    /// Time allowed for the whole pool to change weights.
     pub allowed: Micros,
 }
 
-/// Weights that the engine lacks.
+/// Weights in use for which a newer version was announced.
 #[derive(Clone, Copy, Debug)]
 pub struct OutdatedWeights<'a> {
-    /// The model.
+    /// Model of the weights.
     pub model: ModelKey,
-    /// The version in use.
+    /// Version in use.
     pub version: u64,
-    /// The versions that were named.
+    /// Versions of the model that were announced.
     pub announced: &'a Versions,
 }
 
-/// How an order ended.
+/// Outcome of an order to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The engine loads.
+    /// The engine started to load.
     Accepted,
-    /// The engine doesn't load.
+    /// The engine didn't start to load.
     Refused,
-    /// No answer; the engine may load now or later.
+    /// No answer: the engine may load now or later.
     Unknown,
 }
 
+/// Latest update of another sidecar.
 #[derive(Clone, Debug)]
 struct Peer {
-    at: Micros,
+    received_at: Micros,
     state: State,
 }
 
-/// A claim of a slot.
+/// This sidecar's claim of a slot.
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     since: Micros,
-    /// Steps that it has lasted. Time doesn't tell how often a slow process could ask.
+    /// Number of steps since the claim began. Elapsed time would not show how many queries a slow process
+    /// could send.
     steps: u32,
 }
 
-/// A load under way.
+/// A load in progress.
 #[derive(Clone, Copy, Debug)]
 struct Loading {
     since: Micros,
-    /// The version that was ordered here; none if the load was found under way.
+    /// Version that this sidecar ordered; `None` if the load was already in progress when it was first seen.
     version: Option<u64>,
 }
 
-/// One sidecar's state of a pool that takes new weights. `K` identifies the other sidecars.
+/// What one sidecar records about the weight loads of its pool. `K` identifies the other sidecars.
 #[derive(Debug)]
 pub struct Slots<K> {
     peers: HashMap<K, Peer>,
     contacts: Contacts<K>,
     claim: Option<Claim>,
-    /// Whether no claim of another sidecar stands in the way.
-    free: bool,
-    /// When the weights that are lacking were named.
-    named: Micros,
-    /// From when on the engine's report is known to show a load.
-    settled: Option<Micros>,
-    /// When the engine's report was read last.
-    read: Micros,
+    /// Whether the engine is due even if all claims of other sidecars count as loads.
+    due_despite_claims: bool,
+    /// When the version to load was received.
+    announced: Micros,
+    /// Time from which the engine's report is certain to show a load.
+    report_reliable_from: Option<Micros>,
+    /// When the engine's report was last read.
+    last_report: Micros,
     loading: Option<Loading>,
-    /// How long a load took here.
-    load: Option<Micros>,
-    /// The version that is lacking; 0 if none is.
+    /// Moving average of this engine's load times.
+    load_time: Option<Micros>,
+    /// Version that the engine still has to load; 0 if it is up to date.
     desired: u64,
-    /// Since when the engine has been free to load.
-    due: Option<Micros>,
-    /// When the first order was sent that hasn't led to a load yet.
-    tried: Option<Micros>,
-    /// Whether its last order had no answer.
-    unanswered: bool,
-    /// No order before this.
-    pause: Micros,
+    /// When the engine became due to load.
+    due_since: Option<Micros>,
+    /// When the first of the orders was sent that haven't led to a load yet.
+    first_order: Option<Micros>,
+    /// Whether the last order got no answer.
+    order_unanswered: bool,
+    /// Earliest time of the next order or claim.
+    paused_until: Micros,
 }
 
 impl<K> Default for Slots<K> {
@@ -185,57 +189,63 @@
             peers: HashMap::new(),
             contacts: Contacts::default(),
             claim: None,
-            free: false,
-            named: Micros::ZERO,
-            settled: None,
-            read: Micros::ZERO,
+            due_despite_claims: false,
+            announced: Micros::ZERO,
+            report_reliable_from: None,
+            last_report: Micros::ZERO,
             loading: None,
-            load: None,
+            load_time: None,
             desired: 0,
-            due: None,
-            tried: None,
-            unanswered: false,
-            pause: Micros::ZERO,
+            due_since: None,
+            first_order: None,
+            order_unanswered: false,
+            paused_until: Micros::ZERO,
         }
     }
 }
 
 impl<K: Copy + Eq + Hash> Slots<K> {
-    /// Takes over another sidecar's update; none if its engine doesn't answer.
+    /// Records another sidecar's update; `None` if its engine doesn't answer.
     pub fn receive(&mut self, now: Micros, from: K, state: Option<State>) {
         self.contacts.received(from);
         let Some(state) = state else {
             self.peers.remove(&from);
             return;
         };
-        // An update that was overtaken on its way.
-        let late = |p: &Peer| p.state.process == state.process && p.state.sent > state.sent;
-        if !self.peers.get(&from).is_some_and(late) {
-            self.peers.insert(from, Peer { at: now, state });
+        // A later update of the same process has arrived before this one.
+        let reordered = |p: &Peer| p.state.process == state.process && p.state.sent > state.sent;
+        if !self.peers.get(&from).is_some_and(reordered) {
+            self.peers.insert(
+                from,
+                Peer {
+                    received_at: now,
+                    state,
+                },
+            );
         }
     }
 
-    /// Notes that another sidecar has answered an ask; its state is taken over by [`Self::receive`].
-    pub fn answered(&mut self, now: Micros, from: K, ask: Query) {
-        self.contacts.answered(now, from, ask);
+    /// Records that another sidecar has answered a query. Its state is passed to [`Self::receive`].
+    pub fn answered(&mut self, now: Micros, from: K, query: Query) {
+        self.contacts.answered(now, from, query);
     }
 
-    /// Whether asks may be answered: a process that has just started doesn't know yet whether its engine
-    /// loads by an order of the one before it.
+    /// Whether queries may be answered. A newly started process can't know yet whether its engine loads
+    /// weights that the previous process ordered.
     pub fn can_answer(&self, now: Micros) -> bool {
-        self.loading.is_some() || self.settled.is_some_and(|at| now >= at)
+        self.loading.is_some() || self.report_reliable_from.is_some_and(|at| now >= at)
     }
 
-    /// What the other sidecars are to know of this engine.
+    /// State of this engine to report to the other sidecars.
     pub fn state(&self, now: Micros, engine: u64, weights: Vec<(ModelKey, u64)>) -> State {
-        // An order without an answer may never be carried out: its slot expires like an unused one.
-        let free = self.loading.is_none() || self.unanswered;
+        // An order that got no answer may never be carried out, so its slot expires like an unused one.
+        let unused = self.loading.is_none() || self.order_unanswered;
         State {
             engine,
             weights,
             loading: self.loading.map(|l| now.since(l.since)),
-            due: self.due.filter(|_| free).map(|at| now.since(at)),
-            load_time: self.load(now),
+            due: self.due_since.filter(|_| unused).map(|at| now.since(at)),
+            load_time: self.pool_load_time(now),
             desired: self.desired,
             claims: self.claim.is_some(),
             process: 0,
@@ -243,24 +253,25 @@
         }
     }
 
-    /// Whether some engine of the pool lacks weights or loads them.
+    /// Whether any engine of the pool still has to load weights or is loading them.
     pub fn under_way(&self, now: Micros) -> bool {
-        let busy = |p: &Peer| p.state.desired > 0 || p.state.loading.is_some();
-        self.desired > 0 || self.recent(now).any(|(_, p)| busy(p))
+        let changing = |p: &Peer| p.state.desired > 0 || p.state.loading.is_some();
+        self.desired > 0 || self.recent_updates(now).any(|(_, p)| changing(p))
     }
 
-    /// Whether a remote engine's report is needed as of now: before an order, and once a load may have ended.
+    /// Whether an engine without a sidecar needs a fresh report: before an order, and once a load may have
+    /// ended.
     pub fn needs_report(&self, now: Micros) -> bool {
         match &self.loading {
-            Some(l) => now.since(l.since) >= self.load.unwrap_or(FIRST),
-            None => self.due.is_some(),
+            Some(l) => now.since(l.since) >= self.load_time.unwrap_or(MIN_LOAD_TIME),
+            None => self.due_since.is_some(),
         }
     }
 
-    /// Takes over the engine's report: loads that have started or ended.
+    /// Records the engine's report and the start or end of a load that it shows.
     pub fn report(&mut self, now: Micros, weights: &[(ModelKey, u64)], busy: bool) {
-        self.settled.get_or_insert(now + SHOWN);
-        self.read = now;
+        self.report_reliable_from.get_or_insert(now + REPORT_DELAY);
+        self.last_report = now;
         let Some(loading) = self.loading else {
             let found = Loading {
                 since: now,
@@ -269,95 +280,101 @@
             self.loading = busy.then_some(found);
             return;
         };
-        // The order without an answer has arrived.
-        self.unanswered &= !busy;
+        // A busy engine has received the order that got no answer.
+        self.order_unanswered &= !busy;
         let has = |v: u64| weights.iter().any(|(_, w)| *w >= v);
-        let took = now.since(loading.since);
-        if busy || (took < SHOWN && !loading.version.is_some_and(has)) {
+        let elapsed = now.since(loading.since);
+        if busy || (elapsed < REPORT_DELAY && !loading.version.is_some_and(has)) {
             return;
         }
         self.loading = None;
         if loading.version.is_some_and(has) {
-            // The next order is another version's.
-            self.tried = None;
-            self.unanswered = false;
-            let old = self.load.map_or(took.0 as f64, |l| l.0 as f64);
-            let new = old + (took.0 as f64 - old) * SMOOTH;
-            self.load = Some(Micros(new as u64));
+            // The next order will be for another version.
+            self.first_order = None;
+            self.order_unanswered = false;
+            let old = self.load_time.map_or(elapsed.0 as f64, |l| l.0 as f64);
+            let new = old + (elapsed.0 as f64 - old) * LOAD_TIME_WEIGHT;
+            self.load_time = Some(Micros(new as u64));
         }
     }
 
-    /// Notes that the engine's report is late. That doesn't end a load, which makes an engine slow: it keeps
-    /// its slot for as long as other sidecars would count it without an update.
+    /// Records that the engine's report is overdue. Loading slows an engine down, so a load isn't taken to
+    /// have ended: it keeps its slot for as long as other sidecars would count it without an update.
     pub fn report_missed(&mut self, now: Micros) {
-        let counts = |l: &Loading| now.since(l.since.max(self.read)) < self.load_lease(self.load);
+        let counts = |l: &Loading| {
+            now.since(l.since.max(self.last_report)) < self.load_lease(self.load_time)
+        };
         if !self.loading.as_ref().is_some_and(counts) {
             self.engine_exited(now);
         }
     }
 
-    /// Notes that the engine has exited.
+    /// Records that the engine has exited.
     pub fn engine_exited(&mut self, now: Micros) {
-        self.settled.get_or_insert(now);
+        self.report_reliable_from.get_or_insert(now);
         self.loading = None;
-        self.rest();
+        self.clear_schedule();
     }
 
-    /// Brings the schedule up to date with what the engine lacks.
-    pub fn schedule(&mut self, now: Micros, group: &Group, lack: Option<&OutdatedWeights<'_>>) {
-        let Some(lack) = lack else {
-            return self.rest();
+    /// Updates whether the engine is due to load; `outdated` are the weights that it has to replace, if any.
+    pub fn schedule(&mut self, now: Micros, group: &Group, outdated: Option<&OutdatedWeights<'_>>) {
+        let Some(outdated) = outdated else {
+            return self.clear_schedule();
         };
         if self.loading.is_some() {
             return;
         }
-        self.desired = lack.announced.newest();
-        self.named = lack.announced.received_at();
-        let tie = rank(group.engine, 0);
+        self.desired = outdated.announced.newest();
+        self.announced = outdated.announced.received_at();
+        let tie_break = load_rank(group.engine, 0);
         let claiming = self.claim.is_some();
-        // A claim that sees others goes ahead of those with a higher tie, which withdraw.
-        let ahead = |s: &State| !claiming || rank(s.engine, 0) < tie;
-        let listens = now.since(self.named) < LISTEN || now < LISTEN;
-        let due = !listens && self.is_due(now, group, lack, ahead);
-        self.free = due && self.is_due(now, group, lack, |_| true);
-        self.due = due.then(|| self.due.unwrap_or(now));
+        // Claims with a higher tie-break value are ignored here; their sidecars withdraw them.
+        let precedes = |s: &State| !claiming || load_rank(s.engine, 0) < tie_break;
+        let waiting_for_updates = now.since(self.announced) < INITIAL_WAIT || now < INITIAL_WAIT;
+        let due = !waiting_for_updates && self.is_due(now, group, outdated, precedes);
+        self.due_despite_claims = due && self.is_due(now, group, outdated, |_| true);
+        self.due_since = due.then(|| self.due_since.unwrap_or(now));
     }
 
-    /// Advances the claim of a slot if the engine is due to load and can be ordered to. Once the slot is
-    /// taken the engine counts as loading. `peers` are the sidecars that are listed, `draw` is random.
-    pub fn step(&mut self, now: Micros, peers: &[K], ordered: bool, draw: u64) -> Step<K> {
-        let may = ordered && self.loading.is_none() && self.can_answer(now) && now >= self.pause;
-        let Some(due) = self.due.filter(|_| may) else {
+    /// Advances the claim of a slot if the engine is due to load and `orderable`. Once the slot is taken the
+    /// engine counts as loading. `peers` are the listed sidecars; `draw` is a random number that identifies
+    /// a new claim.
+    pub fn step(&mut self, now: Micros, peers: &[K], orderable: bool, draw: u64) -> Step<K> {
+        let may_claim =
+            orderable && self.loading.is_none() && self.can_answer(now) && now >= self.paused_until;
+        let Some(due) = self.due_since.filter(|_| may_claim) else {
             self.withdraw();
-            return self.look_around(now, peers);
+            return self.query_quiet_peers(now, peers);
         };
-        let Claim { since, steps } = self.claim.unwrap_or_else(|| self.begin(now, draw));
-        if steps > STEPS {
+        let Claim { since, steps } = self.claim.unwrap_or_else(|| self.begin_claim(now, draw));
+        if steps > MAX_CLAIM_STEPS {
             self.withdraw();
-            self.pause = now + AGAIN;
+            self.paused_until = now + RETRY_DELAY;
             return Step::default();
         }
-        let peers = self.known(now, peers);
-        let unanswered = |age| self.unanswered(&peers, now, since, age);
-        let recent = unanswered(RECENT);
-        // A process that is slower than answers grow old goes by the last of them.
-        let waits = steps <= contact::ASKS && recent.iter().any(|k| !self.contacts.passed(k));
-        if self.free && !waits && now > due {
-            self.take(now);
+        let peers = self.known_peers(now, peers);
+        let without_answer = |age| self.peers_without_answer(&peers, now, since, age);
+        let missing = without_answer(ANSWER_LIFETIME);
+        // In a slow process answers expire before all of them have arrived: after enough steps it stops
+        // waiting and relies on the last answers.
+        let must_wait = steps <= contact::MAX_UNANSWERED
+            && missing.iter().any(|k| !self.contacts.is_skipped(k));
+        if self.due_despite_claims && !must_wait && now > due {
+            self.take_slot(now);
             return Step {
                 orders: true,
-                skipped: recent.len(),
+                skipped: missing.len(),
                 ..Step::default()
             };
         }
-        let again = unanswered(RENEW);
+        let to_query = without_answer(ANSWER_REFRESH);
         let steps = steps + 1;
         self.claim = Some(Claim { since, steps });
-        self.ask(now, again)
+        self.query(now, to_query)
     }
 
-    /// Peers without an answer to an ask of some age at most that was sent after a claim began.
-    fn unanswered(&self, peers: &[K], now: Micros, claim: Micros, age: Micros) -> Vec<K> {
+    /// Peers that have answered no query sent both after the claim began and within the last `age`.
+    fn peers_without_answer(&self, peers: &[K], now: Micros, claim: Micros, age: Micros) -> Vec<K> {
         let from = Micros(now.0.saturating_sub(age.0)).max(claim);
         let old = peers
             .iter()
@@ -365,8 +382,8 @@
         old.copied().collect()
     }
 
-    fn begin(&mut self, now: Micros, draw: u64) -> Claim {
-        self.contacts.begin(draw);
+    fn begin_claim(&mut self, now: Micros, draw: u64) -> Claim {
+        self.contacts.begin_round(draw);
         Claim {
             since: now,
             steps: 0,
@@ -374,160 +391,167 @@
     }
 
     fn withdraw(&mut self) {
-        self.contacts.end();
+        self.contacts.end_round();
         self.claim = None;
     }
 
-    fn take(&mut self, now: Micros) {
+    fn take_slot(&mut self, now: Micros) {
         self.withdraw();
-        // Without an answer the slot expires by the time since its first order, however long the engine
-        // had been free before.
-        self.due = Some(*self.tried.get_or_insert(now));
+        // If no answer arrives, the slot expires by the time since the first order, no matter how long the
+        // engine had been due before that order.
+        self.due_since = Some(*self.first_order.get_or_insert(now));
         self.loading = Some(Loading {
             since: now,
             version: Some(self.desired),
         });
     }
 
-    /// Asks those from which nothing was received since the weights were named, so that a dead one is known
-    /// before a claim has to wait for it.
-    fn look_around(&mut self, now: Micros, peers: &[K]) -> Step<K> {
-        if self.desired == 0 || self.loading.is_some() || now.since(self.named) < LISTEN {
+    /// Queries the peers that have sent nothing since the weights were announced, so that a dead peer is
+    /// detected before a claim has to wait for it.
+    fn query_quiet_peers(&mut self, now: Micros, peers: &[K]) -> Step<K> {
+        if self.desired == 0 || self.loading.is_some() || now.since(self.announced) < INITIAL_WAIT {
             return Step::default();
         }
-        let received = |k: &K| self.peers.get(k).is_some_and(|p| p.at >= self.named);
+        let received = |k: &K| {
+            self.peers
+                .get(k)
+                .is_some_and(|p| p.received_at >= self.announced)
+        };
         let quiet = peers
             .iter()
-            .filter(|k| !received(k) && !self.contacts.passed(k));
+            .filter(|k| !received(k) && !self.contacts.is_skipped(k));
         let quiet = quiet.copied().collect();
-        self.ask(now, quiet)
+        self.query(now, quiet)
     }
 
-    fn ask(&mut self, now: Micros, peers: Vec<K>) -> Step<K> {
+    fn query(&mut self, now: Micros, peers: Vec<K>) -> Step<K> {
         Step {
             query: self.contacts.query(now, peers),
             ..Step::default()
         }
     }
 
-    /// The sidecars that are listed, and those that have sent something of late.
-    fn known(&self, now: Micros, listed: &[K]) -> Vec<K> {
-        let recent = self.recent(now).map(|(k, _)| *k);
+    /// The listed sidecars, and those with a recent update.
+    fn known_peers(&self, now: Micros, listed: &[K]) -> Vec<K> {
+        let recent = self.recent_updates(now).map(|(k, _)| *k);
         let others = recent.filter(|k| !listed.contains(k));
         listed.iter().copied().chain(others).collect()
     }
 
-    /// Notes how an order ended. One without an answer may be carried out, so that the engine counts as
-    /// loading until its report can show that it doesn't.
+    /// Records the outcome of an order. An order that got no answer may still be carried out, so the engine
+    /// counts as loading until its report can show that it isn't.
     pub fn ordered(&mut self, now: Micros, outcome: Outcome) {
-        self.pause = now + AGAIN;
-        self.unanswered = outcome == Outcome::Unknown;
+        self.paused_until = now + RETRY_DELAY;
+        self.order_unanswered = outcome == Outcome::Unknown;
         match outcome {
-            Outcome::Accepted => self.rest(),
+            Outcome::Accepted => self.clear_schedule(),
             Outcome::Refused => self.loading = None,
             Outcome::Unknown => {}
         }
     }
 
-    fn rest(&mut self) {
+    /// Clears the claim and everything that is known about the next load.
+    fn clear_schedule(&mut self) {
         self.withdraw();
-        self.free = false;
-        self.tried = None;
-        self.unanswered = false;
+        self.due_despite_claims = false;
+        self.first_order = None;
+        self.order_unanswered = false;
         self.desired = 0;
-        self.due = None;
+        self.due_since = None;
     }
 
-    /// Updates that count: recent ones, and of a load as long as it may last.
-    fn recent(&self, now: Micros) -> impl Iterator<Item = (&K, &Peer)> {
+    /// Valid updates: recent ones, and those of a loading engine for as long as the load may last.
+    fn recent_updates(&self, now: Micros) -> impl Iterator<Item = (&K, &Peer)> {
         let lease = move |p: &Peer| match p.state.loading {
-            Some(_) => self.load_lease(p.state.load_time.or(self.load)),
-            None => LEASE,
+            Some(_) => self.load_lease(p.state.load_time.or(self.load_time)),
+            None => UPDATE_LEASE,
         };
         self.peers
             .iter()
-            .filter(move |(_, p)| now.since(p.at) < lease(p))
+            .filter(move |(_, p)| now.since(p.received_at) < lease(p))
     }
 
-    /// How long a load counts without an update, if it usually takes so long.
-    fn load_lease(&self, load: Option<Micros>) -> Micros {
-        Micros(2 * load.unwrap_or_default().0).max(LEASE)
+    /// How long a load counts without an update, given its usual duration.
+    fn load_lease(&self, load_time: Option<Micros>) -> Micros {
+        Micros(2 * load_time.unwrap_or_default().0).max(UPDATE_LEASE)
     }
 
-    /// How long a load takes, as observed anywhere in the pool.
-    fn load(&self, now: Micros) -> Option<Micros> {
-        if self.load.is_some() {
-            return self.load;
+    /// How long a load takes: this engine's average, or else the median of the pool.
+    fn pool_load_time(&self, now: Micros) -> Option<Micros> {
+        if self.load_time.is_some() {
+            return self.load_time;
         }
         let mut seen: Vec<_> = self
-            .recent(now)
+            .recent_updates(now)
             .filter_map(|(_, p)| p.state.load_time)
             .collect();
         seen.sort_unstable();
         seen.get(seen.len() / 2).copied()
     }
 
-    /// The other engines; claims that count are loads.
-    fn others(
+    /// The other engines of the pool. A claim accepted by `counts` is treated as a load.
+    fn other_engines(
         &self,
         now: Micros,
-        lack: &OutdatedWeights<'_>,
+        outdated: &OutdatedWeights<'_>,
         counts: impl Fn(&State) -> bool,
     ) -> Vec<Engine> {
-        let newest = lack.announced.newest();
+        let newest = outdated.announced.newest();
         let engine = |p: &Peer| {
-            let (_, version) = p.state.weights.iter().find(|(m, _)| *m == lack.model)?;
-            let since = now.since(p.at);
-            let claims = p.state.claims && since < CLAIM && counts(&p.state);
+            let (_, version) = p.state.weights.iter().find(|(m, _)| *m == outdated.model)?;
+            let since = now.since(p.received_at);
+            let claims = p.state.claims && since < CLAIM_LEASE && counts(&p.state);
             Some(Engine {
                 version: *version,
-                rank: rank(p.state.engine, newest),
+                rank: load_rank(p.state.engine, newest),
                 loading: match p.state.loading {
                     Some(l) => Some(l + since),
                     None => claims.then_some(since),
                 },
-                // A claim takes its time where hosts are slow; it is no unused slot.
+                // On slow hosts a claim may last long; a claim is not an unused slot.
                 due: p.state.due.filter(|_| !p.state.claims).map(|d| d + since),
             })
         };
-        self.recent(now).filter_map(|(_, p)| engine(p)).collect()
+        self.recent_updates(now)
+            .filter_map(|(_, p)| engine(p))
+            .collect()
     }
 
     fn is_due(
         &self,
         now: Micros,
         group: &Group,
-        lack: &OutdatedWeights<'_>,
+        outdated: &OutdatedWeights<'_>,
         counts: impl Fn(&State) -> bool,
     ) -> bool {
         let config = rollout::Config::default();
-        let named = lack.announced;
-        let others = self.others(now, lack, counts);
+        let announced = outdated.announced;
+        let others = self.other_engines(now, outdated, counts);
         if others.is_empty() && group.hosts > 1 {
-            let blind = rollout::isolated_start(&config, group.rank, group.hosts, group.allowed);
-            return now >= ALONE.max(named.received_at() + blind);
+            let start = rollout::isolated_start(&config, group.rank, group.hosts, group.allowed);
+            return now >= STARTUP_WAIT.max(announced.received_at() + start);
         }
         let oldest = others.iter().map(|o| o.version).min();
-        let oldest = oldest.unwrap_or(lack.version).min(lack.version);
+        let oldest = oldest.unwrap_or(outdated.version).min(outdated.version);
         let pool = Pool {
-            newest: named.newest(),
+            newest: announced.newest(),
             others: &others,
-            load_time: self.load(now),
+            load_time: self.pool_load_time(now),
             allowed: group.allowed,
-            outdated: named.outdated(now, oldest).unwrap_or_default(),
+            outdated: announced.outdated(now, oldest).unwrap_or_default(),
         };
         let own = Engine {
-            version: lack.version,
-            rank: rank(group.engine, named.newest()),
+            version: outdated.version,
+            rank: load_rank(group.engine, announced.newest()),
             loading: None,
-            due: self.due.map(|at| now.since(at)),
+            due: self.due_since.map(|at| now.since(at)),
         };
         rollout::is_due(&config, &pool, &own)
     }
 }
 
-/// An engine's place among those with equally old weights. It differs for each version, so that the same
-/// engine isn't always the first to lose what it holds.
-fn rank(engine: u64, version: u64) -> u64 {
+/// Rank of an engine among those with equally old weights. The rank differs for each version, so that the
+/// same engine isn't always the first to lose its cache.
+fn load_rank(engine: u64, version: u64) -> u64 {
     xxh3_64_with_seed(&engine.to_le_bytes(), version)
 }
