--- a/crates/policy/src/loading.rs
+++ b/crates/policy/src/loading.rs
@@ -1,28 +1,28 @@
 //! How long a request waits while all engines of its pool load weights.
 //!
-//! Load pattern: a pool's only engine, or all of them, load new weights, and refuse what is sent to them
-//! meanwhile; each such try costs the pool a retry. A request that has the time waits for the first engine
-//! that has loaded. Before a load was observed its length is a guess, made from how long it has lasted, and
-//! a sidecar without processor time reports a load as lasting long after its end. Such a guess refuses
-//! no request: it waits as long as it can.
+//! Load pattern: the only engine of a pool, or all of its engines, load new weights and refuse requests
+//! meanwhile, so each attempt costs the pool a retry. A request with enough time left waits for the first
+//! engine that has loaded. Until a load has been observed, the remaining time is an estimate based on how
+//! long the load has lasted, and a sidecar that gets no processor time reports a load long after its end. Such
+//! an estimate is no reason to refuse a request: the request waits as long as its own time allows.
 
 use model::Micros;
 
-/// Part of a request's time for which it waits; its answer needs the rest.
-const WAIT: f64 = 0.5;
+/// Fraction of a request's time that it may spend waiting; its answer needs the rest.
+const MAX_WAIT: f64 = 0.5;
 
-/// How long an engine continues to load.
+/// Remaining time of an engine's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RemainingLoad {
-    /// The time.
+    /// Remaining time.
     pub time: Micros,
-    /// Whether it comes from the observed length of a load.
+    /// Whether the remaining time is based on the observed duration of a load.
     pub known: bool,
 }
 
 impl RemainingLoad {
-    /// What is left of a load that has lasted for some time and usually takes so long. One of unknown length
-    /// is taken to last as long again.
+    /// Remaining time of a load that has lasted for `lasted` and usually takes `takes`. A load of unknown
+    /// duration is assumed to last as long again.
     pub fn new(lasted: Micros, takes: Option<Micros>) -> Self {
         let time = match takes {
             Some(takes) if takes > lasted => takes - lasted,
@@ -33,12 +33,12 @@
         Self { time, known }
     }
 
-    /// Whether a request waits for that, with so much left of the time that it had.
+    /// Whether a request waits for the load, if `rest` is left of its time `whole`.
     pub fn is_worth_waiting(self, rest: Micros, whole: Micros) -> bool {
-        let part = |t: Micros| Micros((t.0 as f64 * WAIT) as u64);
+        let max_wait = |t: Micros| Micros((t.0 as f64 * MAX_WAIT) as u64);
         match self.known {
-            true => self.time < part(rest),
-            false => rest > part(whole),
+            true => self.time < max_wait(rest),
+            false => rest > max_wait(whole),
         }
     }
 }
