--- a/crates/policy/src/lapse.rs
+++ b/crates/policy/src/lapse.rs
@@ -1,31 +1,33 @@
-//! Whether a target that the platform's list lacks has left, or its row has only lapsed.
+//! Whether a target that is missing from the platform's list has left, or only its row has expired.
 //!
-//! Load pattern: the store is away for seconds. Targets that can't renew their rows lose them, though
-//! they serve as before, and enter themselves again once the store is back. If that short list is
-//! believed, callers are refused while all targets are idle. At any other time a target that is missing
-//! has left, and what is sent there later than two seconds after that may be lost with its process.
+//! Load pattern: the store is unavailable for some seconds. Targets that can't renew their rows lose them
+//! although they continue to serve, and register again once the store is back. If an entry used the short
+//! list of that moment, callers would be refused while all targets are idle. At any other time a missing
+//! target has left, and requests sent there more than two seconds later may be lost when its process exits.
 //!
-//! What tells them apart is how long nothing was known. A row lapses after three heartbeats without one,
-//! and the last one may have come up to one heartbeat before the list was last known to name the target.
-//! So if the list named it less than two heartbeats ago, or no read has failed since, it has left.
+//! The two cases differ in how long the state of the list was unknown. A row expires after three heartbeats
+//! without renewal, and the last renewal may have come up to one heartbeat before the list was last known to
+//! contain the target. So a target has left if the list contained it less than two heartbeats ago, or if no
+//! read has failed since.
 //!
-//! How long a target is kept is a time and part of what is believed of it, so that it ends on its own:
-//! a list that has lost the target doesn't change any more, and nothing else would call for a look.
+//! The result is a time until which the target is kept, and the entry stores that time with the target, so
+//! that the decision expires by itself: a list that has lost the target doesn't change again, so nothing else
+//! would trigger another check.
 //!
-//! Grounds: targets are back in the list within two seconds of the store's return; the rest is for the
-//! read that finds them.
+//! Targets are back in the list within two seconds of the store's return; the remaining 0.2 s are for the read
+//! that finds them.
 
 use model::Micros;
 
-/// Heartbeats within which no row lapses.
-const SURE: u64 = 2;
+/// Number of heartbeats within which no row can expire.
+const SAFE_HEARTBEATS: u64 = 2;
 
-/// How rows lapse and come back.
+/// Timing of row expiry and re-registration.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// How often targets renew their rows, as the platform tells; 1.2 s.
+    /// Interval at which targets renew their rows, set by the platform.
     pub heartbeat: Micros,
-    /// How long after the store's return a row may still be missing; 2.2 s.
+    /// How long after the store's return the row of a running target may still be missing.
     pub reentry: Micros,
 }
 
@@ -38,25 +40,25 @@
     }
 }
 
-/// What was known of the list before it lacked a target.
+/// Reads of the list before a target was found to be missing.
 #[derive(Clone, Copy, Debug)]
 pub struct Gap {
-    /// When it was last known to be as it was.
+    /// When the list was last known to contain the target.
     pub known: Micros,
-    /// When it was read without the target.
+    /// When the list was read without the target.
     pub read: Micros,
-    /// Whether a read has failed in between.
+    /// Whether a read between the two times failed.
     pub failed: bool,
-    /// When the first list was read since the store was restored.
+    /// When the list was first read after the store was restored from a backup, if it was.
     pub restored: Option<Micros>,
 }
 
-/// Until when a target is kept that the list lacks; none if it has left.
+/// Until when a target missing from the list is kept; `None` if it has left.
 pub fn retain_until(config: &Config, gap: &Gap) -> Option<Micros> {
-    let sure = Micros(config.heartbeat.0 * SURE);
-    let may_lapse = gap.failed && gap.read.since(gap.known) >= sure;
-    let lapsed = may_lapse.then_some(gap.read + config.reentry);
-    // A target that entered itself after the copy was made has to do so again.
+    let safe = Micros(config.heartbeat.0 * SAFE_HEARTBEATS);
+    let may_have_expired = gap.failed && gap.read.since(gap.known) >= safe;
+    let expired = may_have_expired.then_some(gap.read + config.reentry);
+    // A target that registered after the backup was made has to register again.
     let lost = gap.restored.map(|at| at + config.reentry);
-    lapsed.max(lost.filter(|until| gap.read < *until))
+    expired.max(lost.filter(|until| gap.read < *until))
 }
--- a/crates/policy/src/pollers.rs
+++ b/crates/policy/src/pollers.rs
@@ -1,67 +1,70 @@
-//! Who of many processes reads a list for all of them.
+//! Which of many processes poll a list on behalf of all.
 //!
-//! Load pattern: each of many entries reads the same list from the platform's store a few times a
-//! second. The calls grow with the entries, the list changes a few times a minute, and the store
-//! counts every call. If one process is chosen to read, its loss leaves the others without news.
+//! Load pattern: each of many entries reads the same list from the platform's store a few times a second. The
+//! number of calls grows with the number of entries although the list changes only a few times a minute,
+//! and the store counts every call. If a single process were elected to poll, its failure would leave the
+//! others without updates.
 //!
-//! Nobody is chosen here. Whoever reads tells the others in one datagram what it found, as a hash. An
-//! entry that hears enough others with a lower rank just now reads seldom itself; one that hears too
-//! few reads. So all read at the start, a few after the first round, and the next in rank as soon as
-//! one of them falls silent.
+//! No process is elected. An entry that has polled sends the hash of the list to the others in one
+//! datagram. An entry that has recently received such datagrams from enough entries with a lower rank polls
+//! rarely; otherwise it polls itself. So all entries poll at the start, only a few after the first round,
+//! and the next in rank as soon as one of the pollers falls silent.
 //!
-//! Grounds: a target that leaves must get nothing new two seconds later. A reader's pause and read are
-//! one second of it at most. If the readers end just after a read, the next in rank reads once they have
-//! been silent for 1.2 s, which covers a pause and a slow read, and up to 0.2 s later, so that hundreds
-//! of entries don't all do so at one moment: 1.4 s and a read. Looked at in steps of a pause instead, the
-//! silence came to 2 s and a read.
+//! A target that leaves must receive no new requests two seconds later. A poller's interval and its read take
+//! at most one of these seconds. If the pollers stop just after a read, the next in rank polls once they
+//! have been silent for 1.2 s, which covers an interval and a slow read, and up to 0.2 s later, so that
+//! hundreds of entries don't poll at the same moment: 1.4 s and a read in total. Checking for silence only
+//! once per interval took up to 2 s and a read.
 
 use std::collections::HashMap;
 
 use model::Micros;
 
-/// Shortest pause between two reads.
-const PAUSE: Micros = Micros::from_millis(600);
-/// Pause of a process for which others read. It reads all the same now and then, for what the others'
-/// words don't tell.
-const SELDOM: Micros = Micros::from_millis(4_000);
-/// Over how long processes spread that would read at one moment.
-const SPREAD: Micros = Micros::from_millis(200);
-/// Pollers that are enough.
-const ENOUGH: usize = 2;
-/// Silence after which a reader counts no more.
-const SILENCE: Micros = Micros::from_millis(1_200);
+/// Minimum interval between two reads.
+const POLL_INTERVAL: Micros = Micros::from_millis(600);
+/// Poll interval of a process for which others poll. Such a process still reads the list itself now and
+/// then, for whatever the others' datagrams don't contain.
+const IDLE_INTERVAL: Micros = Micros::from_millis(4_000);
+/// Maximum random delay that spreads the reads of different processes.
+const MAX_JITTER: Micros = Micros::from_millis(200);
+/// Number of active pollers that suffices.
+const ENOUGH_POLLERS: usize = 2;
+/// Silence after which a poller counts as inactive.
+const POLLER_TIMEOUT: Micros = Micros::from_millis(1_200);
 
-/// The readers that one process hears.
+/// Other processes that have recently polled, as one process has recorded them.
 #[derive(Debug, Default)]
 pub struct Pollers {
-    heard: HashMap<u64, Micros>,
+    /// When a process of each rank last reported a read.
+    last_reads: HashMap<u64, Micros>,
 }
 
 impl Pollers {
-    /// Notes that another process has read.
+    /// Records that another process has read the list.
     pub fn record(&mut self, now: Micros, rank: u64) {
-        self.heard.insert(rank, now);
-        self.heard.retain(|_, at| now.since(*at) < SILENCE);
+        self.last_reads.insert(rank, now);
+        self.last_reads
+            .retain(|_, at| now.since(*at) < POLLER_TIMEOUT);
     }
 
-    /// Whether a process of a rank has to read itself.
+    /// Whether the process with rank `own` has to poll itself.
     pub fn should_poll(&self, now: Micros, own: u64) -> bool {
-        self.silent(own).is_none_or(|at| at <= now)
+        self.needed_from(own).is_none_or(|at| at <= now)
     }
 
-    /// When a process of a rank reads next unless it hears more, if it has read at some time; `draw` is
-    /// a random number from 0 to 1.
+    /// Next poll of the process with rank `own` after its last read at `read`, unless others report further
+    /// reads until then; `draw` is a random number from 0 to 1.
     pub fn next_poll(&self, read: Micros, own: u64, draw: f64) -> Micros {
-        let spread = Micros((SPREAD.0 as f64 * draw.clamp(0.0, 1.0)) as u64);
-        let silent = self.silent(own).unwrap_or_default();
-        (read + PAUSE).max(silent).min(read + SELDOM) + spread
+        let jitter = Micros((MAX_JITTER.0 as f64 * draw.clamp(0.0, 1.0)) as u64);
+        let needed = self.needed_from(own).unwrap_or_default();
+        (read + POLL_INTERVAL).max(needed).min(read + IDLE_INTERVAL) + jitter
     }
 
-    /// When too few of the readers before a rank are heard, if there have been enough.
-    fn silent(&self, own: u64) -> Option<Micros> {
-        let before = self.heard.iter().filter(|(rank, _)| **rank < own);
-        let mut until: Vec<_> = before.map(|(_, at)| *at + SILENCE).collect();
+    /// When too few pollers with a rank below `own` remain active; `None` if there are too few already.
+    fn needed_from(&self, own: u64) -> Option<Micros> {
+        let before = self.last_reads.iter().filter(|(rank, _)| **rank < own);
+        let mut until: Vec<_> = before.map(|(_, at)| *at + POLLER_TIMEOUT).collect();
         until.sort_unstable_by(|a, b| b.cmp(a));
-        until.get(ENOUGH - 1).copied()
+        until.get(ENOUGH_POLLERS - 1).copied()
     }
 }
