--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use model::{Micros, Position};
-use policy::{lapse, standing};
+use policy::{row_expiry, standing};
 use site::{Boot, Part, PartId, State, Target};
 use slotmap::{new_key_type, SlotMap};
 
@@ -50,13 +50,13 @@
         at: Micros,
         position: Position,
         targets: Vec<Target>,
-        config: &lapse::Config,
+        config: &row_expiry::Config,
     ) {
         self.copy.read(at, position);
         let targets = targets.into_iter().map(|t| self.copy.place(t));
         let listed = targets.filter(|t| !self.copy.has_left(t));
         let listed: HashMap<_, _> = listed.map(|t| (t.boot.clone(), t)).collect();
-        let gap = lapse::Gap {
+        let gap = row_expiry::Gap {
             known: self.listed,
             read: at,
             failed: self.failed > self.listed,
@@ -64,7 +64,7 @@
         };
         // Kept only where its row may have lapsed, and until a time: kept for any absence soon after the
         // store's return, a target that had left got requests until the next read, and they were lost.
-        let lapsed = lapse::retain_until(config, &gap);
+        let lapsed = row_expiry::retain_until(config, &gap);
         let missing: Vec<_> = self
             .boots
             .iter()
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -13,8 +13,8 @@
 use model::Micros;
 use platform::store::TARGETS;
 use platform::{Row, Store, StoreError};
-use policy::lapse;
 use policy::pollers::Pollers;
+use policy::row_expiry;
 use rand::Rng;
 use site::Target;
 use tokio::sync::{watch, Notify};
@@ -263,10 +263,10 @@
 }
 
 /// How rows lapse on this platform.
-fn lapse_config(ctx: &Ctx) -> lapse::Config {
-    lapse::Config {
+fn lapse_config(ctx: &Ctx) -> row_expiry::Config {
+    row_expiry::Config {
         heartbeat: ctx.node.settings.borrow().heartbeat.into(),
-        ..lapse::Config::default()
+        ..row_expiry::Config::default()
     }
 }
 
--- a/crates/gate/tests/fleet.rs
+++ b/crates/gate/tests/fleet.rs
@@ -3,13 +3,13 @@
 use gate::entry::Fleet;
 use gate::update::{Held, Loaded, Update};
 use model::{Micros, Position};
-use policy::lapse;
+use policy::row_expiry;
 use site::{Boot, Part, PartId, State, Target};
 
 /// The address of all targets here.
 const ADDR: &str = "127.0.0.1:9000";
 /// How rows of the list lapse.
-const CONFIG: lapse::Config = lapse::Config {
+const CONFIG: row_expiry::Config = row_expiry::Config {
     heartbeat: Micros::from_millis(1_200),
     reentry: Micros::from_millis(2_200),
 };
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -12,7 +12,7 @@
 //! without cutting a request.
 //! Where targets are reached without a sidecar: [`spot`] places a prompt of named parts by what
 //! [`outlook`] says of each engine and [`pace`] of all of them, [`lateness`] refuses what would be
-//! late, [`standing`] says which targets to leave alone, [`lapse`] which to keep though they aren't
+//! late, [`standing`] says which targets to leave alone, [`row_expiry`] which to keep though they aren't
 //! listed, [`misdirected`] for how long one isn't used whose address answered for another, [`shared`]
 //! keeps all entries within one budget of retries, [`loading`] says how long a request waits while all
 //! engines load, [`subscription`] says which engines an entry
@@ -34,7 +34,6 @@
 pub mod drain;
 pub mod health;
 pub mod holder;
-pub mod lapse;
 pub mod lateness;
 pub mod ledger;
 pub mod limit;
@@ -51,6 +50,7 @@
 pub mod reserve;
 pub mod retry;
 pub mod rollout;
+pub mod row_expiry;
 pub mod shared;
 pub mod slots;
 pub mod spot;
--- a/crates/policy/tests/lapse.rs
+++ b/crates/policy/tests/row_expiry.rs
@@ -1,7 +1,7 @@
 //! Targets that the list lacks: those that have left, and those whose row has only lapsed.
 
 use model::Micros;
-use policy::lapse::{retain_until, Config, Gap};
+use policy::row_expiry::{retain_until, Config, Gap};
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
