--- a/crates/policy/tests/slots/main.rs
+++ b/crates/policy/tests/slots/main.rs
@@ -1,4 +1,4 @@
-//! Slots for loads of weights: single sidecars step by step, and pools in virtual time ([`sim`]).
+//! Slots for weight loads: single sidecars step by step, and whole pools in virtual time ([`sim`]).
 
 mod sim;
 
@@ -6,11 +6,12 @@
 use policy::slots::{Group, ModelKey, Outcome, OutdatedWeights, Slots, State};
 use policy::versions::Versions;
 
-use sim::{Play, Sim, Stop};
+use sim::{Scenario, Sim, Stop};
 
 const MODEL: ModelKey = ModelKey(7);
-/// Milliseconds between two looks of a sidecar at its engine.
-const LOOK: u64 = 50;
+/// Interval at which a sidecar polls its engine, in ms.
+const POLL_INTERVAL: u64 = 50;
+
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
 }
@@ -24,24 +25,25 @@
     }
 }
 
-fn named(version: u64, at: Micros) -> Versions {
-    let mut named = Versions::default();
-    named.record(at, version, false);
-    named
+fn announced(version: u64, at: Micros) -> Versions {
+    let mut announced = Versions::default();
+    announced.record(at, version, false);
+    announced
 }
 
-fn lack(named: &Versions) -> OutdatedWeights<'_> {
+fn outdated(announced: &Versions) -> OutdatedWeights<'_> {
     OutdatedWeights {
         model: MODEL,
         version: 1,
-        announced: named,
+        announced,
     }
 }
 
-/// An order without an answer that the engine carries out for longer than an unused slot counts.
+/// Guards against a second load when an engine carries out an order that got no answer, and its load lasts
+/// longer than an unused slot counts.
 #[test]
-fn load_whose_order_had_no_answer_keeps_its_slot() {
-    let named = named(2, ms(1_000));
+fn load_after_an_unanswered_order_keeps_its_slot() {
+    let announced = announced(2, ms(1_000));
     let mut loads: Slots<u8> = Slots::default();
     let mut other: Slots<u8> = Slots::default();
     let mut ordered = false;
@@ -56,7 +58,7 @@
         };
         loads.receive(now, 3, Some(third.clone()));
         other.receive(now, 3, Some(third));
-        loads.schedule(now, &group(1, 3), Some(&lack(&named)));
+        loads.schedule(now, &group(1, 3), Some(&outdated(&announced)));
         if step(&mut loads, now, &[3]) {
             loads.ordered(now, Outcome::Unknown);
             ordered = true;
@@ -66,16 +68,17 @@
         if !ordered {
             continue;
         }
-        other.schedule(now, &group(2, 3), Some(&lack(&named)));
+        other.schedule(now, &group(2, 3), Some(&outdated(&announced)));
         assert!(!step(&mut other, now, &[1, 3]), "two load at {now:?}");
     }
     assert!(ordered);
 }
 
-/// An engine that couldn't be ordered for longer than an unused slot counts, and is then.
+/// Guards against a second load when an engine is ordered only after it has been due for longer than an
+/// unused slot counts.
 #[test]
-fn order_that_comes_late_keeps_its_slot() {
-    let named = named(2, ms(1_000));
+fn late_order_keeps_its_slot() {
+    let announced = announced(2, ms(1_000));
     let mut late: Slots<u8> = Slots::default();
     let mut other: Slots<u8> = Slots::default();
     let mut ordered = None;
@@ -90,7 +93,7 @@
             ..State::default()
         };
         late.receive(now, 3, Some(third));
-        late.schedule(now, &group(1, 3), Some(&lack(&named)));
+        late.schedule(now, &group(1, 3), Some(&outdated(&announced)));
         if step_if(&mut late, now, &[3], may) {
             late.ordered(now, Outcome::Unknown);
             ordered = ordered.or(Some(at));
@@ -101,16 +104,16 @@
         let Some(ordered) = ordered.filter(|o| at < o + 450) else {
             continue;
         };
-        other.schedule(now, &group(2, 2), Some(&lack(&named)));
+        other.schedule(now, &group(2, 2), Some(&outdated(&announced)));
         let loads = step(&mut other, now, &[1]);
         assert!(!loads, "two load {} ms after the order", at - ordered);
     }
     assert!(ordered.is_some());
 }
 
-/// A member that is gone for good delays each load.
+/// Guards against a dead member that delays every load of the pool.
 #[test]
-fn dead_member_is_waited_for_once() {
+fn dead_member_delays_only_the_first_load() {
     const DEAD: u8 = 9;
     let mut slots: Slots<u8> = Slots::default();
     slots.report(ms(0), &[(MODEL, 1)], false);
@@ -118,8 +121,8 @@
     let mut waits = Vec::new();
     for desired in [2, 3] {
         let start = desired * 2_000;
-        let named = named(desired, ms(start));
-        for at in (start..start + 2_000).step_by(LOOK as usize) {
+        let announced = announced(desired, ms(start));
+        for at in (start..start + 2_000).step_by(POLL_INTERVAL as usize) {
             let now = ms(at);
             slots.report(now, &[(MODEL, version)], false);
             let third = State {
@@ -129,16 +132,16 @@
                 ..State::default()
             };
             slots.receive(now, 3, Some(third));
-            let lack = OutdatedWeights {
+            let outdated = OutdatedWeights {
                 version,
-                ..lack(&named)
+                ..outdated(&announced)
             };
             let lacks = version < desired;
-            slots.schedule(now, &group(1, 3), lacks.then_some(&lack));
+            slots.schedule(now, &group(1, 3), lacks.then_some(&outdated));
             let step = slots.step(now, &[3, DEAD], true, 1);
-            if let Some((ask, to)) = step.query {
+            if let Some((query, to)) = step.query {
                 let live = to.into_iter().filter(|k| *k != DEAD);
-                live.for_each(|k| slots.answered(now, k, ask));
+                live.for_each(|k| slots.answered(now, k, query));
             }
             if step.orders {
                 slots.ordered(now, Outcome::Accepted);
@@ -148,65 +151,66 @@
         }
     }
     assert_eq!(waits.len(), 2, "{waits:?}");
-    assert!(waits[0] <= 150 + 12 * LOOK, "{waits:?}");
-    assert!(waits[1] <= 150 + 2 * LOOK, "{waits:?}");
+    assert!(waits[0] <= 150 + 12 * POLL_INTERVAL, "{waits:?}");
+    assert!(waits[1] <= 150 + 2 * POLL_INTERVAL, "{waits:?}");
 }
 
-/// Lets a sidecar take its next step, with all asks answered at once; true if it orders a load.
+/// Runs the next step of a sidecar and answers its queries at once; returns whether it orders a load.
 fn step(slots: &mut Slots<u8>, now: Micros, peers: &[u8]) -> bool {
     step_if(slots, now, peers, true)
 }
 
-/// The same if its engine can be ordered.
-fn step_if(slots: &mut Slots<u8>, now: Micros, peers: &[u8], ordered: bool) -> bool {
-    let step = slots.step(now, peers, ordered, 1);
-    if let Some((ask, to)) = step.query {
-        to.into_iter().for_each(|k| slots.answered(now, k, ask));
+/// Like [`step`], for an engine that may not be orderable.
+fn step_if(slots: &mut Slots<u8>, now: Micros, peers: &[u8], orderable: bool) -> bool {
+    let step = slots.step(now, peers, orderable, 1);
+    if let Some((query, to)) = step.query {
+        to.into_iter().for_each(|k| slots.answered(now, k, query));
     }
     step.orders
 }
 
-/// Agreement that rests on single datagrams, or on state from before a pause, lets two engines load.
+/// Guards against too many loads at a time when a decision relies on a single datagram or on state from
+/// before a pause.
 #[test]
-fn no_more_engines_load_than_may_whatever_happens_to_sidecars_and_datagrams() {
+fn loads_stay_within_the_limit_under_faults() {
     struct Case {
         name: &'static str,
-        play: Play,
+        scenario: Scenario,
     }
-    let base = Play::default;
-    let nine = || Play {
+    let base = Scenario::default;
+    let nine = || Scenario {
         engines: 9,
-        most: 2,
-        by: 60_000,
+        max_loading: 2,
+        deadline: 60_000,
         ..base()
     };
     #[rustfmt::skip]
     let cases = [
-        Case { name: "nothing goes wrong", play: base() },
-        Case { name: "nothing goes wrong, nine", play: nine() },
-        Case { name: "datagrams are lost", play: Play { loss: 0.3, ..base() } },
-        Case { name: "datagrams are lost, nine", play: Play { loss: 0.3, ..nine() } },
-        Case { name: "datagrams are late and overtake one another", play: Play { delay: 100, ..base() } },
-        Case { name: "sidecars are paused", play: Play { pauses: 0.5, ..base() } },
-        Case { name: "sidecars are paused, nine", play: Play { pauses: 0.2, ..nine() } },
-        Case { name: "sidecars are killed and start again", play: Play { kills: 0.3, ..base() } },
-        Case { name: "sidecars start during the change", play: Play { joins: 2, ..base() } },
-        Case { name: "two versions in a row", play: Play { named: vec![2_000, 2_100], apart: 400, ..base() } },
-        Case { name: "two versions in a row, nine", play: Play { named: vec![2_000, 2_900], apart: 400, ..nine() } },
-        Case { name: "orders have no answer", play: Play { unanswered: 0.5, load: 1_400, ..base() } },
-        Case { name: "engines that load report late", play: Play { late: 0.7, load: 2_500, ..base() } },
-        Case { name: "engines that load report late, nine", play: Play { late: 1.0, load: 1_400, loss: 0.1, ..nine() } },
-        Case { name: "hosts are slow, answers late", play: Play { look: 300, delay: 300, load: 2_000, ..base() } },
-        Case { name: "all of it", play: Play { named: vec![2_000, 3_500], apart: 300, loss: 0.2, delay: 60, pauses: 0.2, kills: 0.1, unanswered: 0.2, joins: 1, by: 40_000, ..base() } },
+        Case { name: "nothing goes wrong", scenario: base() },
+        Case { name: "nothing goes wrong, nine", scenario: nine() },
+        Case { name: "datagrams are lost", scenario: Scenario { loss_rate: 0.3, ..base() } },
+        Case { name: "datagrams are lost, nine", scenario: Scenario { loss_rate: 0.3, ..nine() } },
+        Case { name: "datagrams are delayed and reordered", scenario: Scenario { max_delay: 100, ..base() } },
+        Case { name: "sidecars are paused", scenario: Scenario { pause_rate: 0.5, ..base() } },
+        Case { name: "sidecars are paused, nine", scenario: Scenario { pause_rate: 0.2, ..nine() } },
+        Case { name: "sidecars are killed and start again", scenario: Scenario { kill_rate: 0.3, ..base() } },
+        Case { name: "sidecars start during the change", scenario: Scenario { late_joiners: 2, ..base() } },
+        Case { name: "two versions in a row", scenario: Scenario { announced: vec![2_000, 2_100], announce_spread: 400, ..base() } },
+        Case { name: "two versions in a row, nine", scenario: Scenario { announced: vec![2_000, 2_900], announce_spread: 400, ..nine() } },
+        Case { name: "orders have no answer", scenario: Scenario { unanswered_share: 0.5, load_time: 1_400, ..base() } },
+        Case { name: "loading engines report late", scenario: Scenario { late_share: 0.7, load_time: 2_500, ..base() } },
+        Case { name: "loading engines report late, nine", scenario: Scenario { late_share: 1.0, load_time: 1_400, loss_rate: 0.1, ..nine() } },
+        Case { name: "hosts are slow, answers late", scenario: Scenario { poll_interval: 300, max_delay: 300, load_time: 2_000, ..base() } },
+        Case { name: "all faults together", scenario: Scenario { announced: vec![2_000, 3_500], announce_spread: 300, loss_rate: 0.2, max_delay: 60, pause_rate: 0.2, kill_rate: 0.1, unanswered_share: 0.2, late_joiners: 1, deadline: 40_000, ..base() } },
     ];
     let seeds = std::env::var("SLOT_SEEDS")
         .ok()
         .and_then(|s| s.parse().ok());
     for c in cases {
         for seed in 0..seeds.unwrap_or(40) {
-            let (most, done) = Sim::new(&c.play, seed).run();
+            let (most, done) = Sim::new(&c.scenario, seed).run();
             assert!(
-                most <= c.play.most,
+                most <= c.scenario.max_loading,
                 "{}, seed {seed}: {most} load at a time",
                 c.name
             );
@@ -219,71 +223,71 @@
     }
 }
 
-/// Guards against a slot that counts as unused since an order of an earlier version, which had no answer.
+/// Guards against a slot that counts as unused since the unanswered order of an earlier version.
 #[test]
-fn second_order_without_an_answer_keeps_its_slot() {
-    let play = Play {
-        named: vec![2_000, 3_500],
-        apart: 300,
-        loss: 0.2,
-        delay: 60,
-        pauses: 0.2,
-        kills: 0.1,
-        unanswered: 0.2,
-        joins: 1,
-        by: 40_000,
-        ..Play::default()
+fn second_unanswered_order_keeps_its_slot() {
+    let scenario = Scenario {
+        announced: vec![2_000, 3_500],
+        announce_spread: 300,
+        loss_rate: 0.2,
+        max_delay: 60,
+        pause_rate: 0.2,
+        kill_rate: 0.1,
+        unanswered_share: 0.2,
+        late_joiners: 1,
+        deadline: 40_000,
+        ..Scenario::default()
     };
-    let (most, done) = Sim::new(&play, 4_839).run();
+    let (most, done) = Sim::new(&scenario, 4_839).run();
     assert_eq!(most, 1, "engines that load at a time");
     assert!(done.is_some(), "not all have the newest");
 }
 
-/// Guards against a claim from before a pause that takes a slot without an answer since.
+/// Guards against a claim from before a pause that takes a slot without any answer since the pause.
 #[test]
 fn claim_from_before_a_pause_takes_no_slot() {
-    let play = Play {
+    let scenario = Scenario {
         engines: 9,
-        most: 2,
-        pauses: 0.2,
-        // No report is late; it only draws the numbers of the run that failed.
-        late: f64::MIN_POSITIVE,
-        by: 60_000,
-        ..Play::default()
+        max_loading: 2,
+        pause_rate: 0.2,
+        // Makes no report late, but draws the same random numbers as the run that failed.
+        late_share: f64::MIN_POSITIVE,
+        deadline: 60_000,
+        ..Scenario::default()
     };
-    let (most, done) = Sim::new(&play, 2_883).run();
+    let (most, done) = Sim::new(&scenario, 2_883).run();
     assert!(most <= 2, "{most} load at a time");
     assert!(done.is_some(), "not all have the newest");
 }
 
-/// A sidecar acts on what it knew before it was stopped, at whatever step of the change that was.
+/// Guards against a sidecar that acts on outdated state after a pause or restart at any step of a change.
 #[test]
-fn stopped_sidecar_loads_beside_no_other_one() {
+fn stopped_sidecar_causes_no_second_load() {
     struct Case {
         name: &'static str,
-        play: Play,
+        scenario: Scenario,
     }
-    let base = Play::default;
+    let base = Scenario::default;
     #[rustfmt::skip]
     let cases = [
-        Case { name: "nothing else", play: base() },
-        Case { name: "datagrams are lost", play: Play { loss: 0.3, ..base() } },
-        Case { name: "datagrams are late", play: Play { delay: 60, ..base() } },
-        Case { name: "a second version", play: Play { named: vec![2_000, 2_600], apart: 200, loss: 0.1, ..base() } },
+        Case { name: "no other fault", scenario: base() },
+        Case { name: "datagrams are lost", scenario: Scenario { loss_rate: 0.3, ..base() } },
+        Case { name: "datagrams are delayed", scenario: Scenario { max_delay: 60, ..base() } },
+        Case { name: "a second version", scenario: Scenario { announced: vec![2_000, 2_600], announce_spread: 200, loss_rate: 0.1, ..base() } },
     ];
     for c in cases {
         for n in 0..3 * 26 * 5 * 2 {
             let stop = Stop {
-                who: n % 3,
+                node: n % 3,
                 killed: n / 3 % 2 == 0,
                 at: 1_900 + 100 * (n as u64 / 6 % 26),
-                lasts: [100, 300, 700, 1_700, 2_500][n / 156],
+                duration: [100, 300, 700, 1_700, 2_500][n / 156],
             };
-            let play = Play {
+            let scenario = Scenario {
                 stop: Some(stop),
-                ..c.play.clone()
+                ..c.scenario.clone()
             };
-            let (most, done) = Sim::new(&play, n as u64).run();
+            let (most, done) = Sim::new(&scenario, n as u64).run();
             assert_eq!(most, 1, "{}, {stop:?}: engines that load at a time", c.name);
             assert!(
                 done.is_some(),
--- a/crates/policy/tests/slots/sim.rs
+++ b/crates/policy/tests/slots/sim.rs
@@ -1,5 +1,5 @@
-//! A pool in virtual time whose updates are lost, delayed and out of order while sidecars are paused, killed
-//! and started.
+//! Simulation of a pool in virtual time. Updates are lost, delayed and reordered while sidecars are paused,
+//! killed and started.
 
 use std::collections::BTreeMap;
 
@@ -12,82 +12,85 @@
 
 use crate::{group, ms, MODEL};
 
-/// Step of virtual time.
+/// Step of virtual time, in ms.
 const TICK: u64 = 5;
-/// Age of an engine's report.
-const REPORT: u64 = 200;
-/// Interval at which state is reported while weights change.
-const RENEW: u64 = 500;
+/// Age of an engine's report, in ms.
+const REPORT_AGE: u64 = 200;
+/// Interval at which state is reported while weights change, in ms.
+const RENEW_INTERVAL: u64 = 500;
 
-/// A pool and what happens to it.
+/// A pool and the faults that it undergoes. Times are in ms.
 #[derive(Clone, Debug)]
-pub(crate) struct Play {
+pub(crate) struct Scenario {
     pub(crate) engines: usize,
     /// How long a load takes.
-    pub(crate) load: u64,
-    /// Most engines that may load at a time.
-    pub(crate) most: usize,
-    /// When versions 2, 3 and so on are named.
-    pub(crate) named: Vec<u64>,
-    /// How much later a sidecar may receive a version than another one.
-    pub(crate) apart: u64,
-    /// Part of the datagrams that are lost, and longest delay of the others.
-    pub(crate) loss: f64,
-    pub(crate) delay: u64,
-    /// Pause between two looks of a sidecar at its engine.
-    pub(crate) look: u64,
-    /// Chance a second that a sidecar is paused, or killed and started again; it lasts for up to 3 s.
-    pub(crate) pauses: f64,
-    pub(crate) kills: f64,
-    /// Part of the orders that have no answer.
-    pub(crate) unanswered: f64,
-    /// Part of the reports of engines that load which are late.
-    pub(crate) late: f64,
-    /// Sidecars that start only after the first version was named.
-    pub(crate) joins: usize,
-    /// A sidecar that is stopped once.
+    pub(crate) load_time: u64,
+    /// Maximum number of engines that may load at a time.
+    pub(crate) max_loading: usize,
+    /// When versions 2, 3 and so on are announced.
+    pub(crate) announced: Vec<u64>,
+    /// Maximum difference between the times at which two sidecars receive a version.
+    pub(crate) announce_spread: u64,
+    /// Fraction of datagrams that are lost.
+    pub(crate) loss_rate: f64,
+    /// Maximum delay of a datagram.
+    pub(crate) max_delay: u64,
+    /// Interval at which a sidecar polls its engine.
+    pub(crate) poll_interval: u64,
+    /// Probability per second that a sidecar is paused, for up to 3 s.
+    pub(crate) pause_rate: f64,
+    /// Probability per second that a sidecar is killed; it starts again after up to 1.5 s.
+    pub(crate) kill_rate: f64,
+    /// Fraction of orders that get no answer.
+    pub(crate) unanswered_share: f64,
+    /// Fraction of the reports of loading engines that are late.
+    pub(crate) late_share: f64,
+    /// Number of sidecars that start only after the first version was announced.
+    pub(crate) late_joiners: usize,
+    /// Stops one sidecar once.
     pub(crate) stop: Option<Stop>,
-    pub(crate) by: u64,
+    /// End of the simulation.
+    pub(crate) deadline: u64,
 }
 
-/// A sidecar is paused, or killed and started again.
+/// Pause, or kill and restart, of one sidecar.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stop {
-    pub(crate) who: usize,
+    pub(crate) node: usize,
     pub(crate) killed: bool,
     pub(crate) at: u64,
-    pub(crate) lasts: u64,
+    pub(crate) duration: u64,
 }
 
-impl Default for Play {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             engines: 3,
-            load: 600,
-            most: 1,
-            named: vec![2_000],
-            apart: 50,
-            loss: 0.0,
-            delay: 10,
-            look: 50,
-            pauses: 0.0,
-            kills: 0.0,
-            unanswered: 0.0,
-            late: 0.0,
-            joins: 0,
+            load_time: 600,
+            max_loading: 1,
+            announced: vec![2_000],
+            announce_spread: 50,
+            loss_rate: 0.0,
+            max_delay: 10,
+            poll_interval: 50,
+            pause_rate: 0.0,
+            kill_rate: 0.0,
+            unanswered_share: 0.0,
+            late_share: 0.0,
+            late_joiners: 0,
             stop: None,
-            by: 40_000,
+            deadline: 40_000,
         }
     }
 }
 
-/// A datagram.
+/// An update, a query or an answer on its way between two sidecars.
 #[derive(Clone, Debug)]
 struct Datagram {
     from: usize,
-    /// None of an engine that doesn't answer and isn't known to load.
+    /// `None` for an engine that doesn't answer and isn't known to load.
     state: Option<State>,
-    ask: Option<Query>,
+    query: Option<Query>,
     answer: Option<Query>,
 }
 
@@ -95,20 +98,23 @@
 #[derive(Debug)]
 struct Node {
     slots: Slots<usize>,
-    named: Versions,
-    /// When its process started, and its draw.
+    announced: Versions,
+    /// When the sidecar's process started.
     start: u64,
+    /// Random number of the sidecar's process.
     process: u64,
-    /// Until when it is paused, or not there.
-    paused: u64,
-    dead: u64,
-    /// Loads of the engine: start, end and version.
+    /// When the sidecar's pause ends.
+    paused_until: u64,
+    /// When the sidecar starts again after it was killed.
+    dead_until: u64,
+    /// Start, end and version of each load of the engine.
     loads: Vec<(u64, u64, u64)>,
     inbox: Vec<Datagram>,
     /// Whether the engine's last report was late.
-    silent: bool,
-    sent: Option<State>,
-    renewed: u64,
+    report_late: bool,
+    /// Last reported state without its times.
+    last_sent: Option<State>,
+    last_renewal: u64,
 }
 
 impl Node {
@@ -126,107 +132,108 @@
     }
 }
 
-/// A pool in virtual time.
+/// Simulated pool.
 pub(crate) struct Sim<'a> {
-    play: &'a Play,
+    scenario: &'a Scenario,
     rng: StdRng,
     nodes: Vec<Node>,
-    /// Datagrams on their way by arrival.
-    wire: BTreeMap<(u64, u64), (usize, Datagram)>,
-    sent: u64,
+    /// Datagrams on their way, by time of arrival and sequence number.
+    in_flight: BTreeMap<(u64, u64), (usize, Datagram)>,
+    /// Number of datagrams sent.
+    sequence: u64,
 }
 
 impl<'a> Sim<'a> {
-    pub(crate) fn new(play: &'a Play, seed: u64) -> Self {
+    pub(crate) fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let node = |i: usize, draw: u64| Node {
             slots: Slots::default(),
-            named: Versions::default(),
+            announced: Versions::default(),
             start: 0,
             process: draw,
-            paused: 0,
-            dead: if i < play.joins {
-                play.named[0] + draw % 1_500
+            paused_until: 0,
+            dead_until: if i < scenario.late_joiners {
+                scenario.announced[0] + draw % 1_500
             } else {
                 0
             },
             loads: Vec::new(),
             inbox: Vec::new(),
-            silent: false,
-            sent: None,
-            renewed: 0,
+            report_late: false,
+            last_sent: None,
+            last_renewal: 0,
         };
-        let nodes = (0..play.engines).map(|i| node(i, rng.random_range(1..u64::MAX)));
+        let nodes = (0..scenario.engines).map(|i| node(i, rng.random_range(1..u64::MAX)));
         Self {
-            play,
+            scenario,
             nodes: nodes.collect(),
             rng,
-            wire: BTreeMap::new(),
-            sent: 0,
+            in_flight: BTreeMap::new(),
+            sequence: 0,
         }
     }
 
     fn send(&mut self, now: u64, to: usize, datagram: Datagram) {
-        if self.rng.random_bool(self.play.loss) {
+        if self.rng.random_bool(self.scenario.loss_rate) {
             return;
         }
-        let at = now + self.rng.random_range(1..=self.play.delay.max(1));
-        self.sent += 1;
-        self.wire.insert((at, self.sent), (to, datagram));
+        let at = now + self.rng.random_range(1..=self.scenario.max_delay.max(1));
+        self.sequence += 1;
+        self.in_flight.insert((at, self.sequence), (to, datagram));
     }
 
     fn datagram(&self, now: u64, i: usize) -> Datagram {
         let n = &self.nodes[i];
-        let weights = vec![(MODEL, n.version(now.saturating_sub(REPORT)))];
+        let weights = vec![(MODEL, n.version(now.saturating_sub(REPORT_AGE)))];
         let mut state = n.slots.state(n.now(now), i as u64, weights);
         state.process = n.process;
-        let silent = n.silent && state.loading.is_none();
+        let unreachable = n.report_late && state.loading.is_none();
         Datagram {
             from: i,
-            state: (!silent).then_some(state),
-            ask: None,
+            state: (!unreachable).then_some(state),
+            query: None,
             answer: None,
         }
     }
 
     fn broadcast(&mut self, now: u64, datagram: &Datagram) {
-        for to in (0..self.play.engines).filter(|to| *to != datagram.from) {
+        for to in (0..self.scenario.engines).filter(|to| *to != datagram.from) {
             self.send(now, to, datagram.clone());
         }
     }
 
-    /// Draws what happens to the sidecars.
-    fn disturb(&mut self, now: u64) {
-        match self.play.stop.filter(|s| s.at == now) {
-            Some(s) if s.killed => self.nodes[s.who].dead = now + s.lasts,
-            Some(s) => self.nodes[s.who].paused = now + s.lasts,
+    /// Pauses and kills sidecars at random.
+    fn inject_faults(&mut self, now: u64) {
+        match self.scenario.stop.filter(|s| s.at == now) {
+            Some(s) if s.killed => self.nodes[s.node].dead_until = now + s.duration,
+            Some(s) => self.nodes[s.node].paused_until = now + s.duration,
             None => {}
         }
         for i in 0..self.nodes.len() {
-            let lasts = self.rng.random_range(50..3_000);
-            let chance = |a_second: f64| a_second * TICK as f64 / 1_000.0;
-            if self.rng.random_bool(chance(self.play.pauses)) {
-                self.nodes[i].paused = now + lasts;
+            let duration = self.rng.random_range(50..3_000);
+            let probability = |per_second: f64| per_second * TICK as f64 / 1_000.0;
+            if self.rng.random_bool(probability(self.scenario.pause_rate)) {
+                self.nodes[i].paused_until = now + duration;
             }
-            if self.rng.random_bool(chance(self.play.kills)) {
+            if self.rng.random_bool(probability(self.scenario.kill_rate)) {
                 let n = &mut self.nodes[i];
-                n.dead = now + lasts / 2;
+                n.dead_until = now + duration / 2;
             }
             let n = &mut self.nodes[i];
-            if n.dead > now {
+            if n.dead_until > now {
                 n.inbox.clear();
                 n.slots = Slots::default();
-                n.named = Versions::default();
-                n.sent = None;
+                n.announced = Versions::default();
+                n.last_sent = None;
                 n.process = self.rng.random_range(1..u64::MAX);
-                n.start = n.dead;
+                n.start = n.dead_until;
             }
         }
     }
 
-    fn there(&self, now: u64, i: usize) -> bool {
+    fn is_running(&self, now: u64, i: usize) -> bool {
         let n = &self.nodes[i];
-        now >= n.dead && now >= n.paused
+        now >= n.dead_until && now >= n.paused_until
     }
 
     fn receive(&mut self, now: u64, i: usize) {
@@ -237,56 +244,61 @@
             if let Some(answer) = d.answer {
                 n.slots.answered(at, d.from, answer);
             }
-            if let (Some(ask), true) = (d.ask, n.slots.can_answer(at)) {
+            if let (Some(query), true) = (d.query, n.slots.can_answer(at)) {
                 let mut answer = self.datagram(now, i);
-                answer.answer = Some(ask);
+                answer.answer = Some(query);
                 self.send(now, d.from, answer);
             }
         }
     }
 
-    fn look(&mut self, now: u64, i: usize) {
-        for (version, at) in (2..).zip(&self.play.named) {
-            let received = at + (i as u64 * 131) % self.play.apart.max(1);
+    /// Polls an engine, updates its sidecar's schedule and runs the sidecar's next step.
+    fn poll_engine(&mut self, now: u64, i: usize) {
+        for (version, at) in (2..).zip(&self.scenario.announced) {
+            let received = at + (i as u64 * 131) % self.scenario.announce_spread.max(1);
             let n = &mut self.nodes[i];
             if now >= received {
                 let at = n.now(now);
-                n.named
+                n.announced
                     .record(at, version, at < ms(3_000) && received < n.start);
             }
         }
-        let others: Vec<_> = (0..self.play.engines).filter(|o| *o != i).collect();
+        let others: Vec<_> = (0..self.scenario.engines).filter(|o| *o != i).collect();
         let n = &mut self.nodes[i];
-        let (at, then) = (n.now(now), now.saturating_sub(REPORT));
+        let (at, then) = (n.now(now), now.saturating_sub(REPORT_AGE));
         let (version, busy) = (n.version(then), n.busy(then));
-        let late = self.play.late > 0.0 && n.busy(now);
-        n.silent = late && self.rng.random_bool(self.play.late);
-        if n.silent {
+        let late = self.scenario.late_share > 0.0 && n.busy(now);
+        n.report_late = late && self.rng.random_bool(self.scenario.late_share);
+        if n.report_late {
             n.slots.report_missed(at);
         } else {
             n.slots.report(at, &[(MODEL, version)], busy);
-            let lack = (n.named.newest() > version).then_some(OutdatedWeights {
+            let outdated = (n.announced.newest() > version).then_some(OutdatedWeights {
                 model: MODEL,
                 version,
-                announced: &n.named,
+                announced: &n.announced,
             });
-            n.slots
-                .schedule(at, &group(i as u64, self.play.engines), lack.as_ref());
+            n.slots.schedule(
+                at,
+                &group(i as u64, self.scenario.engines),
+                outdated.as_ref(),
+            );
         }
         let step = n.slots.step(at, &others, !busy, self.rng.random());
         if step.orders && !n.busy(now) {
-            n.loads.push((now, now + self.play.load, n.named.newest()));
+            n.loads
+                .push((now, now + self.scenario.load_time, n.announced.newest()));
         }
-        if let Some((ask, to)) = step.query {
-            let mut question = self.datagram(now, i);
-            question.ask = Some(ask);
+        if let Some((query, to)) = step.query {
+            let mut datagram = self.datagram(now, i);
+            datagram.query = Some(query);
             to.into_iter()
-                .for_each(|to| self.send(now, to, question.clone()));
+                .for_each(|to| self.send(now, to, datagram.clone()));
         }
         if step.orders {
             let update = self.datagram(now, i);
             self.broadcast(now, &update);
-            let lost = self.rng.random_bool(self.play.unanswered);
+            let lost = self.rng.random_bool(self.scenario.unanswered_share);
             let outcome = if lost {
                 Outcome::Unknown
             } else {
@@ -294,11 +306,11 @@
             };
             self.nodes[i].slots.ordered(at, outcome);
         }
-        self.renew(now, i);
+        self.report_state(now, i);
     }
 
-    /// Reports what has changed, and all of it now and then while weights change.
-    fn renew(&mut self, now: u64, i: usize) {
+    /// Broadcasts the state if it has changed, and at intervals while weights change.
+    fn report_state(&mut self, now: u64, i: usize) {
         let update = self.datagram(now, i);
         let timeless = update.state.clone().map(|state| State {
             sent: Micros::ZERO,
@@ -308,31 +320,31 @@
         });
         let n = &mut self.nodes[i];
         let at = n.now(now);
-        let renew = now >= n.renewed + RENEW && n.slots.under_way(at);
-        if n.slots.can_answer(at) && (timeless != n.sent || renew) {
-            n.sent = timeless;
-            n.renewed = now;
+        let renewal_due = now >= n.last_renewal + RENEW_INTERVAL && n.slots.under_way(at);
+        if n.slots.can_answer(at) && (timeless != n.last_sent || renewal_due) {
+            n.last_sent = timeless;
+            n.last_renewal = now;
             self.broadcast(now, &update);
         }
     }
 
-    /// Most loads at a time, and when all engines had the newest weights.
+    /// Returns the maximum number of loads at a time, and when all engines had the newest weights.
     pub(crate) fn run(mut self) -> (usize, Option<u64>) {
-        let newest = self.play.named.len() as u64 + 1;
+        let newest = self.scenario.announced.len() as u64 + 1;
         let mut most = 0;
-        for now in (0..self.play.by).step_by(TICK as usize) {
-            self.disturb(now);
-            while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= now) {
+        for now in (0..self.scenario.deadline).step_by(TICK as usize) {
+            self.inject_faults(now);
+            while let Some(entry) = self.in_flight.first_entry().filter(|e| e.key().0 <= now) {
                 let (to, datagram) = entry.remove();
                 self.nodes[to].inbox.push(datagram);
             }
             for i in 0..self.nodes.len() {
-                if !self.there(now, i) {
+                if !self.is_running(now, i) {
                     continue;
                 }
-                // A process that continues after a pause looks before it has received what waits.
-                if (now + 7 * i as u64) % self.play.look < TICK {
-                    self.look(now, i);
+                // A process that resumes after a pause polls its engine before it reads waiting datagrams.
+                if (now + 7 * i as u64) % self.scenario.poll_interval < TICK {
+                    self.poll_engine(now, i);
                 }
                 self.receive(now, i);
             }
