--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -82,7 +82,7 @@
     /// Time allowed for the whole pool to change weights.
     pub allowed: Micros,
     /// How long the oldest weights in use have been out of date.
-    pub outdated: Micros,
+    pub outdated_for: Micros,
 }
 
 /// Whether an engine that lacks the newest weights is due to load.
@@ -110,7 +110,7 @@
     let engines = pool.others.len() + 1;
     let share = (engines as f64 * config.share).round() as usize;
     let max = (engines as f64 * config.max_share) as usize;
-    let left = fraction(pool.allowed, config.target_time).since(pool.outdated);
+    let left = fraction(pool.allowed, config.target_time).since(pool.outdated_for);
     let needed = pool.load_time.map_or(0, |load_time| {
         let rounds = (left.0 / load_time.0.max(1)).max(1) as usize;
         pending.div_ceil(rounds)
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -538,7 +538,7 @@
             others: &others,
             load_time: self.pool_load_time(now),
             allowed: group.allowed,
-            outdated: announced.outdated(now, oldest).unwrap_or_default(),
+            outdated_for: announced.outdated(now, oldest).unwrap_or_default(),
         };
         let own = Engine {
             version: outdated.version,
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -1,11 +1,11 @@
-//! New weights for whole pools in virtual time: each engine decides by what it has last heard of the
-//! others, under the loads that make such decisions go wrong.
+//! Weight loads of whole pools in virtual time. Each engine decides by the last state that it has received
+//! from the others, under conditions that make such decisions go wrong.
 
 use model::Micros;
 use policy::rollout::{self, Config, Engine, Pool};
 
-/// Pause between two looks of a sidecar.
-const LOOK: u64 = 50;
+/// Interval at which a sidecar decides, in ms.
+const POLL_INTERVAL: u64 = 50;
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
@@ -15,94 +15,98 @@
 #[derive(Clone, Debug)]
 struct Node {
     version: u64,
-    /// The version under way and when it is there.
+    /// Load in progress: version, start and end.
     load: Option<(u64, u64, u64)>,
     due: Option<u64>,
-    seen: Option<Micros>,
+    /// Duration of the last load.
+    load_time: Option<Micros>,
     loads: usize,
-    /// From when on it neither works nor tells, and until when.
-    gone: (u64, u64),
-    /// Whether its sidecar takes no turn.
-    idle: bool,
+    /// Start and end of the time in which the engine neither serves nor reports.
+    down: (u64, u64),
+    /// Whether the sidecar never orders a load.
+    never_loads: bool,
 }
 
-/// A pool and the days that are played on it.
+/// A pool and what happens to it. Times are in ms.
 #[derive(Clone, Debug)]
-struct Play {
+struct Scenario {
     engines: usize,
-    load: u64,
-    /// Loads at a time beyond which all of them take longer.
-    at_once: usize,
+    load_time: u64,
+    /// Number of loads at a time beyond which all loads take longer.
+    parallel_loads: usize,
+    /// Time allowed for the whole pool to change weights.
     allowed: u64,
-    /// When versions 2, 3 and so on are named.
-    named: Vec<u64>,
-    /// Engines that are gone, and from when to when.
-    gone: Option<(usize, u64, u64)>,
-    /// Engines whose sidecars take no turn.
-    idle: usize,
-    /// Whether no sidecar hears another one.
-    deaf: bool,
+    /// When versions 2, 3 and so on are announced.
+    announced: Vec<u64>,
+    /// Number of engines that are down, with the start and end of that time.
+    down: Option<(usize, u64, u64)>,
+    /// Number of engines whose sidecars never order a load.
+    never_loading: usize,
+    /// Whether no sidecar receives updates from others.
+    isolated: bool,
+    /// End of the simulation.
     until: u64,
 }
 
-impl Default for Play {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             engines: 9,
-            load: 1_900,
-            at_once: 2,
+            load_time: 1_900,
+            parallel_loads: 2,
             allowed: 15_000,
-            named: vec![1_000],
-            gone: None,
-            idle: 0,
-            deaf: false,
+            announced: vec![1_000],
+            down: None,
+            never_loading: 0,
+            isolated: false,
             until: 40_000,
         }
     }
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug)]
 struct Outcome {
-    /// Most engines that loaded or were gone at a time, and most that loaded.
-    away: usize,
-    most: usize,
+    /// Maximum number of engines that were loading or down at a time.
+    max_unavailable: usize,
+    /// Maximum number of engines that were loading at a time.
+    max_loading: usize,
     loads: usize,
-    /// When the last engine had the newest weights; none if one never had.
+    /// When the last engine had the newest weights; `None` if an engine never had them.
     done: Option<u64>,
-    /// Longest time for which an engine that was there had weights out of date.
-    oldest: u64,
+    /// Longest time for which a running engine had outdated weights.
+    max_age: u64,
 }
 
-fn play(p: &Play) -> Outcome {
+fn simulate(s: &Scenario) -> Outcome {
     let config = Config::default();
-    let mut nodes: Vec<_> = (0..p.engines)
+    let mut nodes: Vec<_> = (0..s.engines)
         .map(|i| Node {
             version: 1,
             load: None,
             due: None,
-            seen: None,
+            load_time: None,
             loads: 0,
-            gone: match p.gone {
+            down: match s.down {
                 Some((n, from, to)) if i < n => (from, to),
                 _ => (u64::MAX / 2, u64::MAX / 2),
             },
-            idle: i >= p.engines - p.idle,
+            never_loads: i >= s.engines - s.never_loading,
         })
         .collect();
     let mut out = Outcome {
-        away: 0,
-        most: 0,
+        max_unavailable: 0,
+        max_loading: 0,
         loads: 0,
         done: None,
-        oldest: 0,
+        max_age: 0,
     };
-    for now in (0..p.until).step_by(LOOK as usize) {
-        let newest = 1 + p.named.iter().filter(|at| **at + 150 <= now).count() as u64;
-        let told = nodes.clone();
+    for now in (0..s.until).step_by(POLL_INTERVAL as usize) {
+        let newest = 1 + s.announced.iter().filter(|at| **at + 150 <= now).count() as u64;
+        let reported = nodes.clone();
         for (i, n) in nodes.iter_mut().enumerate() {
-            let there = now < n.gone.0 || now >= n.gone.1;
-            if !there {
+            let running = now < n.down.0 || now >= n.down.1;
+            if !running {
                 n.load = None;
                 n.due = None;
                 continue;
@@ -112,52 +116,62 @@
                     continue;
                 }
                 n.version = version;
-                n.seen = Some(ms(now - since));
+                n.load_time = Some(ms(now - since));
                 n.load = None;
             }
-            if n.version == newest || n.idle {
+            if n.version == newest || n.never_loads {
                 continue;
             }
-            if !takes_turn(&config, p, &told, i, now, newest) {
+            if !is_due(&config, s, &reported, i, now, newest) {
                 n.due = None;
                 continue;
             }
             let due = *n.due.get_or_insert(now);
-            // It answers nothing after some time without new requests.
+            // Without new requests, an engine has finished its answers after 200 ms.
             if now >= due + 200 {
-                let loading = told.iter().filter(|o| o.load.is_some()).count() + 1;
-                let slow = (loading as f64 / p.at_once as f64).max(1.0);
-                n.load = Some((newest, now, now + (p.load as f64 * slow) as u64));
+                let loading = reported.iter().filter(|o| o.load.is_some()).count() + 1;
+                let slow = (loading as f64 / s.parallel_loads as f64).max(1.0);
+                n.load = Some((newest, now, now + (s.load_time as f64 * slow) as u64));
                 n.loads += 1;
                 n.due = None;
             }
         }
         let loading = nodes.iter().filter(|n| n.load.is_some()).count();
-        let gone = nodes.iter().filter(|n| now >= n.gone.0 && now < n.gone.1);
-        out.most = out.most.max(loading);
-        out.away = out.away.max(loading + gone.count());
-        let there = nodes.iter().filter(|n| !n.idle);
-        let old = there
+        let down = nodes.iter().filter(|n| now >= n.down.0 && now < n.down.1);
+        out.max_loading = out.max_loading.max(loading);
+        out.max_unavailable = out.max_unavailable.max(loading + down.count());
+        let loaders = nodes.iter().filter(|n| !n.never_loads);
+        let old = loaders
             .clone()
-            .filter(|n| n.version < newest && (now < n.gone.0 || now >= n.gone.1));
-        let age = |n: &Node| now.saturating_sub(p.named[n.version as usize - 1]);
-        out.oldest = old.clone().map(age).max().unwrap_or(0).max(out.oldest);
-        let all =
-            newest as usize == p.named.len() + 1 && there.clone().all(|n| n.version == newest);
+            .filter(|n| n.version < newest && (now < n.down.0 || now >= n.down.1));
+        let age = |n: &Node| now.saturating_sub(s.announced[n.version as usize - 1]);
+        out.max_age = old.clone().map(age).max().unwrap_or(0).max(out.max_age);
+        let all = newest as usize == s.announced.len() + 1
+            && loaders.clone().all(|n| n.version == newest);
         out.done = out.done.or(all.then_some(now)).filter(|_| all);
     }
     out.loads = nodes.iter().map(|n| n.loads).sum();
     out
 }
 
-fn takes_turn(config: &Config, p: &Play, told: &[Node], own: usize, now: u64, newest: u64) -> bool {
+/// Whether an engine is due, given the state that the others have reported.
+fn is_due(
+    config: &Config,
+    s: &Scenario,
+    reported: &[Node],
+    own: usize,
+    now: u64,
+    newest: u64,
+) -> bool {
     let rank = |i: usize| (i as u64 * 7_919 + newest) % 1_009;
-    let heard =
-        |i: usize| i != own && !p.deaf && (now < told[i].gone.0 + 1_500 || now >= told[i].gone.1);
-    if p.deaf {
-        let named = p.named[newest as usize - 2];
+    let received = |i: usize| {
+        i != own && !s.isolated && (now < reported[i].down.0 + 1_500 || now >= reported[i].down.1)
+    };
+    if s.isolated {
+        let announced = s.announced[newest as usize - 2];
         return now
-            >= named + rollout::isolated_start(config, own, p.engines, ms(p.allowed)).as_millis();
+            >= announced
+                + rollout::isolated_start(config, own, s.engines, ms(s.allowed)).as_millis();
     }
     let engine = |i: usize, n: &Node| Engine {
         version: n.version,
@@ -165,128 +179,130 @@
         loading: n.load.map(|(_, since, _)| ms(now - since)),
         due: n.due.map(|at| ms(now - at)),
     };
-    let others: Vec<_> = (0..told.len())
-        .filter(|i| heard(*i))
-        .map(|i| engine(i, &told[i]))
+    let others: Vec<_> = (0..reported.len())
+        .filter(|i| received(*i))
+        .map(|i| engine(i, &reported[i]))
         .collect();
-    let me = engine(own, &told[own]);
+    let own_state = engine(own, &reported[own]);
     let oldest = others
         .iter()
         .map(|o| o.version)
         .min()
-        .unwrap_or(me.version)
-        .min(me.version);
-    let mut seen: Vec<_> = told.iter().filter_map(|n| n.seen).collect();
-    seen.sort_unstable();
+        .unwrap_or(own_state.version)
+        .min(own_state.version);
+    let mut load_times: Vec<_> = reported.iter().filter_map(|n| n.load_time).collect();
+    load_times.sort_unstable();
     let pool = Pool {
         newest,
         others: &others,
-        load_time: seen.get(seen.len() / 2).copied(),
-        allowed: ms(p.allowed),
-        outdated: ms(now.saturating_sub(p.named[oldest as usize - 1])),
+        load_time: load_times.get(load_times.len() / 2).copied(),
+        allowed: ms(s.allowed),
+        outdated_for: ms(now.saturating_sub(s.announced[oldest as usize - 1])),
     };
-    rollout::is_due(config, &pool, &me)
+    rollout::is_due(config, &pool, &own_state)
 }
 
 #[test]
-fn pools_of_all_sizes_take_new_weights_a_part_at_a_time_and_in_time() {
-    // New weights are named under full load. Nobody knows yet how long a load takes, from a tenth of a
-    // second to several. If too many engines load at a time, callers find nobody who serves them; if
-    // too few do, they get answers of old weights beyond the time that is allowed for a change.
+fn pools_of_all_sizes_load_a_part_at_a_time_and_in_time() {
+    // Guards against too many loads at a time, which leave too few engines to serve requests, and against too
+    // few, which leave old weights in use beyond the time allowed. The load time isn't known in advance.
     struct Case {
         name: &'static str,
-        play: Play,
+        scenario: Scenario,
         most: usize,
         by: u64,
     }
-    let of = |engines, load, at_once, allowed| Play {
+    let pool = |engines, load_time, parallel_loads, allowed| Scenario {
         engines,
-        load,
-        at_once,
+        load_time,
+        parallel_loads,
         allowed,
-        ..Play::default()
+        ..Scenario::default()
     };
     #[rustfmt::skip]
     let cases = [
-        Case { name: "nine, short loads", play: of(9, 100, 2, 6_000), most: 2, by: 6_000 },
-        Case { name: "nine, loads of 2 s", play: of(9, 1_900, 2, 15_000), most: 2, by: 15_000 },
-        Case { name: "nine, loads of 5 s: more at a time, as the time would run out", play: of(9, 5_000, 4, 15_000), most: 4, by: 20_000 },
-        Case { name: "a pool of two never loads as a whole", play: of(2, 1_900, 2, 15_000), most: 1, by: 15_000 },
-        Case { name: "a pool of three", play: of(3, 4_000, 2, 15_000), most: 1, by: 15_000 },
-        Case { name: "one engine alone", play: of(1, 1_900, 2, 15_000), most: 1, by: 15_000 },
-        Case { name: "56 engines", play: of(56, 1_900, 11, 20_000), most: 11, by: 20_000 },
-        Case { name: "200 engines", play: of(200, 4_000, 40, 30_000), most: 50, by: 30_000 },
+        Case { name: "nine, short loads", scenario: pool(9, 100, 2, 6_000), most: 2, by: 6_000 },
+        Case { name: "nine, loads of 2 s", scenario: pool(9, 1_900, 2, 15_000), most: 2, by: 15_000 },
+        Case { name: "nine, loads of 5 s: more at a time, as the time would run out", scenario: pool(9, 5_000, 4, 15_000), most: 4, by: 20_000 },
+        Case { name: "a pool of two never loads as a whole", scenario: pool(2, 1_900, 2, 15_000), most: 1, by: 15_000 },
+        Case { name: "a pool of three", scenario: pool(3, 4_000, 2, 15_000), most: 1, by: 15_000 },
+        Case { name: "one engine alone", scenario: pool(1, 1_900, 2, 15_000), most: 1, by: 15_000 },
+        Case { name: "56 engines", scenario: pool(56, 1_900, 11, 20_000), most: 11, by: 20_000 },
+        Case { name: "200 engines", scenario: pool(200, 4_000, 40, 30_000), most: 50, by: 30_000 },
     ];
     for c in cases {
-        let o = play(&c.play);
-        assert!(o.most <= c.most, "{}: {o:?}", c.name);
+        let o = simulate(&c.scenario);
+        assert!(o.max_loading <= c.most, "{}: {o:?}", c.name);
         assert!(
             o.done.is_some_and(|at| at - 1_000 <= c.by),
             "{}: {o:?}",
             c.name
         );
-        assert_eq!(o.loads, c.play.engines, "{}: loads without need", c.name);
+        assert_eq!(
+            o.loads, c.scenario.engines,
+            "{}: loads without need",
+            c.name
+        );
     }
 }
 
 #[test]
-fn versions_that_follow_one_another_are_skipped_where_they_can_be() {
-    // Four versions are named within 12 s, and a whole round takes 10 s. An engine that loads each of
-    // them serves nobody for half of that time. What stands oldest goes first, so that nothing is
-    // answered with weights beyond their time, and an engine whose turn comes late loads only the last.
-    let o = play(&Play {
-        named: vec![2_000, 5_000, 9_000, 13_000],
-        ..Play::default()
+fn superseded_versions_are_skipped() {
+    // Guards against engines that load all of four versions announced within 12 s, at 10 s per round, and so
+    // are unavailable half of the time. Also guards against old weights in use beyond the time allowed.
+    let o = simulate(&Scenario {
+        announced: vec![2_000, 5_000, 9_000, 13_000],
+        ..Scenario::default()
     });
-    assert!(o.most <= 4, "more than half: {o:?}");
+    assert!(o.max_loading <= 4, "more than half: {o:?}");
     assert!(o.loads <= 27, "four rounds of nine would be 36: {o:?}");
-    assert!(o.oldest <= 15_000, "{o:?}");
+    assert!(o.max_age <= 15_000, "{o:?}");
     assert!(o.done.is_some_and(|at| at <= 28_000), "{o:?}");
 }
 
 #[test]
-fn engines_that_are_gone_delay_nobody() {
-    // A third of the pool loses power just as new weights are named and is back with the old ones
-    // 10 s later. The others don't wait for it; when it is back it takes its turns as well.
-    let o = play(&Play {
-        gone: Some((3, 1_100, 11_000)),
-        ..Play::default()
+fn engines_without_power_delay_no_load() {
+    // Guards against waiting for a third of the pool that loses power when new weights are announced. It is
+    // back with the old weights 10 s later and then loads in the same order as the others.
+    let o = simulate(&Scenario {
+        down: Some((3, 1_100, 11_000)),
+        ..Scenario::default()
     });
-    assert!(o.most <= 3, "{o:?}");
-    assert!(o.away <= 5, "{o:?}");
+    assert!(o.max_loading <= 3, "{o:?}");
+    assert!(o.max_unavailable <= 5, "{o:?}");
     assert!(o.done.is_some_and(|at| at <= 18_000), "{o:?}");
 }
 
 #[test]
-fn a_sidecar_that_takes_no_turn_delays_nobody() {
-    // Two sidecars know of the new weights and can't order them: their orders are refused again and
-    // again. If the others waited for them, the whole pool would stay with old weights.
-    let o = play(&Play {
-        idle: 2,
-        ..Play::default()
+fn sidecar_that_never_orders_delays_no_load() {
+    // Guards against a pool that keeps old weights because it waits for two sidecars whose orders are refused
+    // again and again.
+    let o = simulate(&Scenario {
+        never_loading: 2,
+        ..Scenario::default()
     });
     assert!(o.done.is_some_and(|at| at <= 15_000), "{o:?}");
 }
 
 #[test]
-fn sidecars_that_hear_nobody_still_keep_apart() {
-    // All words between sidecars are lost. Each knows only its rank and that the others exist; without
-    // an order in time all would load at the same moment.
+fn isolated_sidecars_dont_load_all_at_once() {
+    // Guards against simultaneous loads when all updates between sidecars are lost and each knows only its
+    // rank and the number of the others.
     for (engines, most) in [(9, 4), (56, 22)] {
-        let o = play(&Play {
+        let o = simulate(&Scenario {
             engines,
-            at_once: most,
-            deaf: true,
-            ..Play::default()
+            parallel_loads: most,
+            isolated: true,
+            ..Scenario::default()
         });
-        assert!(o.most <= most, "{o:?}");
+        assert!(o.max_loading <= most, "{o:?}");
         assert!(o.done.is_some_and(|at| at <= 1_000 + 15_000), "{o:?}");
     }
 }
 
 #[test]
-fn large_pools_agree_in_groups() {
-    // 830 sidecars that each told all others of each change would be 700,000 words at a time.
+fn large_pools_are_split_into_groups() {
+    // Guards against 700,000 datagrams per change, if each of 830 sidecars reported to all others.
     for engines in [1, 9, 96, 97, 830] {
         let sizes: Vec<_> = (0..engines)
             .map(|own| {
@@ -304,10 +320,9 @@
 }
 
 #[test]
-fn an_engine_that_never_answers_its_orders_holds_no_place() {
-    // An engine takes no order: each is sent, stays without an answer and is sent again, and for that
-    // long the engine counts as loading. If that held a place, a pool would load with one place less for
-    // as long as the weights last, or not at all if it has but one.
+fn engine_that_never_answers_orders_holds_no_slot() {
+    // Guards against a slot that is lost to an engine which counts as loading because its orders are repeated
+    // and never answered. A pool with a single slot would not load at all.
     struct Case {
         name: &'static str,
         due: u64,
@@ -315,8 +330,8 @@
     }
     #[rustfmt::skip]
     let cases = [
-        Case { name: "its turn came just now", due: 200, want: false },
-        Case { name: "its turn came long ago", due: 2_000, want: true },
+        Case { name: "due for a short time", due: 200, want: false },
+        Case { name: "due for long", due: 2_000, want: true },
     ];
     for c in cases {
         let engine = |rank| Engine {
@@ -341,7 +356,7 @@
             others: &others,
             load_time: None,
             allowed: ms(15_000),
-            outdated: ms(3_000),
+            outdated_for: ms(3_000),
         };
         let due = rollout::is_due(&Config::default(), &pool, &engine(2));
         assert_eq!(due, c.want, "{}", c.name);
