--- a/crates/policy/tests/crashes.rs
+++ b/crates/policy/tests/crashes.rs
@@ -1,18 +1,17 @@
-//! Requests that crash targets, and those that only were there.
+//! Telling requests that crash targets from requests that only ran beside them.
 
 use model::{Incarnation, MemberId, Micros};
 use policy::broken::{Break, Broken};
-use policy::quarantine::{Config, Crash, Fingerprint, ProcessRank, Quarantine, Verdict as Held};
+use policy::quarantine::{Config, Crash, Fingerprint, ProcessRank, Quarantine, Verdict};
 
 fn ms(n: u64) -> Micros {
     Micros::from_millis(n)
 }
 
 #[test]
-fn a_break_counts_only_with_its_targets_end() {
-    // Connections break at once with a crash, with a network's fault, or long after the target was
-    // seen to end. Were each break a crash, a faulty network would have good requests refused; were
-    // each end to be known before the break, a fatal request would never be found.
+fn broken_connection_counts_only_with_the_end_of_its_target() {
+    // Guards against network faults that count as crashes, so that good requests are refused, and against
+    // crashes that aren't counted because the connection broke before the target's end was recorded.
     struct Case {
         name: &'static str,
         sent: u64,
@@ -21,28 +20,28 @@
         same: bool,
         struck: bool,
     }
-    let crash = |life| Crash {
+    let crash = |incarnation| Crash {
         member: MemberId(7),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
     };
-    let print = Fingerprint {
+    let fingerprint = Fingerprint {
         body: 1,
         weights: 0,
     };
     #[rustfmt::skip]
     let cases = [
-        Case { name: "no end", sent: 0, broke: 100, ended: None, same: true, struck: false },
-        Case { name: "break, then its end", sent: 0, broke: 100, ended: Some(900), same: true, struck: true },
-        Case { name: "end, then the break", sent: 0, broke: 900, ended: Some(300), same: true, struck: true },
-        Case { name: "another life's end", sent: 0, broke: 100, ended: Some(900), same: false, struck: false },
+        Case { name: "no end of the target", sent: 0, broke: 100, ended: None, same: true, struck: false },
+        Case { name: "break before the end", sent: 0, broke: 100, ended: Some(900), same: true, struck: true },
+        Case { name: "end before the break", sent: 0, broke: 900, ended: Some(300), same: true, struck: true },
+        Case { name: "end of another incarnation", sent: 0, broke: 100, ended: Some(900), same: false, struck: false },
         Case { name: "sent after the end", sent: 400, broke: 900, ended: Some(300), same: true, struck: false },
-        Case { name: "an end long after", sent: 0, broke: 100, ended: Some(6_000), same: true, struck: false },
+        Case { name: "end long after the break", sent: 0, broke: 100, ended: Some(6_000), same: true, struck: false },
     ];
     for case in cases {
         let mut broken = Broken::default();
         let end = crash(if case.same { 1 } else { 2 });
         let run = Break {
-            print,
+            print: fingerprint,
             crash: crash(1),
             sent: ms(case.sent),
             at: ms(case.broke),
@@ -55,7 +54,7 @@
             }
             Some(at) => {
                 assert!(!broken.broke(run), "{}", case.name);
-                broken.ended(ms(at), end) == [print]
+                broken.ended(ms(at), end) == [fingerprint]
             }
         };
         assert_eq!(struck, case.struck, "{}", case.name);
@@ -63,10 +62,9 @@
 }
 
 #[test]
-fn a_good_answer_clears_what_is_held_and_vouches_a_while() {
-    // Engines of a failure domain crash together while they run good requests, and do so again. A
-    // request that was served in between is no culprit; without this, traffic that is asked for all
-    // the time would be refused after the third such crash.
+fn successful_answer_clears_a_request_and_protects_it_for_a_while() {
+    // Guards against refusing frequently requested content after its third crash, when the engines of a failure
+    // domain crash together repeatedly although the request succeeded in between.
     let mut quarantine = Quarantine::new(Config {
         strikes: 3,
         ..Config::default()
@@ -75,50 +73,54 @@
         member: MemberId(member),
         incarnation: Incarnation(1),
     };
-    let print = |body| Fingerprint { body, weights: 0 };
+    let fingerprint = |body| Fingerprint { body, weights: 0 };
     for member in 1..=20 {
         let now = Micros::from_secs(member);
-        let struck = quarantine.strike(now, print(1), crash(member));
-        let vouched = member > 1;
-        assert_eq!(struck == Held::Suspect, !vouched);
-        quarantine.strike(now, print(2), crash(member));
-        assert_eq!(quarantine.record_success(now, print(1)), !vouched);
+        let struck = quarantine.strike(now, fingerprint(1), crash(member));
+        let succeeded = member > 1;
+        assert_eq!(struck == Verdict::Suspect, !succeeded);
+        quarantine.strike(now, fingerprint(2), crash(member));
+        assert_eq!(quarantine.record_success(now, fingerprint(1)), !succeeded);
     }
     let now = Micros::from_secs(21);
-    assert_eq!(quarantine.verdict(now, print(1)), Held::Clear);
-    assert_eq!(quarantine.verdict(now, print(2)), Held::Convicted);
-    // Somebody else has had a good answer to it.
+    assert_eq!(quarantine.verdict(now, fingerprint(1)), Verdict::Clear);
+    assert_eq!(quarantine.verdict(now, fingerprint(2)), Verdict::Convicted);
+    // The request succeeded through another process.
     assert!(
-        quarantine.record_success(now, print(2)),
-        "a convict wasn't cleared"
+        quarantine.record_success(now, fingerprint(2)),
+        "a convicted request wasn't cleared"
     );
-    assert_eq!(quarantine.verdict(now, print(2)), Held::Clear);
-    // Crashes ten minutes apart are no series.
-    quarantine.strike(now, print(3), crash(1));
-    quarantine.strike(now, print(3), crash(2));
+    assert_eq!(quarantine.verdict(now, fingerprint(2)), Verdict::Clear);
+    // Crashes ten minutes apart aren't counted together.
+    quarantine.strike(now, fingerprint(3), crash(1));
+    quarantine.strike(now, fingerprint(3), crash(2));
     let late = now + Config::default().lasts;
     let soon = now + Config::default().success_lasts;
     assert!(
-        !quarantine.recently_succeeded(soon, print(1)),
-        "vouched for too long"
+        !quarantine.recently_succeeded(soon, fingerprint(1)),
+        "protected for too long"
     );
-    assert_eq!(quarantine.strike(late, print(3), crash(3)), Held::Suspect);
     assert_eq!(
-        quarantine.crashes(late, print(3)).map(|(c, _)| c.len()),
+        quarantine.strike(late, fingerprint(3), crash(3)),
+        Verdict::Suspect
+    );
+    assert_eq!(
+        quarantine
+            .crashes(late, fingerprint(3))
+            .map(|(c, _)| c.len()),
         Some(1)
     );
 }
 
 #[test]
-fn a_convict_is_tried_again_a_few_times_through_one_process_each() {
-    // Three engines ended one after the other while all of them ran what every caller asks for, and
-    // nothing was answered in between. Refused for ten minutes, it would be missed by everybody; tried
-    // again by each of thirty entries, a true culprit would end thirty engines.
+fn convicted_request_is_retried_a_few_times_through_one_process_each() {
+    // Guards against refusing popular content for ten minutes after three crashes in a row that it didn't
+    // cause, and against a real culprit that thirty entries retry and that crashes thirty engines.
     let strikes = Config {
         strikes: 3,
         ..Config::default()
     };
-    let print = Fingerprint {
+    let fingerprint = Fingerprint {
         body: 123_456,
         weights: 0,
     };
@@ -130,17 +132,17 @@
                 member: MemberId(member),
                 incarnation: Incarnation(1),
             };
-            entry.strike(ms(0), print, crash);
+            entry.strike(ms(0), fingerprint, crash);
         }
     }
-    let mut tries = Vec::new();
+    let mut retries = Vec::new();
     for second in 0..600 {
         for (rank, entry) in entries.iter_mut().enumerate() {
-            let place = ProcessRank { rank, total };
-            if entry.take_retry(Micros::from_secs(second), print, place) {
-                tries.push(second);
+            let process = ProcessRank { rank, total };
+            if entry.take_retry(Micros::from_secs(second), fingerprint, process) {
+                retries.push(second);
             }
         }
     }
-    assert_eq!(tries, [15, 45, 105]);
+    assert_eq!(retries, [15, 45, 105]);
 }
--- a/crates/policy/tests/row_expiry.rs
+++ b/crates/policy/tests/row_expiry.rs
@@ -1,4 +1,4 @@
-//! Targets that the list lacks: those that have left, and those whose row has only lapsed.
+//! Targets that are missing from the list: those that have left, and those whose row has only expired.
 
 use model::Micros;
 use policy::row_expiry::{retain_until, Config, Gap};
@@ -8,11 +8,9 @@
 }
 
 #[test]
-fn only_what_may_have_lapsed_is_kept() {
-    // A store is away, or turns one host away, and targets are missing from the list that is read next.
-    // Those that have left must get nothing more: a record was sent to one 2,264 ms after it had left,
-    // since the store had been back for 1.3 s only. Those that have lapsed must stay in use: the list
-    // names none of them until they have entered themselves again, and all callers would be refused.
+fn missing_target_is_kept_only_if_its_row_may_have_expired() {
+    // Guards against requests to a target that has left: one was sent 2,264 ms later, as the store had been
+    // back for only 1.3 s. Also guards against refusing all callers until expired targets register again.
     struct Case {
         name: &'static str,
         known: u64,
@@ -23,13 +21,13 @@
     }
     #[rustfmt::skip]
     let cases = [
-        Case { name: "a calm moment", known: 9_300, read: 10_000, failed: false, restored: None, want: None },
-        Case { name: "named by the first read after an outage", known: 28_850, read: 30_170, failed: false, restored: None, want: None },
-        Case { name: "turned away, but others tell that the list is as it was", known: 9_700, read: 10_000, failed: true, restored: None, want: None },
+        Case { name: "no failure", known: 9_300, read: 10_000, failed: false, restored: None, want: None },
+        Case { name: "listed by the first read after an outage", known: 28_850, read: 30_170, failed: false, restored: None, want: None },
+        Case { name: "read refused, but other entries report an unchanged list", known: 9_700, read: 10_000, failed: true, restored: None, want: None },
         Case { name: "one call failed", known: 8_000, read: 10_000, failed: true, restored: None, want: None },
         Case { name: "paused, with no call failed", known: 2_000, read: 10_000, failed: false, restored: None, want: None },
-        Case { name: "the store was away for long", known: 4_000, read: 10_000, failed: true, restored: None, want: Some(12_200) },
-        Case { name: "just long enough to lapse", known: 7_600, read: 10_000, failed: true, restored: None, want: Some(12_200) },
+        Case { name: "long outage of the store", known: 4_000, read: 10_000, failed: true, restored: None, want: Some(12_200) },
+        Case { name: "outage just long enough for rows to expire", known: 7_600, read: 10_000, failed: true, restored: None, want: Some(12_200) },
         Case { name: "lost by a restore", known: 9_300, read: 10_000, failed: false, restored: Some(10_000), want: Some(12_200) },
         Case { name: "lost by a restore, later", known: 11_300, read: 12_100, failed: false, restored: Some(10_000), want: Some(12_200) },
         Case { name: "long after a restore", known: 12_100, read: 12_700, failed: false, restored: Some(10_000), want: None },
@@ -47,9 +45,9 @@
 }
 
 #[test]
-fn slower_heartbeats_lapse_later() {
-    // On a deployment whose targets renew their rows every 5 s, none lapses in an outage of 6 s; what is
-    // missing after it has left.
+fn rows_with_slower_heartbeats_expire_later() {
+    // Guards against a fixed expiry time: where targets renew their rows every 5 s, no row expires in an outage
+    // of 6 s, so a target that is missing afterwards has left.
     let config = Config {
         heartbeat: Micros::from_secs(5),
         ..Config::default()
--- a/crates/policy/tests/trial.rs
+++ b/crates/policy/tests/trial.rs
@@ -1,4 +1,4 @@
-//! A pool in virtual time before which one request crashes every engine that runs it.
+//! Simulation in virtual time of a pool that receives a request which crashes every engine that runs it.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +9,11 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Step of virtual time, ms.
+/// Step of virtual time, in ms.
 const TICK: u64 = 5;
-/// End of a play, ms.
+/// Maximum duration of a simulation, in ms.
 const END: u64 = 20_000;
-const PRINT: Fingerprint = Fingerprint {
+const FINGERPRINT: Fingerprint = Fingerprint {
     body: 7,
     weights: 0,
 };
@@ -22,38 +22,42 @@
     Micros::from_millis(10_000 + n)
 }
 
-/// A pool and what happens to it.
+/// A pool and the requests and faults that reach it. Times are in ms.
 #[derive(Clone, Debug)]
-struct Play {
+struct Scenario {
     engines: usize,
-    /// Copies of the request, each through an entry of its own, and time within which they come.
+    /// Number of copies of the request, each through a different entry.
     copies: usize,
-    within: u64,
-    /// Longest time from the beginning of a run to its crash, and from there until that is known.
-    crash: u64,
-    known: u64,
-    /// Part of the datagrams that are lost, and longest delay of the others.
-    loss: f64,
-    delay: u64,
-    /// Longest pause of a sidecar, and chance a second of one.
-    pause: u64,
-    pauses: f64,
-    /// Sidecars that are listed and don't exist.
+    /// Time within which the copies arrive.
+    arrival_spread: u64,
+    /// Maximum time from the start of a run to its crash.
+    crash_after: u64,
+    /// Maximum time from a crash to its detection.
+    detect_after: u64,
+    /// Fraction of datagrams that are lost.
+    loss_rate: f64,
+    /// Maximum delay of a datagram.
+    max_delay: u64,
+    /// Maximum pause of a sidecar.
+    max_pause: u64,
+    /// Probability per second that a sidecar is paused.
+    pause_rate: f64,
+    /// Number of listed sidecars that don't exist.
     dead: usize,
 }
 
-impl Default for Play {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             engines: 6,
             copies: 2,
-            within: 1,
-            crash: 30,
-            known: 200,
-            loss: 0.0,
-            delay: 5,
-            pause: 0,
-            pauses: 0.0,
+            arrival_spread: 1,
+            crash_after: 30,
+            detect_after: 200,
+            loss_rate: 0.0,
+            max_delay: 5,
+            max_pause: 0,
+            pause_rate: 0.0,
             dead: 0,
         }
     }
@@ -61,30 +65,33 @@
 
 /// A copy of the request.
 #[derive(Clone, Debug)]
-struct Copy {
-    /// Crashes that its entry knows of.
+struct RequestCopy {
+    /// Crashes that the copy's entry has recorded.
     crashes: Vec<Crash>,
-    /// Sidecar where it is, and when it arrives there.
-    at: usize,
-    from: u64,
+    /// Sidecar that the copy was sent to.
+    sidecar: usize,
+    /// When the copy arrives there.
+    arrives_at: u64,
     done: bool,
 }
 
-/// A run: when its engine crashes, and when that is known.
+/// A run of a copy of the request.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     copy: usize,
-    crash: u64,
-    known: u64,
+    /// When the engine crashes.
+    crashes_at: u64,
+    /// When the sidecar detects the crash.
+    detected_at: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Datagram {
     from: usize,
-    ask: Query,
+    query: Query,
     claim: Claim,
     crashes: Vec<Crash>,
-    /// Whether the request is busy there; none in an ask.
+    /// Whether the sender runs the request or outranks the claim; `None` in a query.
     busy: Option<bool>,
 }
 
@@ -94,62 +101,64 @@
     quarantine: Quarantine,
     run: Option<Run>,
     crashed: bool,
-    paused: u64,
+    paused_until: u64,
     inbox: Vec<Datagram>,
 }
 
 struct Sim<'a> {
-    play: &'a Play,
+    scenario: &'a Scenario,
     rng: StdRng,
     nodes: Vec<Node>,
-    copies: Vec<Copy>,
-    wire: BTreeMap<(u64, u64), (usize, Datagram)>,
-    sent: u64,
-    /// Runs that began before their sidecar knew of any crash.
-    clear: usize,
+    copies: Vec<RequestCopy>,
+    /// Datagrams on their way, by time of arrival and sequence number.
+    in_flight: BTreeMap<(u64, u64), (usize, Datagram)>,
+    /// Number of datagrams sent.
+    sequence: u64,
+    /// Number of runs that started before their sidecar had recorded any crash.
+    unsuspected_runs: usize,
     crashes: usize,
 }
 
 impl<'a> Sim<'a> {
-    fn new(play: &'a Play, seed: u64) -> Self {
+    fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let node = |_| Node {
             trials: Trials::default(),
             quarantine: Quarantine::new(Config::default()),
             run: None,
             crashed: false,
-            paused: 0,
+            paused_until: 0,
             inbox: Vec::new(),
         };
         let mut rng = StdRng::seed_from_u64(seed);
-        let copy = |n| Copy {
+        let copy = |n| RequestCopy {
             crashes: Vec::new(),
-            at: n % play.engines,
-            from: rng.random_range(0..play.within),
+            sidecar: n % scenario.engines,
+            arrives_at: rng.random_range(0..scenario.arrival_spread),
             done: false,
         };
         Self {
-            copies: (0..play.copies).map(copy).collect(),
-            nodes: (0..play.engines).map(node).collect(),
-            play,
+            copies: (0..scenario.copies).map(copy).collect(),
+            nodes: (0..scenario.engines).map(node).collect(),
+            scenario,
             rng,
-            wire: BTreeMap::new(),
-            sent: 0,
-            clear: 0,
+            in_flight: BTreeMap::new(),
+            sequence: 0,
+            unsuspected_runs: 0,
             crashes: 0,
         }
     }
 
     fn send(&mut self, now: u64, to: usize, datagram: Datagram) {
-        if to >= self.nodes.len() || self.rng.random_bool(self.play.loss) {
+        if to >= self.nodes.len() || self.rng.random_bool(self.scenario.loss_rate) {
             return;
         }
-        let at = now + self.rng.random_range(1..=self.play.delay);
-        self.sent += 1;
-        self.wire.insert((at, self.sent), (to, datagram));
+        let at = now + self.rng.random_range(1..=self.scenario.max_delay);
+        self.sequence += 1;
+        self.in_flight.insert((at, self.sequence), (to, datagram));
     }
 
-    fn known(&self, now: u64, i: usize) -> Vec<Crash> {
-        let crashes = self.nodes[i].quarantine.crashes(ms(now), PRINT);
+    fn recorded_crashes(&self, now: u64, i: usize) -> Vec<Crash> {
+        let crashes = self.nodes[i].quarantine.crashes(ms(now), FINGERPRINT);
         crashes.map_or_else(Vec::new, |(c, _)| c.to_vec())
     }
 
@@ -157,17 +166,18 @@
         for d in std::mem::take(&mut self.nodes[i].inbox) {
             let n = &mut self.nodes[i];
             for c in &d.crashes {
-                n.quarantine.strike(ms(now), PRINT, *c);
+                n.quarantine.strike(ms(now), FINGERPRINT, *c);
             }
             if let Some(busy) = d.busy {
-                n.trials.answered(ms(now), d.from, d.ask, PRINT, busy);
+                n.trials
+                    .answered(ms(now), d.from, d.query, FINGERPRINT, busy);
                 continue;
             }
             n.trials.receive(ms(now), d.from, d.claim);
             let busy = n.run.is_some() || n.trials.outranks(d.claim);
             let answer = Datagram {
                 from: i,
-                crashes: self.known(now, i),
+                crashes: self.recorded_crashes(now, i),
                 busy: Some(busy),
                 ..d
             };
@@ -175,14 +185,14 @@
         }
     }
 
-    /// An engine crashes, its sidecar finds out, and the entry sends the copy elsewhere.
-    fn crash(&mut self, now: u64, i: usize) {
+    /// Crashes an engine at the time set for its run. Once the crash is detected, sends the copy elsewhere.
+    fn crash_engine(&mut self, now: u64, i: usize) {
         let Some(run) = self.nodes[i].run else { return };
-        if now >= run.crash && !self.nodes[i].crashed {
+        if now >= run.crashes_at && !self.nodes[i].crashed {
             self.nodes[i].crashed = true;
             self.crashes += 1;
         }
-        if now < run.known {
+        if now < run.detected_at {
             return;
         }
         let crash = Crash {
@@ -191,26 +201,27 @@
         };
         let n = &mut self.nodes[i];
         n.run = None;
-        n.quarantine.strike(ms(now), PRINT, crash);
+        n.quarantine.strike(ms(now), FINGERPRINT, crash);
         self.copies[run.copy].crashes.push(crash);
-        self.elsewhere(now, run.copy);
+        self.send_elsewhere(now, run.copy);
     }
 
-    fn elsewhere(&mut self, now: u64, copy: usize) {
+    /// Sends a copy to another live engine, unless two crashes are recorded for it.
+    fn send_elsewhere(&mut self, now: u64, copy: usize) {
         let live: Vec<_> = (0..self.nodes.len())
             .filter(|i| !self.nodes[*i].crashed)
             .collect();
         let c = &mut self.copies[copy];
         c.done = c.crashes.len() >= 2 || live.is_empty();
         if !c.done {
-            c.at = live[self.rng.random_range(0..live.len())];
-            c.from = now + 2;
+            c.sidecar = live[self.rng.random_range(0..live.len())];
+            c.arrives_at = now + 2;
         }
     }
 
-    /// Hands over what may run at a sidecar.
-    fn turns(&mut self, now: u64, i: usize) {
-        let here = |c: &Copy| !c.done && c.at == i && c.from <= now;
+    /// Starts the copies at a sidecar that may run, and queries the other sidecars about the rest.
+    fn start_runs(&mut self, now: u64, i: usize) {
+        let here = |c: &RequestCopy| !c.done && c.sidecar == i && c.arrives_at <= now;
         for copy in 0..self.copies.len() {
             let running = self.nodes.iter().filter_map(|n| n.run);
             if !here(&self.copies[copy]) || running.into_iter().any(|r| r.copy == copy) {
@@ -218,73 +229,76 @@
             }
             let quarantine = &mut self.nodes[i].quarantine;
             for crash in &self.copies[copy].crashes {
-                quarantine.strike(ms(now), PRINT, *crash);
+                quarantine.strike(ms(now), FINGERPRINT, *crash);
             }
-            let verdict = quarantine.verdict(ms(now), PRINT);
+            let verdict = quarantine.verdict(ms(now), FINGERPRINT);
             if verdict == Verdict::Convicted {
                 self.copies[copy].done = true;
                 continue;
             }
-            let (crash, known) = (self.play.crash, self.play.known);
+            let (crash_after, detect_after) =
+                (self.scenario.crash_after, self.scenario.detect_after);
             let n = &mut self.nodes[i];
             if n.crashed {
-                self.elsewhere(now, copy);
+                self.send_elsewhere(now, copy);
                 continue;
             }
             if verdict == Verdict::Suspect {
-                n.trials.claim(ms(now), PRINT, self.rng.random());
-                let peers = peers(self.play, i);
-                if n.run.is_some() || !n.trials.may_run(ms(now), PRINT, &peers) {
+                n.trials.claim(ms(now), FINGERPRINT, self.rng.random());
+                let peers = peers(self.scenario, i);
+                if n.run.is_some() || !n.trials.may_run(ms(now), FINGERPRINT, &peers) {
                     continue;
                 }
             } else {
-                self.clear += 1;
+                self.unsuspected_runs += 1;
             }
             n.trials.retain(|_| false);
-            let crash = now + self.rng.random_range(1..=crash);
+            let crashes_at = now + self.rng.random_range(1..=crash_after);
             n.run = Some(Run {
                 copy,
-                crash,
-                known: crash + self.rng.random_range(1..=known),
+                crashes_at,
+                detected_at: crashes_at + self.rng.random_range(1..=detect_after),
             });
         }
-        let waits = self.copies.iter().any(here);
+        let any_waiting = self.copies.iter().any(here);
         let n = &mut self.nodes[i];
-        n.trials.retain(|_| waits);
-        if let Some(step) = n.trials.step(ms(now), &peers(self.play, i)) {
-            let ask = Datagram {
+        n.trials.retain(|_| any_waiting);
+        if let Some(step) = n.trials.step(ms(now), &peers(self.scenario, i)) {
+            let datagram = Datagram {
                 from: i,
-                ask: step.query,
+                query: step.query,
                 claim: step.claims[0],
-                crashes: self.known(now, i),
+                crashes: self.recorded_crashes(now, i),
                 busy: None,
             };
             step.peers
                 .into_iter()
-                .for_each(|to| self.send(now, to, ask.clone()));
+                .for_each(|to| self.send(now, to, datagram.clone()));
         }
     }
 
-    /// Engines that crashed, runs that began before a crash was known there, and copies without an end.
+    /// Returns the number of engines that crashed, of runs that started before their sidecar had recorded a
+    /// crash, and of unfinished copies.
     fn run(mut self) -> (usize, usize, usize) {
         for now in (0..END).step_by(TICK as usize) {
-            while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= now) {
+            while let Some(entry) = self.in_flight.first_entry().filter(|e| e.key().0 <= now) {
                 let (to, datagram) = entry.remove();
                 self.nodes[to].inbox.push(datagram);
             }
             for i in 0..self.nodes.len() {
-                let chance = self.play.pauses * TICK as f64 / 1_000.0;
-                if self.play.pause > 0 && self.rng.random_bool(chance) {
-                    self.nodes[i].paused = now + self.rng.random_range(1..=self.play.pause);
+                let probability = self.scenario.pause_rate * TICK as f64 / 1_000.0;
+                if self.scenario.max_pause > 0 && self.rng.random_bool(probability) {
+                    self.nodes[i].paused_until =
+                        now + self.rng.random_range(1..=self.scenario.max_pause);
                 }
-                if now < self.nodes[i].paused {
+                if now < self.nodes[i].paused_until {
                     continue;
                 }
-                // A process that continues after a pause decides before it has received what waits.
-                self.turns(now, i);
+                // A process that resumes after a pause decides before it reads waiting datagrams.
+                self.start_runs(now, i);
                 self.receive(now, i);
-                self.crash(now, i);
-                self.turns(now, i);
+                self.crash_engine(now, i);
+                self.start_runs(now, i);
             }
             let runs = self.nodes.iter().any(|n| n.run.is_some());
             if !runs && self.copies.iter().all(|c| c.done) {
@@ -292,50 +306,51 @@
             }
         }
         let waiting = self.copies.iter().filter(|c| !c.done).count();
-        (self.crashes, self.clear, waiting)
+        (self.crashes, self.unsuspected_runs, waiting)
     }
 }
 
-fn peers(play: &Play, i: usize) -> Vec<usize> {
-    let all = 0..play.engines + play.dead;
+fn peers(scenario: &Scenario, i: usize) -> Vec<usize> {
+    let all = 0..scenario.engines + scenario.dead;
     all.filter(|p| *p != i).collect()
 }
 
 struct Case {
     name: &'static str,
-    play: Play,
+    scenario: Scenario,
 }
 
-/// Guards against engines that crash because entries send a request on without the others' crashes.
+/// Guards against further crashes when several entries send a request to other engines without having received
+/// one another's crashes.
 #[test]
 fn request_through_several_entries_crashes_no_engine_after_the_second_crash() {
-    let base = Play::default;
+    let base = Scenario::default;
     #[rustfmt::skip]
     let cases = [
-        Case { name: "two at once", play: base() },
-        Case { name: "two, one after the other", play: Play { within: 400, ..base() } },
-        Case { name: "four at once", play: Play { copies: 4, engines: 9, ..base() } },
-        Case { name: "six within a second", play: Play { copies: 6, engines: 12, within: 1_000, ..base() } },
-        Case { name: "crashes are known at once", play: Play { known: 1, ..base() } },
-        Case { name: "runs last long", play: Play { crash: 1_500, within: 500, ..base() } },
-        Case { name: "datagrams are lost", play: Play { loss: 0.1, copies: 4, engines: 9, within: 300, ..base() } },
-        Case { name: "datagrams are late and overtake one another", play: Play { delay: 60, copies: 4, engines: 9, within: 300, ..base() } },
-        Case { name: "a dead sidecar is listed", play: Play { dead: 2, copies: 3, within: 300, ..base() } },
-        Case { name: "sidecars are paused for short", play: Play { pause: 300, pauses: 0.5, copies: 4, engines: 9, within: 300, ..base() } },
-        Case { name: "many engines", play: Play { engines: 100, copies: 8, within: 200, ..base() } },
+        Case { name: "two at once", scenario: base() },
+        Case { name: "two, one after the other", scenario: Scenario { arrival_spread: 400, ..base() } },
+        Case { name: "four at once", scenario: Scenario { copies: 4, engines: 9, ..base() } },
+        Case { name: "six within a second", scenario: Scenario { copies: 6, engines: 12, arrival_spread: 1_000, ..base() } },
+        Case { name: "crashes are detected at once", scenario: Scenario { detect_after: 1, ..base() } },
+        Case { name: "runs last long", scenario: Scenario { crash_after: 1_500, arrival_spread: 500, ..base() } },
+        Case { name: "datagrams are lost", scenario: Scenario { loss_rate: 0.1, copies: 4, engines: 9, arrival_spread: 300, ..base() } },
+        Case { name: "datagrams are delayed and reordered", scenario: Scenario { max_delay: 60, copies: 4, engines: 9, arrival_spread: 300, ..base() } },
+        Case { name: "a dead sidecar is listed", scenario: Scenario { dead: 2, copies: 3, arrival_spread: 300, ..base() } },
+        Case { name: "sidecars are paused briefly", scenario: Scenario { max_pause: 300, pause_rate: 0.5, copies: 4, engines: 9, arrival_spread: 300, ..base() } },
+        Case { name: "many engines", scenario: Scenario { engines: 100, copies: 8, arrival_spread: 200, ..base() } },
     ];
     let seeds = std::env::var("TRIAL_SEEDS").ok();
     let seeds = seeds.and_then(|s| s.parse().ok());
     for c in cases {
         for seed in 0..seeds.unwrap_or(40) {
-            let (crashes, clear, waiting) = Sim::new(&c.play, seed).run();
-            let most = clear.max(2);
+            let (crashes, unsuspected, waiting) = Sim::new(&c.scenario, seed).run();
+            let most = unsuspected.max(2);
             assert!(
                 crashes <= most,
                 "{}, seed {seed}: {crashes} crashes for {most}",
                 c.name
             );
-            assert_eq!(waiting, 0, "{}, seed {seed}: copies without an end", c.name);
+            assert_eq!(waiting, 0, "{}, seed {seed}: unfinished copies", c.name);
         }
     }
 }
