--- a/crates/daemon/src/sidecar/control/fleet.rs
+++ b/crates/daemon/src/sidecar/control/fleet.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use model::Micros;
-use policy::contact::Ask;
+use policy::contact::Query;
 use policy::trial::Claim;
 use wire::{Findings, Inquiry, Message, Offer, Packet, Probe, Suspect};
 
@@ -52,14 +52,14 @@
         let now = clock::now();
         let step = self.decide.inquire(now)?;
         let suspects = step.claims.iter().map(|c| Suspect {
-            fingerprint: c.print.body as u64,
+            fingerprint: c.fingerprint.body as u64,
             rank: c.rank,
-            crashes: self.decide.crashes(now, c.print.body as u64),
+            crashes: self.decide.crashes(now, c.fingerprint.body as u64),
         });
         let inquiry = Inquiry {
             from: self.rank,
-            round: step.ask.round,
-            sent: step.ask.sent.0,
+            round: step.query.round,
+            sent: step.query.sent.0,
             suspects: suspects.collect(),
         };
         metrics::counter!(meter::INQUIRIES).increment(step.peers.len() as u64);
@@ -76,7 +76,7 @@
             let mark = self.decide.learn(now, s.fingerprint, &s.crashes);
             self.convicted(now, mark);
             let claim = Claim {
-                print: mark::print(s.fingerprint),
+                fingerprint: mark::print(s.fingerprint),
                 rank: s.rank,
             };
             let f = self.decide.inquired(now, i.from, claim);
@@ -98,7 +98,7 @@
     /// Takes over another sidecar's answer.
     fn findings(&mut self, f: Findings) {
         let now = clock::now();
-        let ask = Ask {
+        let ask = Query {
             round: f.round,
             sent: Micros(f.sent),
         };
--- a/crates/daemon/src/sidecar/decide/trials.rs
+++ b/crates/daemon/src/sidecar/decide/trials.rs
@@ -5,7 +5,7 @@
 //! (`policy::trial`).
 
 use model::Micros;
-use policy::contact::Ask;
+use policy::contact::Query;
 use policy::quarantine::{Fingerprint, Verdict};
 use policy::queue::Job;
 use policy::trial::{Claim, Step};
@@ -69,23 +69,23 @@
     /// Answers another sidecar that would run a suspect, whose crashes have been learnt.
     pub fn inquired(&mut self, now: Micros, from: u64, claim: Claim) -> Finding {
         self.trials.receive(now, from, claim);
-        let print = claim.print;
+        let print = claim.fingerprint;
         let runs = |r: &Running| r.print == print && r.may_crash(now);
         let running = self.running.iter().any(|(_, r)| runs(r));
         Finding {
             print: print.body as u64,
             crashes: mark::crashes(&self.quarantine, now, print),
-            busy: running || self.trials.goes_ahead(claim),
-            good: self.quarantine.vouched(now, print),
+            busy: running || self.trials.outranks(claim),
+            good: self.quarantine.recently_succeeded(now, print),
         }
     }
 
     /// Takes over another sidecar's answer; gives the mark to report to the fleet, if any.
-    pub fn answered(&mut self, now: Micros, from: u64, ask: Ask, f: &Finding) -> Option<Mark> {
+    pub fn answered(&mut self, now: Micros, from: u64, ask: Query, f: &Finding) -> Option<Mark> {
         let print = mark::print(f.print);
         self.trials.answered(now, from, ask, print, f.busy);
         if f.good && self.verdict(now, f.print) != Verdict::Convicted {
-            self.quarantine.vouch(now, print);
+            self.quarantine.record_success(now, print);
         }
         self.learn(now, f.print, &f.crashes)
     }
@@ -96,7 +96,7 @@
             return;
         };
         if run.struck || self.quarantine.verdict(now, run.print) == Verdict::Suspect {
-            self.quarantine.vouch(now, run.print);
+            self.quarantine.record_success(now, run.print);
         }
     }
 
@@ -105,7 +105,7 @@
         let print = mark::print(work.fingerprint);
         match self.quarantine.verdict(now, print) {
             Verdict::Convicted => Verdict::Convicted,
-            _ if self.quarantine.vouched(now, print) => Verdict::Clear,
+            _ if self.quarantine.recently_succeeded(now, print) => Verdict::Clear,
             Verdict::Clear if work.strikes > 0 => Verdict::Suspect,
             verdict => verdict,
         }
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -8,10 +8,10 @@
 use model::Micros;
 use platform::replica::{self, EngineError, LoadOrder, Taken};
 use platform::Conn;
-use policy::contact::Ask;
+use policy::contact::Query;
 use policy::holder::Holder;
 use policy::rollout;
-use policy::slots::{Group, Lack, ModelKey, Outcome, Slots, State, Step};
+use policy::slots::{Group, ModelKey, Outcome, OutdatedWeights, Slots, State, Step};
 use policy::versions::Versions;
 use site::{Report, Swap, Weights};
 use xxhash_rust::xxh3::xxh3_64;
@@ -86,7 +86,7 @@
         if let Some(ask) = update.slot_answer {
             let sent = Micros(ask.sent_us);
             let round = ask.round;
-            self.slots.answered(now, from, Ask { round, sent });
+            self.slots.answered(now, from, Query { round, sent });
         }
     }
 
@@ -136,7 +136,7 @@
         let state = self.slots.state(now, 0, Vec::new());
         update.due_ms = state.due.map(ms);
         update.loading_ms = state.loading.map(ms);
-        update.load_ms = state.load.map(ms);
+        update.load_ms = state.load_time.map(ms);
         update.wanted = state.desired;
         update.claims = state.claims;
         update.process = self.process;
@@ -159,7 +159,7 @@
             .busy
             .then(|| ms(update.loading_ms.unwrap_or_default())),
         due: update.due_ms.map(ms),
-        load: update.load_ms.map(ms),
+        load_time: update.load_ms.map(ms),
         desired: update.wanted,
         claims: update.claims,
         process: update.process,
@@ -188,8 +188,8 @@
     let Some(report) = a.report.as_ref().filter(|_| a.alive) else {
         rollout.lack = None;
         return match a.ended {
-            true => rollout.slots.lost(now),
-            false => rollout.slots.missed(now),
+            true => rollout.slots.engine_exited(now),
+            false => rollout.slots.report_missed(now),
         };
     };
     let weights = report.weights.iter();
@@ -203,12 +203,12 @@
             model: has.model.clone(),
             version: named.newest(),
         },
-        received: named.heard(),
+        received: named.received_at(),
     });
-    let lack = lack.map(|(has, named)| Lack {
+    let lack = lack.map(|(has, named)| OutdatedWeights {
         model: model_key(&has.model),
         version: has.version,
-        named,
+        announced: named,
     });
     rollout.slots.schedule(now, &group, lack.as_ref());
 }
@@ -255,7 +255,7 @@
     let (rank, agents) = place(node, &world, &a);
     let own = node.settings.borrow().host.clone();
     let sidecars = world.others(&own);
-    let same = rollout::group(rank, agents);
+    let same = rollout::same_group(rank, agents);
     let rank_of = |i: usize| match a.kind {
         Kind::Sidecar if i >= rank => i + 1,
         _ => i,
@@ -306,7 +306,7 @@
     } = env;
     let peers = peers(node, agent);
     let (step, order) = step(node, agent, &peers);
-    if let Some((ask, mut to)) = step.asks {
+    if let Some((ask, mut to)) = step.query {
         let update = for_peers(&summary(node, agent));
         to.sort_unstable_by_key(|a| a.delegate);
         for agents in to.chunk_by(|a, b| a.delegate == b.delegate) {
@@ -332,7 +332,7 @@
         agent,
         socket,
     } = env;
-    if !agent.borrow().rollout.slots.answers(node.now()) {
+    if !agent.borrow().rollout.slots.can_answer(node.now()) {
         return;
     }
     let update = Update {
@@ -361,7 +361,7 @@
         active: report.active,
         boot: boot.map(|b| b.id.clone()),
         taken: now,
-        silent: step.silent,
+        silent: step.skipped,
     });
     (step, order)
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -23,9 +23,9 @@
 //!   long a request waits while all engines load weights.
 //! - Retries: [`retry_budget`] keeps all entries together within one budget.
 //! - Targets to avoid or keep: [`circuit_breaker`] ejects targets that fail, [`misdirected`] decides how long
-//!   a target isn't used whose address answered for another, and [`lapse`] which targets are retained
+//!   a target isn't used whose address answered for another, and [`row_expiry`] which targets are retained
 //!   although the list lacks them.
-//! - Sources of state: [`subscription`] selects the engines that an entry subscribes to, and [`readers`]
+//! - Sources of state: [`subscription`] selects the engines that an entry subscribes to, and [`pollers`]
 //!   the processes that read a list for all.
 //! - Weights: [`rollout`] decides which engines load new weights, [`slots`] when an engine does so, by
 //!   the answers of its peers ([`contact`]), and [`versions`] how long weights have been out of date.
@@ -46,24 +46,24 @@
 pub mod engine_load;
 pub mod health;
 pub mod holder;
-pub mod lapse;
 pub mod latency_admission;
 pub mod length_partition;
 pub mod limit;
 pub mod liveness;
 pub mod loading;
 pub mod misdirected;
+pub mod pollers;
 pub mod prefill_priority;
 pub mod prefill_rate;
 pub mod probe_placement;
 pub mod quarantine;
 pub mod queue;
-pub mod readers;
 pub mod recent_replicas;
 pub mod reserve;
 pub mod retry;
 pub mod retry_budget;
 pub mod rollout;
+pub mod row_expiry;
 pub mod slots;
 pub mod subscription;
 pub mod trial;
--- a/crates/policy/tests/control.rs
+++ b/crates/policy/tests/control.rs
@@ -186,7 +186,7 @@
     let print = |body| Fingerprint { body, weights: 1 };
     let crash = |member, life| Crash {
         member: MemberId(member),
-        life: Incarnation(life),
+        incarnation: Incarnation(life),
     };
     for body in 1..=5 {
         assert_eq!(
--- a/crates/policy/tests/hosted.rs
+++ b/crates/policy/tests/hosted.rs
@@ -4,8 +4,8 @@
 use policy::backlog::Backlog;
 use policy::circuit_breaker::{self, CircuitBreaker};
 use policy::latency_admission::{decide, Decision, Estimate};
+use policy::pollers::Pollers;
 use policy::prefill_rate::{PrefillRate, INITIAL_MS_PER_TOKEN};
-use policy::readers::Readers;
 use policy::retry_budget::RetryReason;
 use policy::versions::Versions;
 use policy::{length_partition, prefill_priority, retry_budget};
@@ -339,17 +339,17 @@
 fn two_entries_poll_for_all_and_the_next_rank_replaces_a_killed_one() {
     // Guards against all 28 entries polling the same list, and against a time in which none polls it after one of
     // the two that do is killed; the next rank takes over within two seconds.
-    let mut entries: Vec<_> = (0..28).map(|_| Readers::default()).collect();
+    let mut entries: Vec<_> = (0..28).map(|_| Pollers::default()).collect();
     let mut reads = Vec::new();
     for step in 0..100u64 {
         let now = ms(step * 100);
         let killed = |rank: u64| rank == 0 && now >= ms(5_000);
         if step % 7 == 0 {
             let due: Vec<u64> = (0..28u64)
-                .filter(|r| !killed(*r) && entries[*r as usize].reads(now, *r))
+                .filter(|r| !killed(*r) && entries[*r as usize].should_poll(now, *r))
                 .collect();
             for entry in &mut entries {
-                due.iter().for_each(|r| entry.hear(now, *r));
+                due.iter().for_each(|r| entry.record(now, *r));
             }
             reads.push((now, due));
         }
@@ -372,12 +372,12 @@
     let killed = 10_000;
     for read in (killed - 3_900..killed).step_by(50) {
         for draw in [0.0, 0.5, 1.0] {
-            let mut readers = Readers::default();
+            let mut pollers = Pollers::default();
             for at in (killed - 4_200..=killed).step_by(700) {
-                readers.hear(ms(at), 0);
-                readers.hear(ms(at), 1);
+                pollers.record(ms(at), 0);
+                pollers.record(ms(at), 1);
             }
-            let next = readers.next(ms(read), 2, draw);
+            let next = pollers.next_poll(ms(read), 2, draw);
             let seldom = ms(read + 4_000);
             assert!(
                 next <= ms(killed + 1_400),
@@ -392,7 +392,7 @@
     // An entry that has to poll does so every 0.6 to 0.8 s, even if it is the only entry.
     for (draw, want) in [(0.0, 600), (1.0, 800)] {
         assert_eq!(
-            Readers::default().next(ms(5_000), 2, draw),
+            Pollers::default().next_poll(ms(5_000), 2, draw),
             ms(5_000 + want)
         );
     }
@@ -404,16 +404,16 @@
     // from version 3, so that no caller gets an answer on weights that were replaced seven seconds ago.
     let mut versions = Versions::default();
     for (version, at) in [(2, 1_000), (3, 4_000), (4, 6_000), (5, 8_000)] {
-        assert!(versions.name(ms(at), version, false));
-        assert!(!versions.name(ms(at), version, false), "recorded twice");
+        assert!(versions.record(ms(at), version, false));
+        assert!(!versions.record(ms(at), version, false), "recorded twice");
     }
     assert_eq!(versions.outdated(ms(10_000), 2), Some(ms(6_000)));
     assert_eq!(versions.outdated(ms(10_000), 4), Some(ms(2_000)));
     assert_eq!(versions.outdated(ms(10_000), 5), None);
-    assert_eq!((versions.newest(), versions.heard()), (5, ms(8_000)));
+    assert_eq!((versions.newest(), versions.received_at()), (5, ms(8_000)));
     // A process that starts later has no record of when version 5 was published.
     let mut started = Versions::default();
-    started.name(ms(100), 5, true);
+    started.record(ms(100), 5, true);
     assert_eq!(started.outdated(ms(1_100), 2), Some(ms(3_500)));
 }
 
