--- a/crates/gate/src/entry/listen.rs
+++ b/crates/gate/src/entry/listen.rs
@@ -86,8 +86,8 @@
     fn close_late(&self, limits: site::Limits) {
         for (_, w) in &self.0 {
             let late = match w.phase.get() {
-                Phase::Idle(since) => since.elapsed() > limits.idle,
-                Phase::Arriving(since) => since.elapsed() > limits.arrival,
+                Phase::Idle(since) => since.elapsed() > limits.idle_timeout,
+                Phase::Arriving(since) => since.elapsed() > limits.head_timeout,
                 Phase::Busy => false,
             };
             if late {
@@ -201,7 +201,7 @@
         tcp,
         watch: Rc::clone(watch),
     });
-    let head = ctx.node.plan().map_or(HEAD, |p| p.limits().head);
+    let head = ctx.node.plan().map_or(HEAD, |p| p.limits().max_head);
     let service = service_fn(|request| {
         watch.busy();
         serve::serve(Rc::clone(ctx), Rc::clone(watch), request)
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -112,7 +112,11 @@
         .map(|r| scope(r).map_or(0, |s| r.will_hold(now, s.key(), prompt.shared())));
     let missing = prompt.shared_tokens() - known.max().unwrap_or_default();
     let suffers = plan.routes_to(&job.pool).any(|route| {
-        route.mode.streams() && apart::suffers(engine.stride, route.gap.as_secs_f64() * 1e3)
+        route.mode.is_stream()
+            && apart::suffers(
+                engine.tokens_per_event,
+                route.event_gap_goal.as_secs_f64() * 1e3,
+            )
     });
     let read = ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
     let view = View {
@@ -146,7 +150,7 @@
     let estimate = Estimate {
         wait: choice.wait,
         prefill: (choice.time - choice.wait).max(0.0),
-        latency_goal: job.route.aim.as_secs_f64() * 1e3,
+        latency_goal: job.route.latency_goal.as_secs_f64() * 1e3,
         time_left: job.left(now).as_secs_f64() * 1e3,
     };
     // What has run can't be refused any more: its caller gets the rest now, also late, or never.
@@ -190,7 +194,7 @@
 fn save(fleet: &Fleet, plan: &Plan, prompt: &Prompt, scope: u64) -> Option<SocketAddr> {
     let subject = prompt.shared().last()?.id.0;
     let rank = |a: &SocketAddr| xxh3_64_with_seed(a.to_string().as_bytes(), subject);
-    let stores = plan.kept().iter().map(|k| k.addr);
+    let stores = plan.kv_stores().iter().map(|k| k.addr);
     let store = stores.min_by_key(rank)?;
     let held = &fleet.kept.get(&store)?.held;
     let missing = prompt.shared_tokens() - holds(held, scope, prompt.shared());
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -149,7 +149,7 @@
     /// Waits for the replica's next bytes.
     async fn come(&mut self) -> Came {
         let end = self.job.left(self.ctx.now()) + LAST_WORD;
-        let silence = self.job.route.gap.mul_f64(SILENCE).max(LEAST);
+        let silence = self.job.route.event_gap_goal.mul_f64(SILENCE).max(LEAST);
         let wait = if self.may_move() {
             silence.min(end)
         } else {
@@ -168,7 +168,7 @@
     /// Whether another replica may go on with a stream that is silent.
     fn may_move(&self) -> bool {
         self.job.route.mode == site::Mode::Resumable
-            && self.job.runs + 1 < self.job.route.attempts
+            && self.job.runs + 1 < self.job.route.max_attempts
             && !self.patient
     }
 
--- a/crates/gate/src/entry/request.rs
+++ b/crates/gate/src/entry/request.rs
@@ -133,6 +133,6 @@
 
     /// Whether it may run once more.
     pub(super) fn may_run(&self) -> bool {
-        self.runs < self.route.attempts
+        self.runs < self.route.max_attempts
     }
 }
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -174,7 +174,7 @@
     let kept = {
         let mut fleet = ctx.fleet.borrow_mut();
         let replica = fleet.replicas.get_mut(pick.key);
-        replica.and_then(|r| r.idle.take(!job.route.mode.repeats()))
+        replica.and_then(|r| r.idle.take(!job.route.mode.is_repeatable()))
     };
     let upstream = match kept {
         Some(u) => u,
--- a/crates/gate/src/entry/serve.rs
+++ b/crates/gate/src/entry/serve.rs
@@ -89,7 +89,7 @@
 }
 
 async fn read(plan: &Plan, body: Incoming) -> Result<Bytes, ReadError> {
-    let limited = Limited::new(body, plan.limits().body);
+    let limited = Limited::new(body, plan.limits().max_body);
     match limited.collect().await {
         Ok(b) => Ok(b.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(ReadError::Large),
@@ -113,7 +113,7 @@
     let key = head.key.as_ref().and_then(|k| plan.team(k));
     let team = match key {
         Some(team) => Some(team.to_owned()),
-        None if route.open || !plan.keyed() => None,
+        None if route.anonymous || !plan.requires_key() => None,
         None => return Err(Reason::NoKey),
     };
     let tenancy = team.as_ref().map(|t| plan.tenancy(t)).unwrap_or_default();
@@ -122,7 +122,7 @@
         id: head.id,
         version: plan.version(),
         pool: share(&route).ok_or(Reason::NoTarget)?,
-        walled: tenancy.walled,
+        walled: tenancy.isolated,
         rank: tenancy.rank.unwrap_or(route.rank),
         team,
         prompt: head.prompt,
--- a/crates/gate/src/entry/tries.rs
+++ b/crates/gate/src/entry/tries.rs
@@ -197,9 +197,9 @@
     let end = job.left(ctx.now()) + LAST_WORD;
     // Given up on with no retry left, its answer would be lost however soon it came.
     let room = ctx.budget(&job.pool, |b| b.remaining() >= 1.0);
-    let more = room && job.runs + 1 < job.route.attempts;
+    let more = room && job.runs + 1 < job.route.max_attempts;
     match job.route.mode {
-        Mode::Idempotent if more => job.route.aim.mul_f64(PATIENCE).min(end),
+        Mode::Idempotent if more => job.route.latency_goal.mul_f64(PATIENCE).min(end),
         Mode::Resumable if more => {
             let estimate = Duration::from_secs_f64(pick.estimate.clamp(0.0, 60_000.0) / 1e3);
             (STREAM_PATIENCE + estimate * 2).min(end)
@@ -265,7 +265,7 @@
             answer: None,
         };
     }
-    if good && job.route.mode.streams() {
+    if good && job.route.mode.is_stream() {
         return Tried::Found(Found::Stream(Box::new(live)));
     }
     let left = job.left(ctx.now()) + LAST_WORD;
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -125,17 +125,17 @@
             domain: domain_key(&o.target.domain),
             held: o.holds(scope, parts),
             soon: o.will_hold(self.now, scope, parts),
-            rate: rate(self.engine.link),
+            rate: rate(self.engine.link_mbps),
             setup: SETUP,
         });
-        let kept = plan.kept().iter().filter_map(|k| {
+        let kept = plan.kv_stores().iter().filter_map(|k| {
             let held = holds(&fleet.kept.get(&k.addr)?.held, scope, parts);
             Some(Source {
                 addr: k.addr,
                 domain: domain_key(&k.domain),
                 held,
                 soon: held,
-                rate: rate(k.link),
+                rate: rate(k.link_mbps),
                 setup: SETUP,
             })
         });
--- a/crates/gate/src/kept.rs
+++ b/crates/gate/src/kept.rs
@@ -113,7 +113,7 @@
     }
     let followers = world.members.iter().filter(|(_, m)| m.role == role);
     let others: Vec<_> = followers.map(|(h, _)| h).filter(|h| *h != host).collect();
-    let stores = plan.kept().iter().map(|k| k.addr);
+    let stores = plan.kv_stores().iter().map(|k| k.addr);
     let first = |addr: &SocketAddr| {
         let seed = u64::from(addr.port()) ^ xxh3_64_with_seed(addr.to_string().as_bytes(), 0);
         let rank = |h: &str| xxh3_64_with_seed(h.as_bytes(), seed);
--- a/crates/gate/src/world.rs
+++ b/crates/gate/src/world.rs
@@ -204,7 +204,7 @@
             log::event(&Event::Configured {
                 version: plan.version(),
                 source,
-                routes: plan.routes(),
+                routes: plan.route_count(),
             });
             self.plan = Some(Rc::new(plan));
         }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod settings;
 pub mod target;
 
-pub use plan::{Engine, Kept, Limits, Mode, Plan, PlanDraft, Pool, Route, Share, Tenancy};
+pub use plan::{Engine, KvStore, Limits, Mode, Plan, PlanDraft, Pool, Route, Share, Tenancy};
 pub use prompt::{Part, PartId, Prompt, Scope};
 pub use settings::{Bounds, Role, Settings};
 pub use target::{Boot, Engines, Report, State, Swap, Target, Weights};
--- a/crates/site/src/plan.rs
+++ b/crates/site/src/plan.rs
@@ -25,12 +25,12 @@
 
 impl Mode {
     /// Whether a request that may have run can be sent again.
-    pub fn repeats(self) -> bool {
+    pub fn is_repeatable(self) -> bool {
         self == Self::Idempotent
     }
 
     /// Whether the answer is a series of events.
-    pub fn streams(self) -> bool {
+    pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
 }
@@ -54,15 +54,15 @@
     /// How long a caller may be kept.
     pub timeout: Duration,
     /// How soon an answer, or a stream's first event, is worth most.
-    pub aim: Duration,
+    pub latency_goal: Duration,
     /// Longest good pause between events.
-    pub gap: Duration,
+    pub event_gap_goal: Duration,
     /// Rank; 0 goes first.
     pub rank: u8,
     /// Replicas that one request may run on at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether callers need no key.
-    pub open: bool,
+    pub anonymous: bool,
     /// Where its requests go.
     pub shares: Vec<Share>,
 }
@@ -73,13 +73,13 @@
     /// Requests that run at once.
     pub slots: u32,
     /// Tokens of memory.
-    pub memory: u32,
+    pub memory_tokens: u32,
     /// Bytes of memory per token.
     pub token_bytes: u64,
     /// Speed of its links, in megabits a second.
-    pub link: f64,
+    pub link_mbps: f64,
     /// Tokens in one event of a stream.
-    pub stride: u32,
+    pub tokens_per_event: u32,
 }
 
 /// A pool of targets.
@@ -95,26 +95,26 @@
 
 /// A store of kept KV cache.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct KvStore {
     /// Where it listens.
     pub addr: SocketAddr,
     /// Its failure domain.
     pub domain: String,
     /// Speed of its link, in megabits a second.
-    pub link: f64,
+    pub link_mbps: f64,
 }
 
 /// Bounds on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Bytes of a request's head.
-    pub head: usize,
+    pub max_head: usize,
     /// Bytes of a request's body.
-    pub body: usize,
+    pub max_body: usize,
     /// How long a head may take to arrive.
-    pub arrival: Duration,
+    pub head_timeout: Duration,
     /// How long a connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// What a team's rank and walls are.
@@ -123,7 +123,7 @@
     /// Rank that goes before the route's, if it has one.
     pub rank: Option<u8>,
     /// Whether it shares cached parts with nobody.
-    pub walled: bool,
+    pub isolated: bool,
 }
 
 /// What a configuration is made of; [`Plan::new`] makes it decide.
@@ -136,11 +136,11 @@
     /// One for each rule, in the rules' order.
     pub routes: Vec<Route>,
     /// Whether teams are declared at all, so that requests need a key.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// Pools by name.
     pub pools: HashMap<String, Pool>,
     /// Stores of kept KV cache.
-    pub kept: Vec<Kept>,
+    pub kv_stores: Vec<KvStore>,
     /// What callers may send.
     pub limits: Limits,
     /// Teams' ranks and walls.
@@ -183,8 +183,8 @@
     }
 
     /// Whether requests need a key.
-    pub fn keyed(&self) -> bool {
-        self.draft.keyed
+    pub fn requires_key(&self) -> bool {
+        self.draft.requires_key
     }
 
     /// A pool by its name.
@@ -199,8 +199,8 @@
     }
 
     /// Stores of kept KV cache.
-    pub fn kept(&self) -> &[Kept] {
-        &self.draft.kept
+    pub fn kv_stores(&self) -> &[KvStore] {
+        &self.draft.kv_stores
     }
 
     /// What callers may send.
@@ -209,7 +209,7 @@
     }
 
     /// Number of routes.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.draft.routes.len()
     }
 }
