--- a/crates/gate/src/agent/report.rs
+++ b/crates/gate/src/agent/report.rs
@@ -34,14 +34,14 @@
     }
     match (a.kind, &a.report) {
         (Kind::Sidecar, Some(r)) => {
-            update.begun = r.begun;
-            update.unread = (r.active + r.queued).saturating_sub(r.begun);
-            update.used = r.used;
-            update.total = r.total;
+            update.begun = r.running;
+            update.unread = (r.active + r.queued).saturating_sub(r.running);
+            update.used = r.memory_used;
+            update.total = r.memory_total;
         }
         (Kind::Delegate, Some(r)) if now.since(a.read) < MEMORY => {
-            update.used = r.used;
-            update.total = r.total;
+            update.used = r.memory_used;
+            update.total = r.memory_total;
         }
         _ => {}
     }
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -227,7 +227,7 @@
         engine: engine_key(agent.addr),
         rank,
         hosts,
-        allowed: node.settings.borrow().bounds.weights.into(),
+        allowed: node.settings.borrow().bounds.weights_deadline.into(),
     }
 }
 
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -84,7 +84,7 @@
     let now = ctx.now();
     let (domain, allowed) = {
         let s = ctx.node.settings.borrow();
-        (s.domain.clone(), Micros::from(s.bounds.weights))
+        (s.domain.clone(), Micros::from(s.bounds.weights_deadline))
     };
     let named = ctx.node.world.borrow().named.get(&prompt.model).cloned();
     let fleet = ctx.fleet.borrow();
@@ -146,7 +146,7 @@
         let wait = Micros::from_millis(candidate.wait as u64);
         may_begin(r, wait).then_some((candidate, sources.get(&scope)?))
     });
-    let choice = spot::choose(prompt.input, candidates).ok_or(Reason::NoTarget)?;
+    let choice = spot::choose(prompt.input_tokens, candidates).ok_or(Reason::NoTarget)?;
     let estimate = Estimate {
         wait: choice.wait,
         prefill: (choice.time - choice.wait).max(0.0),
@@ -161,7 +161,7 @@
             over: Micros::from_millis(over as u64),
         });
     }
-    let own = prompt.input.saturating_sub(prompt.shared_tokens());
+    let own = prompt.input_tokens.saturating_sub(prompt.shared_tokens());
     let r = fleet.replicas.get(choice.key).ok_or(Reason::NoTarget)?;
     let scope = scope(r);
     let held = scope
@@ -198,7 +198,7 @@
     let store = stores.min_by_key(rank)?;
     let held = &fleet.kept.get(&store)?.held;
     let missing = prompt.shared_tokens() - holds(held, scope, prompt.shared());
-    let own = prompt.input.saturating_sub(prompt.shared_tokens());
+    let own = prompt.input_tokens.saturating_sub(prompt.shared_tokens());
     let worth = missing >= LEAST_KEPT && f64::from(own) <= f64::from(missing) * OWN_KEPT;
     worth.then_some(store)
 }
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -71,7 +71,7 @@
         drop(fleet);
         if let Some(prompt) = &job.prompt {
             let reading = f64::from(pick.read) * ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
-            ctx.work.borrow_mut().add(now, prompt.input, reading);
+            ctx.work.borrow_mut().add(now, prompt.input_tokens, reading);
         }
         if let Some((agent, request)) = told {
             let note = Note {
@@ -320,7 +320,7 @@
         meter::span(meter::BELIEF_AGE, age.into());
     }
     if let Some(prompt) = &job.prompt {
-        let fetched = prompt.input.saturating_sub(pick.held + pick.read);
+        let fetched = prompt.input_tokens.saturating_sub(pick.held + pick.read);
         meter::add(meter::TOKENS, "way", "held", pick.held.into());
         meter::add(meter::TOKENS, "way", "read", pick.read.into());
         meter::add(meter::TOKENS, "way", "fetched", fetched.into());
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -47,16 +47,19 @@
         let near = r.target.domain == self.domain;
         let far = if near { 0.0 } else { FAR };
         let apart = self.long.as_ref().map_or(0.0, |long| {
-            apart::cost(self.prompt.input, long.contains(&r.target.boot.id))
+            apart::cost(self.prompt.input_tokens, long.contains(&r.target.boot.id))
         });
-        let load = self.load(r, self.prompt.input.saturating_sub(held));
+        let load = self.load(r, self.prompt.input_tokens.saturating_sub(held));
         let version = r.weights.get(&self.prompt.model);
         let outdated = version.and_then(|v| self.named.outdated(self.now, *v));
         Candidate {
             key,
             addr: r.target.addr,
             domain: domain_key(&r.target.domain),
-            wait: load.wait(self.prompt.input + self.prompt.output, self.read),
+            wait: load.wait(
+                self.prompt.input_tokens + self.prompt.max_output_tokens,
+                self.read,
+            ),
             read: self.read,
             held,
             room: self.read * ROOM,
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -12,4 +12,4 @@
 pub use plan::{Engine, KvStore, Limits, Mode, Plan, PlanDraft, Pool, Route, Share, Tenancy};
 pub use prompt::{Part, PartId, Prompt, Scope};
 pub use settings::{Bounds, Role, Settings};
-pub use target::{Boot, Engines, Report, State, Swap, Target, Weights};
+pub use target::{AnnouncedWeights, Boot, Report, State, Swap, Target, Weights};
--- a/crates/site/src/prompt.rs
+++ b/crates/site/src/prompt.rs
@@ -28,9 +28,9 @@
     /// The parts in order; the last one belongs to this request or its session alone.
     pub parts: Vec<Part>,
     /// Tokens of the whole prompt.
-    pub input: u32,
+    pub input_tokens: u32,
     /// Most tokens that may be generated.
-    pub output: u32,
+    pub max_output_tokens: u32,
 }
 
 impl Prompt {
--- a/crates/site/src/settings.rs
+++ b/crates/site/src/settings.rs
@@ -18,7 +18,7 @@
     /// From the signal to stop until the process is killed.
     pub grace: Duration,
     /// From the naming of new weights until no request may begin on older ones.
-    pub weights: Duration,
+    pub weights_deadline: Duration,
     /// How long orders of two processes to one engine stay apart.
     pub lease: Duration,
     /// Retries per request that all entries together may send to a pool.
--- a/crates/site/src/target.rs
+++ b/crates/site/src/target.rs
@@ -70,11 +70,11 @@
     /// Requests that have been let in, read or not.
     pub active: u32,
     /// Those of them whose prompt has been read.
-    pub begun: u32,
+    pub running: u32,
     /// Tokens of memory that can't yield.
-    pub used: u32,
+    pub memory_used: u32,
     /// Tokens of memory in all.
-    pub total: u32,
+    pub memory_total: u32,
 }
 
 /// How an engine goes over to new weights.
@@ -87,4 +87,4 @@
 }
 
 /// The newest weights that the operator has named, by model.
-pub type Engines = HashMap<String, u64>;
+pub type AnnouncedWeights = HashMap<String, u64>;
