--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -209,7 +209,9 @@
         }
         self.read = now;
         self.alive = report.is_ok();
-        self.ended = report.as_ref().is_err_and(EngineError::ended);
+        self.ended = report
+            .as_ref()
+            .is_err_and(EngineError::is_connection_refused);
         if self.ended {
             // Another will be there; nothing that is known of this one holds for it.
             self.report = None;
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use model::Micros;
-use platform::replica::{self, EngineError, LoadOrder, Taken};
+use platform::replica::{self, EngineError, LoadOrder, OrderOutcome};
 use platform::Conn;
 use policy::contact::Ask;
 use policy::holder::Holder;
@@ -382,12 +382,12 @@
         weights: &order.lack.weights,
         swap: Swap::Retain,
         holder: &host,
-        fence: order.fence,
-        after: order.after,
-        boot: order.boot.as_deref(),
+        fencing_token: order.fence,
+        expected_seq: order.after,
+        engine_id: order.boot.as_deref(),
     };
     agent.borrow_mut().rollout.ordered = Some(node.now());
-    let taken = replica::order(conn, &load, PATIENCE).await;
+    let taken = replica::send_order(conn, &load, PATIENCE).await;
     let outcome = outcome(&taken);
     let mut a = agent.borrow_mut();
     if outcome != Outcome::Refused {
@@ -396,9 +396,9 @@
     a.rollout.slots.ordered(node.now(), outcome);
     drop(a);
     let (text, label) = match &taken {
-        Ok(Taken::Begun) => ("begun".to_owned(), "begun"),
-        Ok(Taken::Done) => ("done".to_owned(), "done"),
-        Ok(Taken::Busy) => ("busy".to_owned(), "busy"),
+        Ok(OrderOutcome::Accepted) => ("begun".to_owned(), "begun"),
+        Ok(OrderOutcome::AlreadyLoaded) => ("done".to_owned(), "done"),
+        Ok(OrderOutcome::Busy) => ("busy".to_owned(), "busy"),
         Err(e) => (e.to_string(), "failed"),
     };
     note(order, &text, label);
@@ -417,10 +417,12 @@
     });
 }
 
-fn outcome(taken: &Result<Taken, EngineError>) -> Outcome {
+fn outcome(taken: &Result<OrderOutcome, EngineError>) -> Outcome {
     match taken {
-        Ok(Taken::Begun) => Outcome::Accepted,
-        Ok(Taken::Done | Taken::Busy) | Err(EngineError::Refused(_)) => Outcome::Refused,
+        Ok(OrderOutcome::Accepted) => Outcome::Accepted,
+        Ok(OrderOutcome::AlreadyLoaded | OrderOutcome::Busy) | Err(EngineError::Refused(_)) => {
+            Outcome::Refused
+        }
         Err(EngineError::Call(_) | EngineError::Malformed(_)) => Outcome::Unknown,
     }
 }
--- a/crates/gate/src/cache.rs
+++ b/crates/gate/src/cache.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use platform::replica::{self, EngineError, Events, Stored};
+use platform::replica::{self, EngineError, PartChange, PartChanges};
 use platform::Conn;
 use site::PartId;
 use tokio::time::Instant;
@@ -32,7 +32,7 @@
 
 impl Cache {
     /// Takes over some changes; returns them as they are told to others.
-    fn take(&mut self, epoch: u64, stored: &[Stored]) -> Vec<Held> {
+    fn take(&mut self, epoch: u64, stored: &[PartChange]) -> Vec<Held> {
         self.restart(epoch);
         for s in stored {
             let key = (s.scope, s.part);
@@ -46,7 +46,7 @@
     }
 
     /// Takes over the whole list; returns what has changed.
-    fn replace(&mut self, epoch: u64, stored: &[Stored]) -> Vec<Held> {
+    fn replace(&mut self, epoch: u64, stored: &[PartChange]) -> Vec<Held> {
         self.restart(epoch);
         let listed = stored.iter().map(|s| ((s.scope, s.part), s.tokens));
         let listed: HashMap<_, _> = listed.collect();
@@ -84,17 +84,17 @@
 #[derive(Debug)]
 pub enum Update {
     /// The latest changes.
-    Changes(Events),
+    Changes(PartChanges),
     /// All that is held.
-    Whole(Events),
+    Whole(PartChanges),
 }
 
 impl Update {
     /// Hands it to a cache; returns what others are to be told.
     pub fn into(self, cache: &mut Cache) -> Vec<Held> {
         match self {
-            Self::Changes(e) => cache.take(e.epoch, &e.stored),
-            Self::Whole(e) => cache.replace(e.epoch, &e.stored),
+            Self::Changes(e) => cache.take(e.epoch, &e.changes),
+            Self::Whole(e) => cache.replace(e.epoch, &e.changes),
         }
     }
 }
@@ -132,14 +132,14 @@
     }
 
     async fn read(&mut self) -> Result<Update, EngineError> {
-        let events = replica::events(&mut self.conn, self.next, HOLD, PATIENCE).await?;
+        let events = replica::fetch_changes(&mut self.conn, self.next, HOLD, PATIENCE).await?;
         let due = self.listed.is_none_or(|at| at.elapsed() > LIST);
         if !events.lost || !due {
             self.next = events.next;
             return Ok(Update::Changes(events));
         }
         self.listed = Some(Instant::now());
-        let all = replica::held(&mut self.conn, PATIENCE).await?;
+        let all = replica::fetch_all_parts(&mut self.conn, PATIENCE).await?;
         self.next = all.next;
         Ok(Update::Whole(all))
     }
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use model::Micros;
-use platform::replica::{self, Terms, Told};
+use platform::replica::{self, AddedHeaders, AnswerHead};
 use policy::prefill_priority;
 use policy::quarantine::Verdict;
 use site::{Boot, Part};
@@ -145,7 +145,7 @@
     /// The answer.
     pub(super) response: Response<Incoming>,
     /// What its head tells.
-    pub(super) told: Told,
+    pub(super) told: AnswerHead,
     /// The connection that it comes on.
     pub(super) upstream: Upstream,
     /// The request's place at the target.
@@ -196,9 +196,9 @@
 }
 
 fn request(ctx: &Ctx, job: &Job, pick: &Pick) -> Option<Request<Full<Bytes>>> {
-    let terms = Terms {
+    let terms = AddedHeaders {
         boot: Some(&pick.boot),
-        left: job.left(ctx.now()),
+        time_left: job.left(ctx.now()),
         team: job.team.as_deref(),
         scope: pick.scope.as_ref(),
         weights: pick.weights,
@@ -208,7 +208,7 @@
             .prompt
             .is_some()
             .then_some(prefill_priority::rank(job.rank, pick.read)),
-        resume: job.resume.as_deref(),
+        last_event_id: job.resume.as_deref(),
     };
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.method.clone();
@@ -246,15 +246,15 @@
             }
         }
     };
-    let told = replica::told(response.status(), response.headers(), &job.id);
-    if let Some(limit) = told.idle {
+    let told = replica::decode_answer_head(response.status(), response.headers(), &job.id);
+    if let Some(limit) = told.idle_timeout {
         upstream.limit(limit);
     }
     note(ctx, pick, job, &told);
     match response.status() {
-        _ if !told.ours => Sent::Unknown("another request's answer"),
+        _ if !told.matches_request => Sent::Unknown("another request's answer"),
         StatusCode::MISDIRECTED_REQUEST => misdirected(ctx, pick, job, &told),
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS if told.unrun => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS if told.not_run => {
             keep(ctx, pick.key, upstream, &told, response).await;
             Sent::NotRun("full")
         }
@@ -268,7 +268,13 @@
 }
 
 /// Keeps the connection of an answer that isn't passed on, once its short body is in.
-async fn keep(ctx: &Ctx, key: Key, upstream: Upstream, told: &Told, response: Response<Incoming>) {
+async fn keep(
+    ctx: &Ctx,
+    key: Key,
+    upstream: Upstream,
+    told: &AnswerHead,
+    response: Response<Incoming>,
+) {
     use http_body_util::BodyExt;
     let rest = timeout(Duration::from_millis(20), response.into_body().collect()).await;
     if matches!(rest, Ok(Ok(_))) && !told.closes {
@@ -279,8 +285,8 @@
 }
 
 /// A refusal by another target at the address, or by the right one with other weights.
-fn misdirected(ctx: &Ctx, pick: &Pick, job: &Job, told: &Told) -> Sent {
-    let same = told.target.as_ref().is_none_or(|t| *t == pick.boot.id);
+fn misdirected(ctx: &Ctx, pick: &Pick, job: &Job, told: &AnswerHead) -> Sent {
+    let same = told.target_id.as_ref().is_none_or(|t| *t == pick.boot.id);
     let (Some(prompt), true) = (&job.prompt, same) else {
         ctx.fleet.borrow_mut().replaced(ctx.now(), pick.key);
         return Sent::NotRun("another target has its address");
@@ -295,7 +301,7 @@
 }
 
 /// Takes over what an answer's head tells of its target.
-fn note(ctx: &Ctx, pick: &Pick, job: &Job, told: &Told) {
+fn note(ctx: &Ctx, pick: &Pick, job: &Job, told: &AnswerHead) {
     let now = ctx.now();
     let mut fleet = ctx.fleet.borrow_mut();
     let Some(r) = fleet.replicas.get_mut(pick.key) else {
--- a/crates/gate/src/entry/tries.rs
+++ b/crates/gate/src/entry/tries.rs
@@ -269,7 +269,7 @@
         return Tried::Found(Found::Stream(Box::new(live)));
     }
     let left = job.left(ctx.now()) + LAST_WORD;
-    let unrun = live.told.unrun;
+    let unrun = live.told.not_run;
     let (boot, sent) = (live.place.boot.clone(), live.place.sent);
     let whole = match timeout(left, collect(ctx, live)).await {
         Ok(Some(w)) => w,
