--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match std::env::var_os(platform::SETTINGS) {
+    match std::env::var_os(platform::SETTINGS_VARIABLE) {
         Some(path) => gate::run(path.into()),
         None => daemon::run(),
     }
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use model::Micros;
-use platform::store::TARGETS;
+use platform::store::TARGETS_TABLE;
 use platform::{Row, Store, StoreError};
 use policy::lapse;
 use policy::readers::Readers;
@@ -93,7 +93,7 @@
             () = ctx.list.found() => continue,
         };
         note_era(&ctx.node, &mut store);
-        if matches!(read, Err(StoreError::Gone | StoreError::Outdated(..))) {
+        if matches!(read, Err(StoreError::Gone | StoreError::OutdatedEra(..))) {
             pause().await;
             continue;
         }
@@ -127,8 +127,8 @@
         list.and_then(|l| l.changes_from(ctx.now()))
     };
     let changed = match from {
-        Some(from) => match store.changes(TARGETS, from, Duration::ZERO).await {
-            Err(StoreError::Gone | StoreError::Unnamed) => None,
+        Some(from) => match store.changes(TARGETS_TABLE, from, Duration::ZERO).await {
+            Err(StoreError::Gone | StoreError::MissingEra) => None,
             changed => Some(changed?),
         },
         None => None,
@@ -136,7 +136,7 @@
     let changes = changed.is_some();
     let rows = match changed {
         Some(rows) => rows,
-        None => store.rows(TARGETS).await?,
+        None => store.rows(TARGETS_TABLE).await?,
     };
     Ok(peer::List {
         at: ctx.now(),
@@ -277,7 +277,7 @@
         let Some(value) = &row.value else {
             continue;
         };
-        match platform::directory::target(&row.key, row.at, value) {
+        match platform::directory::decode_target(&row.key, row.at, value) {
             Ok(target) => targets.push(target),
             Err(e) => log::event(&Event::BadRow {
                 key: &row.key,
--- a/crates/gate/src/entry/listen.rs
+++ b/crates/gate/src/entry/listen.rs
@@ -142,7 +142,7 @@
             }
         };
         // A connection whose options can't be set has ended already.
-        if platform::call::guard(&tcp).is_err() {
+        if platform::call::enable_dead_peer_detection(&tcp).is_err() {
             continue;
         }
         match port {
--- a/crates/gate/src/entry/serve.rs
+++ b/crates/gate/src/entry/serve.rs
@@ -46,7 +46,7 @@
 ) -> Result<Response<Answer>, Torn> {
     let came = ctx.now();
     let (parts, body) = request.into_parts();
-    let head = match caller::head(&parts) {
+    let head = match caller::decode_request_head(&parts) {
         Ok(h) => h,
         Err(_) => return Ok(refuse::early(&ctx, &watch, "", came, Reason::Malformed)),
     };
@@ -131,7 +131,7 @@
         headers: parts.headers,
         body: Bytes::new(),
         print: Fingerprint::default(),
-        resume: head.resume,
+        resume: head.last_event_id,
         came,
         deadline: came + wait.into(),
         tried: Vec::new(),
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -7,8 +7,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use platform::store::{MEMBERS, OPERATOR};
-use platform::{Era, Position, Row, Rows, Store, StoreError};
+use platform::store::{MEMBERS_TABLE, OPERATOR_TABLE};
+use platform::{EraHeader, Position, Row, Rows, Store, StoreError};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use site::Role;
@@ -60,18 +60,18 @@
 /// Takes over the era that the store's last answer named, and lets the client drop answers of earlier ones.
 pub fn note_era(node: &Shared, store: &mut Store) {
     let known = *node.era.borrow();
-    let kind = match store.era() {
-        Era::Named(era) if known.is_none_or(|k| era >= k) => {
+    let kind = match store.last_era_header() {
+        EraHeader::Value(era) if known.is_none_or(|k| era >= k) => {
             node.raise_era(era, Source::Table);
             None
         }
-        Era::Named(_) => Some("outdated"),
-        Era::Unreadable => Some("unreadable"),
+        EraHeader::Value(_) => Some("outdated"),
+        EraHeader::Unreadable => Some("unreadable"),
         // A store that has named none yet doesn't count them.
-        Era::Missing => known.map(|_| "missing"),
+        EraHeader::Missing => known.map(|_| "missing"),
     };
     let known = node.era.borrow().unwrap_or_default();
-    store.raise(known);
+    store.raise_era(known);
     if let Some(kind) = kind {
         meter::count(meter::ERAS, "kind", kind);
         log::event(&Event::BadEra { kind, known });
@@ -89,7 +89,7 @@
     // Lost history and a late answer are answers like any other.
     let answered = matches!(
         result,
-        Err(StoreError::Gone | StoreError::Outdated(..) | StoreError::Unnamed)
+        Err(StoreError::Gone | StoreError::OutdatedEra(..) | StoreError::MissingEra)
     );
     if answered {
         return;
@@ -108,19 +108,19 @@
     let mut era = node.era.subscribe();
     loop {
         era.mark_unchanged();
-        let all = store.rows(OPERATOR).await;
+        let all = store.rows(OPERATOR_TABLE).await;
         note(&node, &mut store, &mut dependency, &all);
         let Ok(rows) = all else {
             pause().await;
             continue;
         };
         let mut after = rows.at;
-        reread(&node, OPERATOR, &rows, 0);
+        reread(&node, OPERATOR_TABLE, &rows, 0);
         adopt(&node, rows, Source::Table);
         loop {
             let news = tokio::select! {
                 biased;
-                news = store.changes(OPERATOR, after, HOLD) => news,
+                news = store.changes(OPERATOR_TABLE, after, HOLD) => news,
                 _ = era.changed() => Err(StoreError::Gone),
             };
             note(&node, &mut store, &mut dependency, &news);
@@ -130,12 +130,12 @@
                     adopt(&node, rows, Source::Feed);
                 }
                 // The history between is gone, so all is read again; not by all processes at one moment.
-                Err(StoreError::Gone | StoreError::Outdated(..)) => {
+                Err(StoreError::Gone | StoreError::OutdatedEra(..)) => {
                     pause().await;
                     break;
                 }
                 // So it is until an answer names the era again.
-                Err(StoreError::Unnamed) => {
+                Err(StoreError::MissingEra) => {
                     sleep(UNNAMED).await;
                     break;
                 }
@@ -165,7 +165,7 @@
 fn adopt(node: &Shared, rows: Rows, source: Source) {
     let now = node.now();
     let mut world = node.world.borrow_mut();
-    world.set_clock(now, rows.clock);
+    world.set_clock(now, rows.clock_ms);
     for Row { key, value, at } in rows.rows {
         // The operator takes nothing back; a row that is gone leaves what was in force.
         if let Some(value) = value {
@@ -190,7 +190,7 @@
     let mut store = Store::new(addr);
     let mut dependency = Dependency::new("members");
     loop {
-        let entered = store.put(MEMBERS, &host, &value).await;
+        let entered = store.put(MEMBERS_TABLE, &host, &value).await;
         dependency.note(&entered);
         if entered.is_ok() {
             break;
@@ -221,11 +221,11 @@
 ) -> Result<(), StoreError> {
     let mut era = node.era.subscribe();
     era.mark_unchanged();
-    let all = store.rows(MEMBERS).await?;
+    let all = store.rows(MEMBERS_TABLE).await?;
     note_era(node, store);
     let mut after = all.at;
     let listed = all.rows.iter().any(|r| r.key == own);
-    reread(node, MEMBERS, &all, usize::from(!listed));
+    reread(node, MEMBERS_TABLE, &all, usize::from(!listed));
     let mut members: HashMap<_, _> = all.rows.into_iter().filter_map(member).collect();
     if last.replace(after).is_some_and(|l| after.era > l.era) {
         // Members whose rows the restore has lost write them again; until then they are what they were.
@@ -238,22 +238,22 @@
     know(node, members);
     if !listed {
         spread().await;
-        store.put(MEMBERS, own, value).await?;
+        store.put(MEMBERS_TABLE, own, value).await?;
         note_era(node, store);
     }
     loop {
         let news = tokio::select! {
             biased;
-            news = store.changes(MEMBERS, after, HOLD) => news,
+            news = store.changes(MEMBERS_TABLE, after, HOLD) => news,
             _ = era.changed() => Err(StoreError::Gone),
         };
         note_era(node, store);
         let news = match news {
-            Err(StoreError::Gone | StoreError::Outdated(..)) => {
+            Err(StoreError::Gone | StoreError::OutdatedEra(..)) => {
                 pause().await;
                 return Ok(());
             }
-            Err(StoreError::Unnamed) => {
+            Err(StoreError::MissingEra) => {
                 sleep(UNNAMED).await;
                 return Ok(());
             }
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -230,7 +230,7 @@
 
 /// The target that a row of the list names; none if the row can't be read.
 fn target(row: &ReplyRow) -> Option<Target> {
-    platform::directory::target(&row.key, row.at(), &row.value).ok()
+    platform::directory::decode_target(&row.key, row.at(), &row.value).ok()
 }
 
 /// The list of targets, if this process has it of late; its changes where the position that the other one
@@ -297,7 +297,7 @@
     let rows = Rows {
         rows: newest.rows.into_iter().map(row).collect(),
         at: position,
-        clock: 0,
+        clock_ms: 0,
     };
     (position.version > 0).then_some(List {
         at,
--- a/crates/gate/src/world.rs
+++ b/crates/gate/src/world.rs
@@ -181,8 +181,8 @@
             return;
         }
         let error = match () {
-            () if key == platform::config::CONFIG => self.configure(&row.value, source.word()),
-            () if platform::config::names_weights(key) => self.name(now, &row.value, source),
+            () if key == platform::config::CONFIG_KEY => self.configure(&row.value, source.word()),
+            () if platform::config::is_weights_key(key) => self.name(now, &row.value, source),
             () => Ok(()),
         };
         if let Err(e) = error {
@@ -197,7 +197,7 @@
         value: &Bytes,
         source: &str,
     ) -> Result<(), platform::config::ConfigError> {
-        let draft = platform::config::config(value)?;
+        let draft = platform::config::decode_config(value)?;
         let current = self.plan.as_ref().map_or(0, |p| p.version());
         if draft.version > current {
             let plan = Plan::new(draft);
@@ -217,7 +217,7 @@
         value: &Bytes,
         source: Source,
     ) -> Result<(), platform::config::ConfigError> {
-        let weights = platform::config::weights(value)?;
+        let weights = platform::config::decode_weights(value)?;
         let start = source != Source::Feed && now < START;
         let known = self.named.entry(weights.model.clone()).or_default();
         if known.name(now, weights.version, start) {
--- a/crates/gate/tests/listing.rs
+++ b/crates/gate/tests/listing.rs
@@ -48,7 +48,7 @@
             let read = Rows {
                 rows: store.clone(),
                 at: Position::new(era, version),
-                clock: 0,
+                clock_ms: 0,
             };
             reader.replace(now, read);
             // The other one asks only now and then, at times long after it last did.
@@ -66,7 +66,7 @@
             let rows = Rows {
                 rows,
                 at: reader.position,
-                clock: 0,
+                clock_ms: 0,
             };
             match changed {
                 true => other.merge(now, rows),
@@ -116,7 +116,7 @@
             let rows = Rows {
                 rows: rows.collect(),
                 at: position,
-                clock: 0,
+                clock_ms: 0,
             };
             list.replace(at, rows);
         }
@@ -139,7 +139,7 @@
         let rows = Rows {
             rows: some,
             at: Position::new(1, 29),
-            clock: 0,
+            clock_ms: 0,
         };
         list.merge(Micros::from_secs(1), rows);
     }
