--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a process knows of a deployment whose platform names the routes, teams and targets.
+//! Types that describe a deployment: its configuration, prompts, process settings and targets.
 //!
-//! Plain values without I/O: the adapter fills them in from the platform's formats, the decisions
-//! in `policy` and the programs in `gate` read them. Nothing here knows how the platform spells
-//! any of it.
+//! The types are plain values without I/O and independent of any platform's formats. The `platform`
+//! adapter decodes the platform's messages into them; `policy` and `gate` use them to route
+//! requests.
 
 pub mod plan;
 pub mod prompt;
--- a/crates/site/src/plan.rs
+++ b/crates/site/src/plan.rs
@@ -1,8 +1,8 @@
-//! The configuration in force: rules that decide, and what each rule's route asks for.
+//! The active configuration: matching rules and the routes that they select.
 //!
-//! Hosts and prefixes of the platform's routes are ordinary when-then rules, longest prefix first,
-//! so that the first rule that matches decides here as everywhere. What a route asks beyond that
-//! stands beside its rule at the same place.
+//! The hosts and path prefixes of the platform's routes become ordinary when-then rules, sorted by
+//! longest prefix first, because the first matching rule decides. Properties of a route that rules
+//! can't express are kept in a [`Route`], which has the same index as its rule.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,144 +10,144 @@
 
 use rules::{Config, Facts, RuleSet};
 
-/// What may be repeated.
+/// Whether a request may run more than once, and whether its answer is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// May run more than once.
+    /// May run more than once; the answer is not a stream.
     Idempotent,
-    /// Runs once at most.
+    /// Must run at most once; the answer is not a stream.
     Once,
-    /// A series of events that runs once at most.
+    /// An event stream of a request that must run at most once.
     Stream,
-    /// A series of events that another replica may go on with.
+    /// An event stream that another replica may resume.
     Resumable,
 }
 
 impl Mode {
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may already have run can be sent again.
     pub fn is_repeatable(self) -> bool {
         self == Self::Idempotent
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the answer is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
 }
 
-/// A pool's part of a route's requests.
+/// The fraction of a route's requests that goes to one pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Its weight among the route's pools.
+    /// Weight relative to the route's other pools.
     pub weight: f64,
 }
 
-/// What a route asks for beyond its rule.
+/// Properties of a route beyond the matching rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The route's name, which is its rule's.
+    /// Name of the route and of its rule.
     pub name: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated and whether answers are streams.
     pub mode: Mode,
-    /// How long a caller may be kept.
+    /// Longest time that a caller may wait for its answer.
     pub timeout: Duration,
-    /// How soon an answer, or a stream's first event, is worth most.
+    /// Latency objective for the answer, or for the first event of a stream.
     pub latency_goal: Duration,
-    /// Longest good pause between events.
+    /// Objective for the longest pause between two events of a stream.
     pub event_gap_goal: Duration,
-    /// Rank; 0 goes first.
+    /// Priority rank; 0 is served first.
     pub rank: u8,
-    /// Replicas that one request may run on at most.
+    /// Maximum number of replicas that one request may run on.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers are served without an API key.
     pub anonymous: bool,
-    /// Where its requests go.
+    /// Pools that serve the route.
     pub shares: Vec<Share>,
 }
 
-/// The engines of a pool.
+/// Properties that all engines of a pool share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Tokens of memory.
+    /// Capacity of the KV cache, in tokens.
     pub memory_tokens: u32,
-    /// Bytes of memory per token.
+    /// Bytes of KV cache per token.
     pub token_bytes: u64,
-    /// Speed of its links, in megabits a second.
+    /// Bandwidth of an engine's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in each event of a stream.
     pub tokens_per_event: u32,
 }
 
 /// A pool of targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool.
     pub name: String,
-    /// Connections that one of its targets takes from all callers together.
+    /// Maximum number of connections that one target accepts in total.
     pub connections: u32,
-    /// Set for model engines.
+    /// Engine properties, if the targets are model engines.
     pub engine: Option<Engine>,
 }
 
-/// A store of kept KV cache.
+/// A store for saved KV cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KvStore {
-    /// Where it listens.
+    /// Address of the store.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// The store's failure domain.
     pub domain: String,
-    /// Speed of its link, in megabits a second.
+    /// Bandwidth of the store's network link, in megabits per second.
     pub link_mbps: f64,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub max_head: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// How long a head may take to arrive.
+    /// Longest time that a request head may take to arrive.
     pub head_timeout: Duration,
-    /// How long a connection may stay idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// What a team's rank and walls are.
+/// Priority and cache isolation of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tenancy {
-    /// Rank that goes before the route's, if it has one.
+    /// Priority rank that overrides the route's, if set.
     pub rank: Option<u8>,
-    /// Whether it shares cached parts with nobody.
+    /// Whether the team shares no cached prompt parts with other teams.
     pub isolated: bool,
 }
 
-/// What a configuration is made of; [`Plan::new`] makes it decide.
+/// A decoded configuration; [`Plan::new`] builds the rule matcher from it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanDraft {
-    /// Version; an accepted change raises it.
+    /// Version of the configuration; each accepted change raises it.
     pub version: u64,
     /// Teams, pools and rules; each rule is named after its route.
     pub config: Config,
-    /// One for each rule, in the rules' order.
+    /// One route per rule of `config`, in the same order.
     pub routes: Vec<Route>,
-    /// Whether teams are declared at all, so that requests need a key.
+    /// Whether requests need an API key, which is the case once any team is declared.
     pub requires_key: bool,
     /// Pools by name.
     pub pools: HashMap<String, Pool>,
-    /// Stores of kept KV cache.
+    /// Stores for saved KV cache.
     pub kv_stores: Vec<KvStore>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
-    /// Teams' ranks and walls.
+    /// Priority and cache isolation by team name.
     pub teams: HashMap<String, Tenancy>,
 }
 
-/// A configuration in force.
+/// An active configuration.
 #[derive(Clone, Debug)]
 pub struct Plan {
     draft: PlanDraft,
@@ -155,55 +155,55 @@
 }
 
 impl Plan {
-    /// Makes a configuration decide.
+    /// Builds the rule matcher for a configuration.
     pub fn new(draft: PlanDraft) -> Self {
         let rules = RuleSet::assemble(draft.config.clone());
         Self { draft, rules }
     }
 
-    /// Its version.
+    /// Version of the configuration.
     pub fn version(&self) -> u64 {
         self.draft.version
     }
 
-    /// The route of the first rule that matches.
+    /// The route of the first matching rule, if any matches.
     pub fn route(&self, facts: &Facts) -> Option<&Route> {
         let first = self.rules.first(facts)?;
         self.draft.routes.get(first)
     }
 
-    /// The team that holds a key.
+    /// Name of the team that an API key belongs to.
     pub fn team(&self, key: impl AsRef<[u8]>) -> Option<&str> {
         self.rules.team(key).map(|(name, _)| name)
     }
 
-    /// A team's rank and walls.
+    /// Priority and cache isolation of a team; the default for unknown teams.
     pub fn tenancy(&self, team: &str) -> Tenancy {
         self.draft.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// Whether requests need a key.
+    /// Whether requests need an API key, except on anonymous routes.
     pub fn requires_key(&self) -> bool {
         self.draft.requires_key
     }
 
-    /// A pool by its name.
+    /// Looks up a pool by name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.draft.pools.get(name)
     }
 
-    /// Routes with a share for a pool.
+    /// Routes that send requests to a pool.
     pub fn routes_to<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = &'a Route> {
         let routes = self.draft.routes.iter();
         routes.filter(move |r| r.shares.iter().any(|s| s.pool == pool))
     }
 
-    /// Stores of kept KV cache.
+    /// Stores for saved KV cache.
     pub fn kv_stores(&self) -> &[KvStore] {
         &self.draft.kv_stores
     }
 
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub fn limits(&self) -> Limits {
         self.draft.limits
     }
--- a/crates/site/src/prompt.rs
+++ b/crates/site/src/prompt.rs
@@ -1,40 +1,40 @@
-//! A prompt as a chain of named parts.
+//! Prompts as chains of identified parts, and the scopes in which cached parts may be reused.
 //!
-//! Callers name the parts of a prompt in place of its text. A part that an engine holds saves work
-//! only if the engine holds all parts before it too.
+//! Callers identify the parts of a prompt by id; the text of the prompt isn't needed to route a
+//! request. An engine can reuse a cached part only if it has all preceding parts cached as well.
 
 use std::fmt;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A part's name.
+/// Id of a prompt part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u64);
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its name.
+    /// Id of the part.
     pub id: PartId,
-    /// Its length in tokens.
+    /// Length of the part, in tokens.
     pub tokens: u32,
 }
 
-/// What a generation asks for.
+/// The model, prompt and output limit of a generation request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model's name.
+    /// Name of the model.
     pub model: String,
-    /// The parts in order; the last one belongs to this request or its session alone.
+    /// Parts of the prompt in order; the last one is specific to this request or its session.
     pub parts: Vec<Part>,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt, in tokens.
     pub input_tokens: u32,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub max_output_tokens: u32,
 }
 
 impl Prompt {
-    /// The parts that other requests may have as well.
+    /// All parts but the last, which other requests may have in common.
     pub fn shared(&self) -> &[Part] {
         match self.parts.split_last() {
             Some((_, shared)) => shared,
@@ -42,38 +42,38 @@
         }
     }
 
-    /// Tokens in the shared parts.
+    /// Total length of the shared parts, in tokens.
     pub fn shared_tokens(&self) -> u32 {
         self.shared().iter().map(|p| p.tokens).sum()
     }
 }
 
-/// Which cached parts a request may use: those of one model, one version of its weights and, for a
-/// team that shares with nobody, of that team.
+/// The set of cached parts that a request may use: those of one model, one version of its weights
+/// and, for an isolated team, only that team's own.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Scope(String);
 
 impl Scope {
-    /// The scope of a model's version, walled off for a team if one is given.
-    pub fn new(model: &str, version: u64, wall: Option<&str>) -> Self {
-        match wall {
+    /// The scope of one version of a model, limited to a team if one is given.
+    pub fn new(model: &str, version: u64, isolated_team: Option<&str>) -> Self {
+        match isolated_team {
             Some(team) => Self(format!("{model}.{version}.{team}")),
             None => Self(format!("{model}.{version}")),
         }
     }
 
-    /// The scope as engines are told it.
+    /// The text that identifies the scope to engines.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// A short key for indexes.
+    /// Hash of the scope, used as a key in indexes.
     pub fn key(&self) -> u64 {
         scope_key(&self.0)
     }
 }
 
-/// The short key of a scope's text.
+/// Hash of the text that identifies a scope.
 pub fn scope_key(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
--- a/crates/site/src/settings.rs
+++ b/crates/site/src/settings.rs
@@ -1,31 +1,31 @@
-//! What one process is told when it starts.
+//! Startup settings of a process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a process does.
+/// The function of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts and routes callers' requests.
     Entry,
-    /// Stands beside an engine and orders its weights.
+    /// Runs next to an engine and orders it to load weights.
     Sidecar,
 }
 
-/// Figures that the platform promises or asks for.
+/// Limits that the platform guarantees or requires.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// From the signal to stop until the process is killed.
+    /// Time between the stop signal and the kill of the process.
     pub grace: Duration,
-    /// From the naming of new weights until no request may begin on older ones.
+    /// Time after the announcement of new weights by which no request may start on older ones.
     pub weights_deadline: Duration,
-    /// How long orders of two processes to one engine stay apart.
+    /// Minimum time between orders of two different processes to the same engine.
     pub lease: Duration,
     /// Retries per request that all entries together may send to a pool.
     pub retry_ratio: f64,
-    /// Retries beyond that ratio, for all entries together.
+    /// Retries allowed in addition to `retry_ratio`, for all entries together.
     pub retry_slack: f64,
-    /// The window in which both are counted.
+    /// Length of the window in which requests and retries are counted.
     pub retry_window: Duration,
 }
 
@@ -34,26 +34,26 @@
 pub struct Settings {
     /// Name of the host.
     pub host: String,
-    /// What the process does.
+    /// Function of the process.
     pub role: Role,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Where callers connect.
+    /// Address on which callers connect; only entries have one.
     pub callers: Option<SocketAddr>,
-    /// Where the platform asks whether the process takes new connections.
+    /// Address of the platform's readiness check for new connections.
     pub ready: Option<SocketAddr>,
-    /// Where other processes of the system reach this one.
+    /// Address on which other processes of the system connect.
     pub peer: SocketAddr,
-    /// Hosts that are likely to be up, at the port of `peer`.
+    /// Addresses of other hosts that are probably running, with the port of `peer`.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system is starting for the first time.
     pub bootstrap: bool,
-    /// The engine beside a sidecar.
+    /// Address of the engine that a sidecar manages.
     pub engine: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// How often a target renews its entry in the store.
+    /// Interval at which a target renews its entry in the store.
     pub heartbeat: Duration,
-    /// Promised figures.
+    /// Limits that the platform guarantees or requires.
     pub bounds: Bounds,
 }
--- a/crates/site/src/target.rs
+++ b/crates/site/src/target.rs
@@ -1,90 +1,92 @@
-//! Targets as the platform's list names them, and what engines tell of themselves.
+//! Targets as the platform lists them, and the reports that engines give of themselves.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use model::Position;
 
-/// One life of a target. The same id with another start is another life, which holds nothing of
-/// the one before.
+/// One incarnation of a target.
+///
+/// A target that restarts keeps its id but is a new incarnation, which has none of the state of
+/// the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Boot {
-    /// The target's id.
+    /// Id of the target.
     pub id: String,
-    /// When this life began, in milliseconds of the target's own clock; 0 if it doesn't say.
+    /// Start time in milliseconds of the target's own clock; 0 if unknown.
     pub born: u64,
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It is leaving and must get no more.
+    /// Shutting down; must not receive new requests.
     Draining,
 }
 
-/// A model's weights.
+/// One version of a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Weights {
-    /// The model's name.
+    /// Name of the model.
     pub model: String,
-    /// Version of the weights; later ones are higher.
+    /// Version of the weights; newer weights have a higher version.
     pub version: u64,
 }
 
 /// A target that the platform lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Which life of which target.
+    /// Id and incarnation of the target.
     pub boot: Boot,
-    /// Its pool.
+    /// Pool that the target belongs to.
     pub pool: String,
-    /// Where it listens.
+    /// Address of the target.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// The target's failure domain.
     pub domain: String,
-    /// Whether it takes new work.
+    /// Whether the target accepts new requests.
     pub state: State,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Version in the store of its last heartbeat; of two targets the higher one was heard later.
+    /// Store position of the target's last heartbeat; a higher position is a later heartbeat.
     pub renewed: Position,
-    /// What it had loaded when it last said so.
+    /// Weights that the target had loaded at its last heartbeat.
     pub weights: Vec<Weights>,
 }
 
-/// What an engine says of itself.
+/// State that an engine reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Which life, if it says so.
+    /// Incarnation of the engine, if reported.
     pub boot: Option<Boot>,
-    /// What it has loaded.
+    /// Loaded weights.
     pub weights: Vec<Weights>,
-    /// Whether it is carrying out an order.
+    /// Whether the engine is executing an order.
     pub busy: bool,
-    /// Orders accepted in this life.
+    /// Number of orders accepted by this incarnation.
     pub seq: u64,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Requests that have been let in, read or not.
+    /// Number of admitted requests, before and after prefill.
     pub active: u32,
-    /// Those of them whose prompt has been read.
+    /// Number of admitted requests that have finished prefill.
     pub running: u32,
-    /// Tokens of memory that can't yield.
+    /// KV cache in use that can't be evicted, in tokens.
     pub memory_used: u32,
-    /// Tokens of memory in all.
+    /// Total KV cache, in tokens.
     pub memory_total: u32,
 }
 
-/// How an engine goes over to new weights.
+/// How an engine switches to new weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Swap {
-    /// What runs ends first.
+    /// Running requests finish before the switch.
     Wait,
-    /// What runs goes on with the new weights.
+    /// Running requests continue on the new weights.
     Retain,
 }
 
-/// The newest weights that the operator has named, by model.
+/// Newest version of the weights that the operator has announced, by model name.
 pub type AnnouncedWeights = HashMap<String, u64>;
