--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -84,7 +84,7 @@
     let now = ctx.now();
     let (domain, allowed) = {
         let s = ctx.node.settings.borrow();
-        (s.domain.clone(), Micros::from(s.bounds.weights))
+        (s.domain.clone(), Micros::from(s.bounds.weights_deadline))
     };
     let named = ctx.node.world.borrow().named.get(&prompt.model).cloned();
     let fleet = ctx.fleet.borrow();
@@ -112,8 +112,11 @@
         .map(|r| scope(r).map_or(0, |s| r.will_hold(now, s.key(), prompt.shared())));
     let missing = prompt.shared_tokens() - known.max().unwrap_or_default();
     let suffers = plan.routes_to(&job.pool).any(|route| {
-        route.mode.streams()
-            && length_partition::stalls_streams(engine.stride, route.gap.as_secs_f64() * 1e3)
+        route.mode.is_stream()
+            && length_partition::stalls_streams(
+                engine.tokens_per_event,
+                route.event_gap_goal.as_secs_f64() * 1e3,
+            )
     });
     let read = ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
     let view = View {
@@ -143,11 +146,11 @@
         let wait = Micros::from_millis(candidate.wait as u64);
         may_begin(r, wait).then_some((candidate, sources.get(&scope)?))
     });
-    let choice = ttft_placement::choose(prompt.input, candidates).ok_or(Reason::NoTarget)?;
+    let choice = ttft_placement::choose(prompt.input_tokens, candidates).ok_or(Reason::NoTarget)?;
     let estimate = Estimate {
         wait: choice.wait,
         prefill: (choice.ttft - choice.wait).max(0.0),
-        latency_goal: job.route.aim.as_secs_f64() * 1e3,
+        latency_goal: job.route.latency_goal.as_secs_f64() * 1e3,
         time_left: job.left(now).as_secs_f64() * 1e3,
     };
     // What has run can't be refused any more: its caller gets the rest now, also late, or never.
@@ -158,7 +161,7 @@
             over: Micros::from_millis(over as u64),
         });
     }
-    let own = prompt.input.saturating_sub(prompt.shared_tokens());
+    let own = prompt.input_tokens.saturating_sub(prompt.shared_tokens());
     let r = fleet.replicas.get(choice.key).ok_or(Reason::NoTarget)?;
     let scope = scope(r);
     let held = scope
@@ -191,11 +194,11 @@
 fn save(fleet: &Fleet, plan: &Plan, prompt: &Prompt, scope: u64) -> Option<SocketAddr> {
     let subject = prompt.shared().last()?.id.0;
     let rank = |a: &SocketAddr| xxh3_64_with_seed(a.to_string().as_bytes(), subject);
-    let stores = plan.kept().iter().map(|k| k.addr);
+    let stores = plan.kv_stores().iter().map(|k| k.addr);
     let store = stores.min_by_key(rank)?;
     let held = &fleet.kept.get(&store)?.held;
     let missing = prompt.shared_tokens() - holds(held, scope, prompt.shared());
-    let own = prompt.input.saturating_sub(prompt.shared_tokens());
+    let own = prompt.input_tokens.saturating_sub(prompt.shared_tokens());
     let worth = missing >= LEAST_KEPT && f64::from(own) <= f64::from(missing) * OWN_KEPT;
     worth.then_some(store)
 }
--- a/crates/gate/src/entry/serve.rs
+++ b/crates/gate/src/entry/serve.rs
@@ -46,7 +46,7 @@
 ) -> Result<Response<Answer>, Torn> {
     let came = ctx.now();
     let (parts, body) = request.into_parts();
-    let head = match caller::head(&parts) {
+    let head = match caller::decode_request_head(&parts) {
         Ok(h) => h,
         Err(_) => return Ok(refuse::early(&ctx, &watch, "", came, Reason::Malformed)),
     };
@@ -89,7 +89,7 @@
 }
 
 async fn read(plan: &Plan, body: Incoming) -> Result<Bytes, ReadError> {
-    let limited = Limited::new(body, plan.limits().body);
+    let limited = Limited::new(body, plan.limits().max_body);
     match limited.collect().await {
         Ok(b) => Ok(b.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(ReadError::Large),
@@ -113,7 +113,7 @@
     let key = head.key.as_ref().and_then(|k| plan.team(k));
     let team = match key {
         Some(team) => Some(team.to_owned()),
-        None if route.open || !plan.keyed() => None,
+        None if route.anonymous || !plan.requires_key() => None,
         None => return Err(Reason::NoKey),
     };
     let tenancy = team.as_ref().map(|t| plan.tenancy(t)).unwrap_or_default();
@@ -122,7 +122,7 @@
         id: head.id,
         version: plan.version(),
         pool: share(&route).ok_or(Reason::NoTarget)?,
-        walled: tenancy.walled,
+        walled: tenancy.isolated,
         rank: tenancy.rank.unwrap_or(route.rank),
         team,
         prompt: head.prompt,
@@ -131,7 +131,7 @@
         headers: parts.headers,
         body: Bytes::new(),
         print: Fingerprint::default(),
-        resume: head.resume,
+        resume: head.last_event_id,
         came,
         deadline: came + wait.into(),
         tried: Vec::new(),
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -47,16 +47,22 @@
         let near = r.target.domain == self.domain;
         let far = if near { 0.0 } else { FAR };
         let apart = self.long.as_ref().map_or(0.0, |long| {
-            length_partition::mismatch_cost(self.prompt.input, long.contains(&r.target.boot.id))
+            length_partition::mismatch_cost(
+                self.prompt.input_tokens,
+                long.contains(&r.target.boot.id),
+            )
         });
-        let load = self.load(r, self.prompt.input.saturating_sub(held));
+        let load = self.load(r, self.prompt.input_tokens.saturating_sub(held));
         let version = r.weights.get(&self.prompt.model);
         let outdated = version.and_then(|v| self.named.outdated(self.now, *v));
         Candidate {
             key,
             addr: r.target.addr,
             domain: domain_key(&r.target.domain),
-            wait: load.wait(self.prompt.input + self.prompt.output, self.read),
+            wait: load.wait(
+                self.prompt.input_tokens + self.prompt.max_output_tokens,
+                self.read,
+            ),
             prefill_per_token: self.read,
             held,
             eviction_cost: self.read * ROOM,
@@ -125,17 +131,17 @@
             domain: domain_key(&o.target.domain),
             held: o.holds(scope, parts),
             held_soon: o.will_hold(self.now, scope, parts),
-            fetch_per_token: rate(self.engine.link),
+            fetch_per_token: rate(self.engine.link_mbps),
             fetch_setup: SETUP,
         });
-        let kept = plan.kept().iter().filter_map(|k| {
+        let kept = plan.kv_stores().iter().filter_map(|k| {
             let held = holds(&fleet.kept.get(&k.addr)?.held, scope, parts);
             Some(Source {
                 addr: k.addr,
                 domain: domain_key(&k.domain),
                 held,
                 held_soon: held,
-                fetch_per_token: rate(k.link),
+                fetch_per_token: rate(k.link_mbps),
                 fetch_setup: SETUP,
             })
         });
