--- a/crates/daemon/src/entry/prepare.rs
+++ b/crates/daemon/src/entry/prepare.rs
@@ -8,7 +8,7 @@
 use hyper::http::request::Parts;
 use model::{Code, RequestId};
 use prefix::Seed;
-use rules::config::Kind;
+use rules::config::PoolKind;
 use rules::{Decision, Facts, RuleSet, Team};
 use tokio::time::Instant;
 use viz::header::HeaderMap;
@@ -85,7 +85,7 @@
     let Some((name, pool)) = decision.pool else {
         return Err(Problem::unsent(Code::NoRule, "the rule names no pool"));
     };
-    if pool.kind == Kind::Model && completion.is_none() {
+    if pool.kind == PoolKind::Model && completion.is_none() {
         ask::guard(&body)?;
     }
     let Some(key) = view.world.pool(name) else {
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::config::{Config, Kind, Limits, Pool, Team};
+use crate::config::{Config, Limits, Pool, PoolKind, Team};
 use crate::fault::{FaultKind, Noun};
 use crate::keys::Digest;
 use crate::read::{nearest, Reader};
@@ -78,11 +78,11 @@
         zero(reader, &path, "concurrency", p.concurrency);
         kept(reader, &path, p, pools);
         match p.kind {
-            Kind::Model if p.model.is_empty() => {
+            PoolKind::Model if p.model.is_empty() => {
                 reader.note(path, FaultKind::NoModel(pool.clone()));
             }
-            Kind::Plain => plain(reader, &path, p),
-            Kind::Model => {}
+            PoolKind::Plain => plain(reader, &path, p),
+            PoolKind::Model => {}
         }
     }
 }
@@ -94,7 +94,9 @@
     };
     let path = format!("{path}.kept");
     match pools.get(name) {
-        Some(p) if p.kind == Kind::Model => reader.note(path, FaultKind::KeptModel(name.clone())),
+        Some(p) if p.kind == PoolKind::Model => {
+            reader.note(path, FaultKind::KeptModel(name.clone()))
+        }
         _ => declared(reader, path, Noun::Pool, name, pools),
     }
 }
--- a/crates/rules/src/config.rs
+++ b/crates/rules/src/config.rs
@@ -58,7 +58,7 @@
 
 words! {
     /// What stands behind a pool.
-    Kind {
+    PoolKind {
         /// Model engines with a prefix cache.
         #[default]
         Model "model",
@@ -71,7 +71,7 @@
     /// Targets that can stand in for one another.
     Pool in "pool.NAME" {
         /// What stands behind it: `model` engines with a prefix cache, or `plain` services.
-        "kind" kind: Kind = Kind::Model;
+        "kind" kind: PoolKind = PoolKind::Model;
         /// The model its engines serve.
         "model" model: String = String::new();
         /// The version of the weights its engines should serve.
--- a/crates/rules/src/decide.rs
+++ b/crates/rules/src/decide.rs
@@ -6,7 +6,7 @@
 
 use crate::check;
 use crate::cond::{self, Cond};
-use crate::config::{Config, Kind, Limits, Pool, Rule, Team, Weekday};
+use crate::config::{Config, Limits, Pool, PoolKind, Rule, Team, Weekday};
 use crate::fault::{Fault, Faults};
 use crate::index::Index;
 use crate::keys::Keys;
@@ -150,7 +150,7 @@
             .as_deref()
             .and_then(|n| Some((n, self.config.pool.get(n)?)));
         let safe = matches!(facts.method.as_str(), "GET" | "HEAD" | "OPTIONS");
-        let model = pool.is_some_and(|(_, p)| p.kind == Kind::Model);
+        let model = pool.is_some_and(|(_, p)| p.kind == PoolKind::Model);
         let team = self.config.team.get_key_value(&facts.team);
         let own = team.map(|(name, _)| self.config.scope(name));
         let limits = team.map_or(self.config.limits, |(_, t)| t.limits.or(self.config.limits));
--- a/crates/rules/tests/properties.rs
+++ b/crates/rules/tests/properties.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::sample::{select, subsequence};
 use proptest::test_runner::RngSeed;
-use rules::config::{Kind, Range, Region};
+use rules::config::{PoolKind, Range, Region};
 use rules::units::{Duration, Glob, Percent, Size, Window};
 use rules::{Config, Facts, FaultKind, Limits, Pool, Rule, RuleSet, Team, Then, Weekday, When};
 
@@ -167,7 +167,7 @@
 }
 
 fn pool() -> impl Strategy<Value = Pool> {
-    let kind = select(Kind::ALL);
+    let kind = select(PoolKind::ALL);
     let rest = (
         any::<bool>(),
         option::of(".{0,8}"),
