--- a/crates/cli/src/digest.rs
+++ b/crates/cli/src/digest.rs
@@ -20,6 +20,6 @@
     })?;
     match key.trim() {
         "" => Err(Usage::EmptyKey.into()),
-        key => Ok(rules::digest(key)),
+        key => Ok(rules::key_digest(key)),
     }
 }
--- a/crates/rules/examples/digest.rs
+++ b/crates/rules/examples/digest.rs
@@ -3,5 +3,5 @@
 fn main() {
     std::env::args()
         .skip(1)
-        .for_each(|key| println!("{}", rules::digest(key)));
+        .for_each(|key| println!("{}", rules::key_digest(key)));
 }
--- a/crates/rules/examples/rules_bench.rs
+++ b/crates/rules/examples/rules_bench.rs
@@ -34,7 +34,7 @@
 fn text() -> String {
     let mut out = String::from("[pool.desk]\nmodel = \"m\"\n");
     for i in 0..TEAMS {
-        let digest = rules::digest(key(i));
+        let digest = rules::key_digest(key(i));
         let _ = writeln!(out, "[team.t{i}]\nkeys = [\"{digest}\"]");
     }
     for i in 0..RULES - 1 {
--- a/crates/rules/src/keys.rs
+++ b/crates/rules/src/api_keys.rs
@@ -23,15 +23,15 @@
 use crate::config::Config;
 
 /// The digest of an API key as a configuration holds it.
-pub fn digest(key: impl AsRef<[u8]>) -> String {
+pub fn key_digest(key: impl AsRef<[u8]>) -> String {
     format!("blake3:{}", blake3::hash(key.as_ref()).to_hex())
 }
 
 /// The digest of an API key.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Digest([u8; 32]);
+pub(crate) struct KeyDigest([u8; 32]);
 
-impl Digest {
+impl KeyDigest {
     /// The digest of a key.
     pub(crate) fn of(key: impl AsRef<[u8]>) -> Self {
         Self(*blake3::hash(key.as_ref()).as_bytes())
@@ -46,15 +46,15 @@
     }
 }
 
-impl PartialEq for Digest {
+impl PartialEq for KeyDigest {
     fn eq(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 }
 
-impl Eq for Digest {}
+impl Eq for KeyDigest {}
 
-impl Hash for Digest {
+impl Hash for KeyDigest {
     fn hash<H: Hasher>(&self, state: &mut H) {
         state.write(&self.0);
     }
@@ -62,21 +62,21 @@
 
 /// Teams by the digests of their keys.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Keys(HashMap<Digest, String>);
+pub(crate) struct ApiKeys(HashMap<KeyDigest, String>);
 
-impl Keys {
+impl ApiKeys {
     /// Collects the keys of all teams.
     pub(crate) fn new(config: &Config) -> Self {
         let held = config.team.iter().flat_map(|(name, team)| {
             team.keys
                 .iter()
-                .filter_map(|k| Some((Digest::parse(k)?, name.clone())))
+                .filter_map(|k| Some((KeyDigest::parse(k)?, name.clone())))
         });
         Self(held.collect())
     }
 
     /// The team that holds a key.
     pub(crate) fn team(&self, key: impl AsRef<[u8]>) -> Option<&str> {
-        self.0.get(&Digest::of(key)).map(String::as_str)
+        self.0.get(&KeyDigest::of(key)).map(String::as_str)
     }
 }
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap};
 
+use crate::api_keys::KeyDigest;
 use crate::config::{Config, Limits, Pool, PoolKind, Team};
 use crate::fault::{FaultKind, Noun};
-use crate::keys::Digest;
 use crate::read::{nearest, Reader};
 use crate::rulecheck;
 
@@ -118,7 +118,7 @@
 }
 
 fn teams(reader: &mut Reader, config: &Config) {
-    let mut holders: HashMap<Digest, &str> = HashMap::new();
+    let mut holders: HashMap<KeyDigest, &str> = HashMap::new();
     limits(reader, "limits", &config.limits);
     for (team, t) in &config.team {
         let path = format!("team.{team}");
@@ -129,7 +129,7 @@
         }
         for (i, key) in t.keys.iter().enumerate() {
             let path = format!("{path}.keys[{i}]");
-            match Digest::parse(key) {
+            match KeyDigest::parse(key) {
                 None => reader.note(path, FaultKind::BadDigest),
                 Some(d) => {
                     if let Some(other) = holders.insert(d, team) {
--- a/crates/rules/src/decide.rs
+++ b/crates/rules/src/decide.rs
@@ -4,12 +4,12 @@
 
 use model::{Class, Micros};
 
+use crate::api_keys::ApiKeys;
 use crate::check;
 use crate::cond::{self, Cond};
 use crate::config::{Config, Limits, Pool, PoolKind, Rule, Team, Weekday};
 use crate::fault::{Fault, Faults};
 use crate::index::Index;
-use crate::keys::Keys;
 use crate::read::Reader;
 use crate::units::Size;
 
@@ -21,7 +21,7 @@
 pub struct RuleSet {
     config: Config,
     warnings: Vec<Fault>,
-    keys: Keys,
+    keys: ApiKeys,
     index: Index,
     /// All conditions of each rule.
     conds: Vec<Vec<Cond>>,
@@ -115,7 +115,7 @@
         };
         Self {
             warnings,
-            keys: Keys::new(&config),
+            keys: ApiKeys::new(&config),
             index: Index::new(&conds),
             rest: conds.iter().map(open).collect(),
             conds,
@@ -134,7 +134,7 @@
     }
 
     /// The team with this API key. The time taken doesn't tell how near a guess came; see the head
-    /// of the module `keys`.
+    /// of the module `api_keys`.
     pub fn team(&self, key: impl AsRef<[u8]>) -> Option<(&str, &Team)> {
         let name = self.keys.team(key)?;
         Some((name, self.config.team.get(name)?))
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -15,17 +15,17 @@
 pub mod table;
 pub mod units;
 
+mod api_keys;
 mod check;
 mod index;
-mod keys;
 mod read;
 mod rulecheck;
 
+pub use api_keys::key_digest;
 pub use cond::Cond;
 pub use config::{Config, Limits, Pool, Rule, Team, Then, Weekday, When};
 pub use decide::{parse, Decision, Facts, RuleSet};
 pub use diff::{diff, Change, Changes, Edit, Item};
 pub use explain::{Explanation, Passed};
 pub use fault::{Fault, FaultKind, Faults, Noun, Severity};
-pub use keys::digest;
 pub use table::Field;
