--- a/crates/rules/examples/rules_bench.rs
+++ b/crates/rules/examples/rules_bench.rs
@@ -90,7 +90,7 @@
     let requests = requests();
     let scan = |f: &Facts| rules.config().rule.iter().position(|r| matches(&r.when, f));
     for f in &requests {
-        assert_eq!(rules.first(f), scan(f), "{f:?}");
+        assert_eq!(rules.first_match(f), scan(f), "{f:?}");
     }
     let next = |i: usize| &requests[i % REQUESTS];
     report("decide", ROUNDS, |i| rules.decide(next(i)).is_some());
--- a/crates/rules/src/decide.rs
+++ b/crates/rules/src/decide.rs
@@ -103,7 +103,7 @@
     }
 
     /// Takes a configuration that another program has checked and put in order.
-    pub fn assemble(config: Config) -> Self {
+    pub fn from_checked(config: Config) -> Self {
         Self::build(config, Vec::new())
     }
 
@@ -142,7 +142,7 @@
 
     /// The first rule that matches, with its consequences.
     pub fn decide(&self, facts: &Facts) -> Option<Decision<'_>> {
-        let first = self.first(facts)?;
+        let first = self.first_match(facts)?;
         let rule = &self.config.rule[first];
         let then = &rule.then;
         let pool = then
@@ -167,7 +167,7 @@
     }
 
     /// The position of the first rule that matches.
-    pub fn first(&self, facts: &Facts) -> Option<usize> {
+    pub fn first_match(&self, facts: &Facts) -> Option<usize> {
         let pass = |rule: usize| self.rest[rule].iter().all(|c| c.holds(facts));
         self.index.find(facts, pass)
     }
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -31,7 +31,7 @@
 impl RuleSet {
     /// Which rule decides a request, and why each earlier one doesn't.
     pub fn explain(&self, facts: &Facts) -> Explanation<'_> {
-        let decision = self.first(facts).zip(self.decide(facts));
+        let decision = self.first_match(facts).zip(self.decide(facts));
         let end = decision.as_ref().map_or(self.conds().len(), |(i, _)| *i);
         let conds = self.conds().iter().take(end).enumerate();
         let passed = conds.filter_map(|(index, conds)| {
--- a/crates/rules/tests/properties.rs
+++ b/crates/rules/tests/properties.rs
@@ -394,7 +394,7 @@
             })
             .collect();
         for f in &facts {
-            let first = rules.first(f);
+            let first = rules.first_match(f);
             prop_assert_eq!(first, oracle(rules.config(), f));
             let name = first.map(|i| rules.config().rule[i].name.as_str());
             prop_assert!(name.is_none_or(|n| !unreachable.contains(&n)));
--- a/crates/site/src/plan.rs
+++ b/crates/site/src/plan.rs
@@ -157,7 +157,7 @@
 impl Plan {
     /// Makes a configuration decide.
     pub fn new(draft: PlanDraft) -> Self {
-        let rules = RuleSet::assemble(draft.config.clone());
+        let rules = RuleSet::from_checked(draft.config.clone());
         Self { draft, rules }
     }
 
@@ -168,7 +168,7 @@
 
     /// The route of the first rule that matches.
     pub fn route(&self, facts: &Facts) -> Option<&Route> {
-        let first = self.rules.first(facts)?;
+        let first = self.rules.first_match(facts)?;
         self.draft.routes.get(first)
     }
 
