--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -97,10 +97,10 @@
         path: path.to_owned(),
         model: e.model.clone(),
         headers: headers.map(|h| (h.name.clone(), h.value.clone())).collect(),
-        prompt: e.prompt_bytes,
+        prompt_bytes: e.prompt_bytes,
         ..Facts::default()
     };
-    Ok(facts.at(e.at.0))
+    Ok(facts.at_unix_time(e.at.0))
 }
 
 impl Time {
--- a/crates/daemon/src/entry/prepare.rs
+++ b/crates/daemon/src/entry/prepare.rs
@@ -94,7 +94,7 @@
     let sent = Sent {
         team: &facts.team,
         rule: &decision.rule.name,
-        prompt: facts.prompt,
+        prompt: facts.prompt_bytes,
         entries: view.entries,
     };
     limited(cx, sent, &decision)?;
@@ -151,10 +151,10 @@
         path: head.uri.path().to_owned(),
         model: completion.and_then(|c| c.model.clone()),
         headers: headers.collect(),
-        prompt: completion.map_or(0, |c| c.prompt.len()),
+        prompt_bytes: completion.map_or(0, |c| c.prompt.len()),
         ..Facts::default()
     };
-    facts.at(clock::epoch())
+    facts.at_unix_time(clock::epoch())
 }
 
 fn target(head: &Parts) -> String {
--- a/crates/rules/examples/rules_bench.rs
+++ b/crates/rules/examples/rules_bench.rs
@@ -67,7 +67,7 @@
             method: "POST".to_owned(),
             path: "/v1/chat/completions".to_owned(),
             model: Some("m".to_owned()),
-            prompt: 20_000,
+            prompt_bytes: 20_000,
             ..Facts::default()
         };
         f.headers.insert("x-kind".to_owned(), "usual".to_owned());
--- a/crates/rules/src/cond.rs
+++ b/crates/rules/src/cond.rs
@@ -78,10 +78,12 @@
                 Some(m) => globs.iter().any(|g| g.matches(m)),
                 None => false,
             },
-            Self::Class(classes) => facts.asked().is_some_and(|c| classes.contains(&c)),
+            Self::Class(classes) => facts
+                .requested_class()
+                .is_some_and(|c| classes.contains(&c)),
             Self::Hours(windows) => windows.iter().any(|w| w.contains(facts.minute)),
             Self::Days(days) => days.contains(&facts.weekday),
-            Self::Prompt(range) => range.contains(facts.prompt),
+            Self::Prompt(range) => range.contains(facts.prompt_bytes),
             Self::Header(name, value) => facts.headers.get(name).is_some_and(|v| value.matches(v)),
             Self::Not(inner) => !inner.holds(facts),
         }
--- a/crates/rules/src/decide.rs
+++ b/crates/rules/src/decide.rs
@@ -43,7 +43,7 @@
     /// Headers, names in lower case.
     pub headers: BTreeMap<String, String>,
     /// Bytes of prompt.
-    pub prompt: usize,
+    pub prompt_bytes: usize,
     /// Minutes since midnight, UTC.
     pub minute: u16,
     /// Day of the week, UTC.
@@ -52,12 +52,12 @@
 
 impl Facts {
     /// The class that the caller asks for, if it is one.
-    pub fn asked(&self) -> Option<Class> {
+    pub fn requested_class(&self) -> Option<Class> {
         self.headers.get(cond::CLASS)?.parse().ok()
     }
 
     /// The same facts at a time, in seconds since the beginning of 1970, UTC.
-    pub fn at(mut self, unix: u64) -> Self {
+    pub fn at_unix_time(mut self, unix: u64) -> Self {
         self.minute = (unix % DAY / 60) as u16;
         // The first day of 1970 was a Thursday.
         self.weekday = Weekday::ALL[((unix / DAY + 3) % 7) as usize];
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -58,10 +58,10 @@
         Cond::Path(_) => facts.path.clone(),
         Cond::Method(_) => facts.method.clone(),
         Cond::Model(_) => facts.model.clone().unwrap_or_else(none),
-        Cond::Class(_) => facts.asked().map_or_else(none, |c| c.to_string()),
+        Cond::Class(_) => facts.requested_class().map_or_else(none, |c| c.to_string()),
         Cond::Hours(_) => format!("{:02}:{:02}", facts.minute / 60, facts.minute % 60),
         Cond::Days(_) => facts.weekday.to_string(),
-        Cond::Prompt(_) => format!("{}B", facts.prompt),
+        Cond::Prompt(_) => format!("{}B", facts.prompt_bytes),
         Cond::Header(name, _) => facts.headers.get(name).cloned().unwrap_or_else(none),
         Cond::Not(inner) => found(inner, facts),
     }
--- a/crates/rules/tests/properties.rs
+++ b/crates/rules/tests/properties.rs
@@ -236,7 +236,7 @@
     let headers = btree_map(select(&["x-a", "x-b", "x-class"][..]), value, 0..4);
     let rest = (0usize..6000, 0u16..1440, select(Weekday::ALL));
     (texts, headers, rest).prop_map(
-        |((team, method, path, model), headers, (prompt, minute, weekday))| {
+        |((team, method, path, model), headers, (prompt_bytes, minute, weekday))| {
             let owned = |(k, v): (&str, &str)| (k.to_owned(), v.to_owned());
             Facts {
                 team: team.to_owned(),
@@ -244,7 +244,7 @@
                 path: path.to_owned(),
                 model: model.map(str::to_owned),
                 headers: headers.into_iter().map(owned).collect(),
-                prompt,
+                prompt_bytes,
                 minute,
                 weekday,
             }
@@ -322,8 +322,8 @@
     let of = |there: bool, holds: bool| there.then_some(holds);
     let model = f.model.as_deref();
     let asked = f.headers.get("x-class").map(String::as_str);
-    let min = w.prompt.min.map(|s| f.prompt as u64 >= s.0);
-    let max = w.prompt.max.map(|s| f.prompt as u64 <= s.0);
+    let min = w.prompt.min.map(|s| f.prompt_bytes as u64 >= s.0);
+    let max = w.prompt.max.map(|s| f.prompt_bytes as u64 <= s.0);
     let mut all = vec![
         of(!w.team.is_empty(), w.team.contains(&f.team)),
         of(!w.path.is_empty(), w.path.iter().any(|g| like(g, &f.path))),
--- a/crates/rules/tests/samples.rs
+++ b/crates/rules/tests/samples.rs
@@ -123,7 +123,7 @@
         headers: [("x-class".to_owned(), class)].into(),
         ..Facts::default()
     }
-    .at(MORNING)
+    .at_unix_time(MORNING)
 }
 
 fn decide(rules: &RuleSet, facts: &Facts) -> String {
--- a/crates/rules/tests/tables.rs
+++ b/crates/rules/tests/tables.rs
@@ -142,7 +142,7 @@
             weekday: Weekday::Wed,
         },
     ] {
-        let f = Facts::default().at(c.unix);
+        let f = Facts::default().at_unix_time(c.unix);
         assert_eq!((f.minute, f.weekday), (c.minute, c.weekday));
     }
 }
