--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -4,7 +4,7 @@
 
 use crate::api_keys::KeyDigest;
 use crate::config::{Config, Limits, Pool, PoolKind, Team};
-use crate::fault::{FaultKind, Noun};
+use crate::fault::{FaultKind, NameKind};
 use crate::read::{nearest, Reader};
 use crate::rulecheck;
 
@@ -32,7 +32,7 @@
 pub(crate) fn declared<T>(
     reader: &mut Reader,
     path: impl Into<String>,
-    noun: Noun,
+    noun: NameKind,
     name: &str,
     known: &BTreeMap<String, T>,
 ) {
@@ -58,7 +58,7 @@
             let path = format!("{path}.domains[{i}]");
             name(reader, &path, domain);
             if let Some(first) = homes.get(domain.as_str()) {
-                let kind = FaultKind::SharedDomain {
+                let kind = FaultKind::DuplicateDomain {
                     domain: domain.clone(),
                     region: (*first).to_owned(),
                 };
@@ -79,7 +79,7 @@
         kept(reader, &path, p, pools);
         match p.kind {
             PoolKind::Model if p.model.is_empty() => {
-                reader.note(path, FaultKind::NoModel(pool.clone()));
+                reader.note(path, FaultKind::MissingModel(pool.clone()));
             }
             PoolKind::Plain => plain(reader, &path, p),
             PoolKind::Model => {}
@@ -95,9 +95,9 @@
     let path = format!("{path}.kept");
     match pools.get(name) {
         Some(p) if p.kind == PoolKind::Model => {
-            reader.note(path, FaultKind::KeptModel(name.clone()))
+            reader.note(path, FaultKind::KvStoreNotPlain(name.clone()))
         }
-        _ => declared(reader, path, Noun::Pool, name, pools),
+        _ => declared(reader, path, NameKind::Pool, name, pools),
     }
 }
 
@@ -113,7 +113,10 @@
     ];
     for (key, _) in set.into_iter().filter(|(_, set)| *set) {
         let beside = "in a pool of kind `plain`";
-        reader.note(format!("{path}.{key}"), FaultKind::IdleKey { key, beside });
+        reader.note(
+            format!("{path}.{key}"),
+            FaultKind::IneffectiveKey { key, beside },
+        );
     }
 }
 
@@ -125,7 +128,7 @@
         name(reader, &path, team);
         zero(reader, &path, "share", Some(t.share));
         if t.keys.is_empty() && !reader.is_faulty(format!("{path}.keys")) {
-            reader.note(&path, FaultKind::EmptyTeam(team.clone()));
+            reader.note(&path, FaultKind::TeamWithoutKey(team.clone()));
         }
         for (i, key) in t.keys.iter().enumerate() {
             let path = format!("{path}.keys[{i}]");
@@ -133,7 +136,7 @@
                 None => reader.note(path, FaultKind::BadDigest),
                 Some(d) => {
                     if let Some(other) = holders.insert(d, team) {
-                        reader.note(path, FaultKind::SharedKey(other.to_owned()));
+                        reader.note(path, FaultKind::DuplicateApiKey(other.to_owned()));
                     }
                 }
             }
@@ -167,7 +170,7 @@
 
 /// Notes limits that let nothing through.
 pub(crate) fn limits(reader: &mut Reader, path: &str, limits: &Limits) {
-    for (key, value) in limits.each() {
+    for (key, value) in limits.by_key() {
         if value == Some(0) {
             reader.note(format!("{path}.{key}"), FaultKind::Zero(key));
         }
@@ -217,6 +220,9 @@
     (high, b): (&'static str, T),
 ) {
     if a > b {
-        reader.note(format!("{table}.{low}"), FaultKind::Crossed { low, high });
+        reader.note(
+            format!("{table}.{low}"),
+            FaultKind::InvertedBounds { low, high },
+        );
     }
 }
--- a/crates/rules/src/cond.rs
+++ b/crates/rules/src/condition.rs
@@ -5,16 +5,16 @@
 
 use model::Class;
 
-use crate::config::{Range, Rule, Weekday, When};
+use crate::config::{Rule, SizeRange, Weekday, When};
 use crate::decide::Facts;
-use crate::units::{Glob, Window};
+use crate::units::{Glob, TimeWindow};
 
 /// The header in which a caller asks for a class.
-pub const CLASS: &str = "x-class";
+pub const CLASS_HEADER: &str = "x-class";
 
 /// A condition.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Cond {
+pub enum Condition {
     /// The team is one of these.
     Team(BTreeSet<String>),
     /// The path matches one of these.
@@ -26,48 +26,59 @@
     /// The class asked for is one of these.
     Class(BTreeSet<Class>),
     /// The time of day lies in one of these.
-    Hours(Vec<Window>),
+    Hours(Vec<TimeWindow>),
     /// The day is one of these.
     Days(BTreeSet<Weekday>),
     /// The prompt's size lies in this range.
-    Prompt(Range),
+    Prompt(SizeRange),
     /// This header has this value.
     Header(String, Glob),
     /// That doesn't hold.
-    Not(Box<Cond>),
+    Not(Box<Condition>),
 }
 
 /// All conditions of a rule, the positive ones first.
-pub(crate) fn of(rule: &Rule) -> Vec<Cond> {
-    let negated = list(&rule.not).into_iter().map(|c| Cond::Not(Box::new(c)));
+pub(crate) fn of(rule: &Rule) -> Vec<Condition> {
+    let negated = list(&rule.not)
+        .into_iter()
+        .map(|c| Condition::Not(Box::new(c)));
     list(&rule.when).into_iter().chain(negated).collect()
 }
 
-fn list(when: &When) -> Vec<Cond> {
+fn list(when: &When) -> Vec<Condition> {
     let mut conds = Vec::new();
-    let mut add = |there: bool, cond: Cond| conds.extend(there.then_some(cond));
+    let mut add = |there: bool, cond: Condition| conds.extend(there.then_some(cond));
     let w = when.clone();
-    add(!w.team.is_empty(), Cond::Team(w.team.into_iter().collect()));
-    add(!w.path.is_empty(), Cond::Path(w.path));
+    add(
+        !w.team.is_empty(),
+        Condition::Team(w.team.into_iter().collect()),
+    );
+    add(!w.path.is_empty(), Condition::Path(w.path));
     add(
         !w.method.is_empty(),
-        Cond::Method(w.method.into_iter().collect()),
+        Condition::Method(w.method.into_iter().collect()),
     );
-    add(!w.model.is_empty(), Cond::Model(w.model));
+    add(!w.model.is_empty(), Condition::Model(w.model));
     add(
         !w.class.is_empty(),
-        Cond::Class(w.class.into_iter().collect()),
+        Condition::Class(w.class.into_iter().collect()),
+    );
+    add(!w.hours.is_empty(), Condition::Hours(w.hours));
+    add(
+        !w.days.is_empty(),
+        Condition::Days(w.days.into_iter().collect()),
+    );
+    add(
+        w.prompt != SizeRange::default(),
+        Condition::Prompt(w.prompt),
     );
-    add(!w.hours.is_empty(), Cond::Hours(w.hours));
-    add(!w.days.is_empty(), Cond::Days(w.days.into_iter().collect()));
-    add(w.prompt != Range::default(), Cond::Prompt(w.prompt));
     for (name, value) in w.header {
-        add(true, Cond::Header(name, value));
+        add(true, Condition::Header(name, value));
     }
     conds
 }
 
-impl Cond {
+impl Condition {
     /// Whether it holds for a request.
     pub fn holds(&self, facts: &Facts) -> bool {
         match self {
@@ -131,12 +142,12 @@
         .all(|x| b.iter().all(|y| !x.covers(y) && !y.covers(x)))
 }
 
-fn hours_within(a: &[Window], b: &[Window]) -> bool {
-    let holds = |ws: &[Window], m| ws.iter().any(|w| w.contains(m));
+fn hours_within(a: &[TimeWindow], b: &[TimeWindow]) -> bool {
+    let holds = |ws: &[TimeWindow], m| ws.iter().any(|w| w.contains(m));
     (0..crate::units::DAY).all(|m| !holds(a, m) || holds(b, m))
 }
 
-impl Range {
+impl SizeRange {
     fn bounds(&self) -> (u64, u64) {
         (
             self.min.map_or(0, |s| s.0),
@@ -156,7 +167,7 @@
     }
 }
 
-impl fmt::Display for Cond {
+impl fmt::Display for Condition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Team(x) => write!(f, "team {}", any(x)),
@@ -173,7 +184,7 @@
     }
 }
 
-impl fmt::Display for Range {
+impl fmt::Display for SizeRange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (self.min, self.max) {
             (Some(a), Some(b)) => write!(f, "from {a} to {b}"),
--- a/crates/rules/src/config.rs
+++ b/crates/rules/src/config.rs
@@ -8,11 +8,11 @@
 
 use crate::features;
 use crate::read::{Read, Reader};
-use crate::table::{table, word, words, Field};
-use crate::units::{Duration, Glob, Size, Window};
+use crate::table::{table, word, words, OptionDoc};
+use crate::units::{Duration, Glob, Size, TimeWindow};
 
 /// Loads of weights at once in one pool; both users' weight stores slow down beyond two.
-pub const PERMITS: u32 = 2;
+pub const DEFAULT_PERMITS: u32 = 2;
 
 table! {
     /// The whole text.
@@ -26,7 +26,7 @@
         /// Limits of each team that sets none of its own.
         "limits" limits: Limits = Limits::default();
         /// Which replicas are asked for a request.
-        "place" place: features::Place = features::Place::default();
+        "place" place: features::Placement = features::Placement::default();
         /// Places held at replicas for requests that may come.
         "reserve" reserve: features::Reserve = features::Reserve::default();
         /// What is turned away before it waits.
@@ -82,7 +82,7 @@
         /// The plain pool that holds kept KV cache for these engines, if there is one.
         "kept" kept: Option<String> = None;
         /// Loads of weights at once.
-        "permits" permits: u32 = PERMITS;
+        "permits" permits: u32 = DEFAULT_PERMITS;
         /// Requests that one target should run at once at most; measured if absent.
         "concurrency" concurrency: Option<u32> = None;
     }
@@ -143,11 +143,11 @@
         /// One of these classes, as asked for in the `x-class` header.
         "class" class: Vec<Class> = Vec::new();
         /// One of these windows of the day in UTC, as `06:00-18:30`.
-        "hours" hours: Vec<Window> = Vec::new();
+        "hours" hours: Vec<TimeWindow> = Vec::new();
         /// One of these days of the week in UTC.
         "days" days: Vec<Weekday> = Vec::new();
         /// Size of the prompt.
-        "prompt" prompt: Range = Range::default();
+        "prompt" prompt: SizeRange = SizeRange::default();
         /// All of these headers, names in lower case; a trailing `*` stands for any rest, so that
         /// `*` alone asks that the header be there.
         "header" header: BTreeMap<String, Glob> = BTreeMap::new();
@@ -157,7 +157,7 @@
 table! {
     #[derive(Copy)]
     /// Sizes from a least to a greatest, both included.
-    Range in "rule.when.prompt" {
+    SizeRange in "rule.when.prompt" {
         /// The least size.
         "min" min: Option<Size> = None;
         /// The greatest size.
@@ -213,7 +213,7 @@
 
 impl Limits {
     /// Each limit by its key, as plain numbers.
-    pub fn each(&self) -> [(&'static str, Option<u64>); 3] {
+    pub fn by_key(&self) -> [(&'static str, Option<u64>); 3] {
         [
             ("requests", self.requests.map(u64::from)),
             ("tokens", self.tokens.map(u64::from)),
@@ -234,7 +234,7 @@
 impl Config {
     /// The configuration in canonical form: parsing it gives the same configuration, and printing
     /// that the same text. Comments are lost.
-    pub fn print(&self) -> Result<String, toml::ser::Error> {
+    pub fn to_toml(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// Every key of every table, for documentation.
-    pub fn options() -> Vec<Field> {
+    pub fn options() -> Vec<OptionDoc> {
         [
             Region::fields(),
             Pool::fields(),
@@ -263,7 +263,7 @@
             Limits::fields(),
             Rule::fields(),
             When::fields(),
-            Range::fields(),
+            SizeRange::fields(),
             Then::fields(),
             features::fields(),
         ]
--- a/crates/rules/src/decide.rs
+++ b/crates/rules/src/decide.rs
@@ -6,7 +6,7 @@
 
 use crate::api_keys::ApiKeys;
 use crate::check;
-use crate::cond::{self, Cond};
+use crate::condition::{self, Condition};
 use crate::config::{Config, Limits, Pool, PoolKind, Rule, Team, Weekday};
 use crate::fault::{Fault, Faults};
 use crate::index::Index;
@@ -24,9 +24,9 @@
     keys: ApiKeys,
     index: Index,
     /// All conditions of each rule.
-    conds: Vec<Vec<Cond>>,
+    conds: Vec<Vec<Condition>>,
     /// Those of each rule that the index leaves open.
-    rest: Vec<Vec<Cond>>,
+    rest: Vec<Vec<Condition>>,
 }
 
 /// What the rules may ask of a request.
@@ -53,7 +53,7 @@
 impl Facts {
     /// The class that the caller asks for, if it is one.
     pub fn requested_class(&self) -> Option<Class> {
-        self.headers.get(cond::CLASS)?.parse().ok()
+        self.headers.get(condition::CLASS_HEADER)?.parse().ok()
     }
 
     /// The same facts at a time, in seconds since the beginning of 1970, UTC.
@@ -108,8 +108,8 @@
     }
 
     fn build(config: Config, warnings: Vec<Fault>) -> Self {
-        let conds: Vec<_> = config.rule.iter().map(cond::of).collect();
-        let open = |conds: &Vec<Cond>| {
+        let conds: Vec<_> = config.rule.iter().map(condition::of).collect();
+        let open = |conds: &Vec<Condition>| {
             let open = conds.iter().filter(|c| !Index::answers(c));
             open.cloned().collect()
         };
@@ -172,7 +172,7 @@
         self.index.find(facts, pass)
     }
 
-    pub(crate) fn conds(&self) -> &[Vec<Cond>] {
+    pub(crate) fn conds(&self) -> &[Vec<Condition>] {
         &self.conds
     }
 }
--- a/crates/rules/src/diff.rs
+++ b/crates/rules/src/diff.rs
@@ -15,7 +15,7 @@
 
 /// An object of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Item {
+pub enum Object {
     /// A table that stands once, such as `limits` or `retry`.
     Feature(String),
     /// A region.
@@ -41,9 +41,9 @@
     /// Its list, whose order means nothing, loses and gains members.
     Members {
         /// Lost members.
-        lost: Vec<String>,
+        removed: Vec<String>,
         /// Gained members.
-        gained: Vec<String>,
+        added: Vec<String>,
     },
 }
 
@@ -51,13 +51,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// It is new.
-    Added(Item),
+    Added(Object),
     /// It is gone.
-    Removed(Item),
+    Removed(Object),
     /// One of its keys changes.
     Changed {
         /// What it is.
-        item: Item,
+        item: Object,
         /// Path of the key within it.
         key: String,
         /// How it changes.
@@ -84,10 +84,10 @@
     let mut changes = Vec::new();
     let mut add = |c: Vec<Change>| changes.extend(c);
     add(features(old, new));
-    add(named(&old.region, &new.region, Item::Region));
-    add(named(&old.pool, &new.pool, Item::Pool));
-    add(named(&old.team, &new.team, Item::Team));
-    add(named(&by_name(old), &by_name(new), Item::Rule));
+    add(named(&old.region, &new.region, Object::Region));
+    add(named(&old.pool, &new.pool, Object::Pool));
+    add(named(&old.team, &new.team, Object::Team));
+    add(named(&by_name(old), &by_name(new), Object::Rule));
     add(moved(&old.rule, &new.rule));
     Changes(changes)
 }
@@ -106,7 +106,7 @@
     once.flat_map(|key| {
         let empty = Value::Table(Table::new());
         let side = |t: &Table| flat(t.get(key).unwrap_or(&empty));
-        edits(Item::Feature(key.clone()), &side(&old), &side(&new))
+        edits(Object::Feature(key.clone()), &side(&old), &side(&new))
     })
     .collect()
 }
@@ -115,7 +115,7 @@
 fn named<T: Serialize>(
     old: &BTreeMap<String, T>,
     new: &BTreeMap<String, T>,
-    item: fn(String) -> Item,
+    item: fn(String) -> Object,
 ) -> Vec<Change> {
     let names: BTreeSet<_> = old.keys().chain(new.keys()).collect();
     let change = |name: &String| {
@@ -133,7 +133,7 @@
 }
 
 fn table(value: &impl Serialize) -> Table {
-    // Every type here is printed as a table; `Config::print` rests on the same.
+    // Every type here is printed as a table; `Config::to_toml` rests on the same.
     Table::try_from(value).unwrap_or_default()
 }
 
@@ -157,7 +157,11 @@
     out
 }
 
-fn edits(item: Item, old: &BTreeMap<String, Value>, new: &BTreeMap<String, Value>) -> Vec<Change> {
+fn edits(
+    item: Object,
+    old: &BTreeMap<String, Value>,
+    new: &BTreeMap<String, Value>,
+) -> Vec<Change> {
     let keys: BTreeSet<_> = old.keys().chain(new.keys()).collect();
     let edit = |key: &String| {
         let edit = edit(old.get(key), new.get(key))?;
@@ -174,10 +178,10 @@
     if let (Some(Value::Array(a)), Some(Value::Array(b))) = (old, new) {
         let set = |v: &[Value]| v.iter().map(Value::to_string).collect::<BTreeSet<_>>();
         let (a, b) = (set(a), set(b));
-        let lost: Vec<_> = a.difference(&b).cloned().collect();
-        let gained: Vec<_> = b.difference(&a).cloned().collect();
-        let same = lost.is_empty() && gained.is_empty();
-        return (!same).then_some(Edit::Members { lost, gained });
+        let removed: Vec<_> = a.difference(&b).cloned().collect();
+        let added: Vec<_> = b.difference(&a).cloned().collect();
+        let same = removed.is_empty() && added.is_empty();
+        return (!same).then_some(Edit::Members { removed, added });
     }
     let text = |v: Option<&Value>| v.map(Value::to_string);
     (old != new).then(|| Edit::Set {
@@ -231,7 +235,7 @@
     }
 }
 
-impl fmt::Display for Item {
+impl fmt::Display for Object {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Feature(n) => write!(f, "{n}"),
@@ -266,10 +270,10 @@
         let shown = |v: &Option<String>| v.clone().unwrap_or_else(|| "unset".to_owned());
         match self {
             Self::Set { from, to } => write!(f, "{} -> {}", shown(from), shown(to)),
-            Self::Members { lost, gained } => {
-                let lost = lost.iter().map(|x| format!("-{x}"));
-                let gained = gained.iter().map(|x| format!("+{x}"));
-                f.write_str(&lost.chain(gained).collect::<Vec<_>>().join(" "))
+            Self::Members { removed, added } => {
+                let removed = removed.iter().map(|x| format!("-{x}"));
+                let added = added.iter().map(|x| format!("+{x}"));
+                f.write_str(&removed.chain(added).collect::<Vec<_>>().join(" "))
             }
         }
     }
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::cond::Cond;
+use crate::condition::Condition;
 use crate::config::Then;
 use crate::decide::{Decision, Facts, RuleSet};
 
@@ -10,20 +10,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation<'a> {
     /// The earlier rules, each with the first condition that failed.
-    pub passed: Vec<Passed<'a>>,
+    pub skipped: Vec<SkippedRule<'a>>,
     /// The rule's position and its consequences; absent if no rule matches.
     pub decision: Option<(usize, Decision<'a>)>,
 }
 
 /// A rule that doesn't match.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Passed<'a> {
+pub struct SkippedRule<'a> {
     /// Its position.
     pub index: usize,
     /// Its name.
     pub rule: &'a str,
     /// The first of its conditions that fails.
-    pub failed: &'a Cond,
+    pub failed: &'a Condition,
     /// What the request has instead.
     pub found: String,
 }
@@ -34,9 +34,9 @@
         let decision = self.first_match(facts).zip(self.decide(facts));
         let end = decision.as_ref().map_or(self.conds().len(), |(i, _)| *i);
         let conds = self.conds().iter().take(end).enumerate();
-        let passed = conds.filter_map(|(index, conds)| {
+        let skipped = conds.filter_map(|(index, conds)| {
             let failed = conds.iter().find(|c| !c.holds(facts))?;
-            Some(Passed {
+            Some(SkippedRule {
                 index,
                 rule: &self.config().rule[index].name,
                 failed,
@@ -44,32 +44,32 @@
             })
         });
         Explanation {
-            passed: passed.collect(),
+            skipped: skipped.collect(),
             decision,
         }
     }
 }
 
 /// What a request has where a condition asks for something.
-fn found(cond: &Cond, facts: &Facts) -> String {
+fn found(cond: &Condition, facts: &Facts) -> String {
     let none = || "none".to_owned();
     match cond {
-        Cond::Team(_) => facts.team.clone(),
-        Cond::Path(_) => facts.path.clone(),
-        Cond::Method(_) => facts.method.clone(),
-        Cond::Model(_) => facts.model.clone().unwrap_or_else(none),
-        Cond::Class(_) => facts.requested_class().map_or_else(none, |c| c.to_string()),
-        Cond::Hours(_) => format!("{:02}:{:02}", facts.minute / 60, facts.minute % 60),
-        Cond::Days(_) => facts.weekday.to_string(),
-        Cond::Prompt(_) => format!("{}B", facts.prompt_bytes),
-        Cond::Header(name, _) => facts.headers.get(name).cloned().unwrap_or_else(none),
-        Cond::Not(inner) => found(inner, facts),
+        Condition::Team(_) => facts.team.clone(),
+        Condition::Path(_) => facts.path.clone(),
+        Condition::Method(_) => facts.method.clone(),
+        Condition::Model(_) => facts.model.clone().unwrap_or_else(none),
+        Condition::Class(_) => facts.requested_class().map_or_else(none, |c| c.to_string()),
+        Condition::Hours(_) => format!("{:02}:{:02}", facts.minute / 60, facts.minute % 60),
+        Condition::Days(_) => facts.weekday.to_string(),
+        Condition::Prompt(_) => format!("{}B", facts.prompt_bytes),
+        Condition::Header(name, _) => facts.headers.get(name).cloned().unwrap_or_else(none),
+        Condition::Not(inner) => found(inner, facts),
     }
 }
 
 impl fmt::Display for Explanation<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for p in &self.passed {
+        for p in &self.skipped {
             writeln!(f, "{p}")?;
         }
         match &self.decision {
@@ -79,7 +79,7 @@
     }
 }
 
-impl fmt::Display for Passed<'_> {
+impl fmt::Display for SkippedRule<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { rule, failed, .. } = self;
         let found = self.found.escape_debug();
--- a/crates/rules/src/fault.rs
+++ b/crates/rules/src/fault.rs
@@ -28,14 +28,14 @@
 
 /// A kind of name that one part of a configuration declares and another uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Noun {
+pub enum NameKind {
     /// A pool.
     Pool,
     /// A team.
     Team,
 }
 
-impl fmt::Display for Noun {
+impl fmt::Display for NameKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Pool => "pool",
@@ -106,10 +106,10 @@
     BadDigest,
     /// Not a header name.
     #[error("`{0}` is no header name; names are written in lower case")]
-    BadHeader(String),
+    BadHeaderName(String),
     /// Not a header value.
     #[error("the value of header `{0}` holds characters that can't be sent")]
-    BadValue(String),
+    BadHeaderValue(String),
     /// A header that the router itself sets.
     #[error("header `{0}` is set by the router itself")]
     ReservedHeader(String),
@@ -117,7 +117,7 @@
     #[error("no {noun} is named `{name}`")]
     UnknownName {
         /// What it would be.
-        noun: Noun,
+        noun: NameKind,
         /// The name.
         name: String,
         /// A declared one like it.
@@ -128,7 +128,7 @@
     BadName(String),
     /// A rule without a name.
     #[error("the rule has no name")]
-    Nameless,
+    MissingRuleName,
     /// A second rule of the same name.
     #[error("rule `{0}` stands twice")]
     DuplicateRule(String),
@@ -151,7 +151,7 @@
     NeverMatches(String),
     /// A lower bound above the upper one.
     #[error("`{low}` is above `{high}`")]
-    Crossed {
+    InvertedBounds {
         /// Key of the lower bound.
         low: &'static str,
         /// Key of the upper bound.
@@ -162,13 +162,13 @@
     UnusedPool(String),
     /// Engines without a model.
     #[error("model pool `{0}` names no model")]
-    NoModel(String),
+    MissingModel(String),
     /// Kept KV cache in a pool of engines.
     #[error("kept KV cache is held by a pool of kind `plain`, and `{0}` is one of engines")]
-    KeptModel(String),
+    KvStoreNotPlain(String),
     /// A key that has no effect beside another.
     #[error("`{key}` has no effect {beside}")]
-    IdleKey {
+    IneffectiveKey {
         /// The key.
         key: &'static str,
         /// Beside what.
@@ -176,16 +176,16 @@
     },
     /// A team that nobody can speak for.
     #[error("team `{0}` has no key, so nobody can call as it")]
-    EmptyTeam(String),
+    TeamWithoutKey(String),
     /// A key that two teams hold.
     #[error("team `{0}` has the same key")]
-    SharedKey(String),
+    DuplicateApiKey(String),
     /// A region without failure domains.
     #[error("region `{0}` has no failure domain")]
     EmptyRegion(String),
     /// A failure domain that stands twice.
     #[error("failure domain `{domain}` stands in region `{region}` already")]
-    SharedDomain {
+    DuplicateDomain {
         /// The domain.
         domain: String,
         /// Where it stood first.
@@ -196,7 +196,7 @@
     Zero(&'static str),
     /// A limit that a tighter one overrules.
     #[error("limit `{0}` never binds: each team that the rule matches has a tighter one")]
-    LooseLimit(&'static str),
+    IneffectiveLimit(&'static str),
     /// A rule whose limit refuses all that it matches.
     #[error("the largest body allowed is smaller than the least prompt matched")]
     BodyBelowPrompt,
@@ -222,10 +222,10 @@
             }
             | Self::Unreachable { .. }
             | Self::UnusedPool(_)
-            | Self::NoModel(_)
-            | Self::IdleKey { .. }
-            | Self::EmptyTeam(_)
-            | Self::LooseLimit(_) => Severity::Warning,
+            | Self::MissingModel(_)
+            | Self::IneffectiveKey { .. }
+            | Self::TeamWithoutKey(_)
+            | Self::IneffectiveLimit(_) => Severity::Warning,
             _ => Severity::Error,
         }
     }
--- a/crates/rules/src/features.rs
+++ b/crates/rules/src/features.rs
@@ -5,12 +5,12 @@
 //! operator can change a figure without a new release; what only a developer could judge, such as
 //! the weight of a new sample, has no key.
 
-use crate::table::{table, Field};
+use crate::table::{table, OptionDoc};
 use crate::units::{Duration, Percent};
 
 table! {
     /// Which replicas are asked for a request.
-    Place in "place" {
+    Placement in "place" {
         /// Most replicas asked for one request.
         "probes" probes: u32 = 4;
     }
@@ -30,7 +30,7 @@
         /// Most requests that wait at one target.
         "places" places: u32 = 1_024;
         /// Part of the places that only class `call` may take.
-        "reserve" reserve: Percent = Percent::permille(125);
+        "reserve" reserve: Percent = Percent::from_permille(125);
         /// Longest expected wait of class `call`.
         "call" call: Duration = Duration::from_secs(4);
         /// Longest expected wait of class `normal`.
@@ -44,9 +44,9 @@
     /// In which order requests leave a target's queue.
     Queue in "queue" {
         /// Part of the work assured to class `normal` while calls wait too.
-        "normal" normal: Percent = Percent::permille(100);
+        "normal" normal: Percent = Percent::from_permille(100);
         /// Part of the work assured to class `batch` while more urgent requests wait too.
-        "batch" batch: Percent = Percent::permille(50);
+        "batch" batch: Percent = Percent::from_permille(50);
         /// By how many times its own work a long request falls back behind later ones.
         "ageing" ageing: u32 = 6;
     }
@@ -70,7 +70,7 @@
         /// Most attempts for one request, the first included.
         "attempts" attempts: u32 = 3;
         /// Retries earned by each request.
-        "share" share: Percent = Percent::permille(100);
+        "share" share: Percent = Percent::from_permille(100);
         /// Most retries saved up.
         "saved" saved: u32 = 10;
     }
@@ -84,7 +84,7 @@
         /// Samples before a target is judged.
         "samples" samples: u32 = 8;
         /// Largest part of a pool that may be out; always at least one target of a small pool.
-        "ejected" ejected: Percent = Percent::permille(250);
+        "ejected" ejected: Percent = Percent::from_permille(250);
         /// First time out.
         "out" out: Duration = Duration::from_secs(5);
         /// Longest time out.
@@ -115,9 +115,9 @@
 }
 
 /// Every key of these tables.
-pub(crate) fn fields() -> Vec<Field> {
+pub(crate) fn fields() -> Vec<OptionDoc> {
     [
-        Place::fields(),
+        Placement::fields(),
         Reserve::fields(),
         Admit::fields(),
         Queue::fields(),
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::cond::Cond;
+use crate::condition::Condition;
 use crate::decide::Facts;
 use crate::units::Glob;
 
@@ -47,32 +47,34 @@
 
 impl Index {
     /// Builds the sets from each rule's conditions.
-    pub(crate) fn new(rules: &[Vec<Cond>]) -> Self {
+    pub(crate) fn new(rules: &[Vec<Condition>]) -> Self {
         Self {
             team: Dim::new(rules, |c| match c {
-                Cond::Team(names) => Some(names.iter().map(|n| (n.as_str(), false)).collect()),
+                Condition::Team(names) => Some(names.iter().map(|n| (n.as_str(), false)).collect()),
                 _ => None,
             }),
             path: Dim::new(rules, |c| match c {
-                Cond::Path(globs) => Some(globs.iter().map(split).collect()),
+                Condition::Path(globs) => Some(globs.iter().map(split).collect()),
                 _ => None,
             }),
             method: Dim::new(rules, |c| match c {
-                Cond::Method(names) => Some(names.iter().map(|n| (n.as_str(), false)).collect()),
+                Condition::Method(names) => {
+                    Some(names.iter().map(|n| (n.as_str(), false)).collect())
+                }
                 _ => None,
             }),
             model: Dim::new(rules, |c| match c {
-                Cond::Model(globs) => Some(globs.iter().map(split).collect()),
+                Condition::Model(globs) => Some(globs.iter().map(split).collect()),
                 _ => None,
             }),
         }
     }
 
     /// Whether a condition is fully answered by these sets.
-    pub(crate) fn answers(cond: &Cond) -> bool {
+    pub(crate) fn answers(cond: &Condition) -> bool {
         matches!(
             cond,
-            Cond::Team(_) | Cond::Path(_) | Cond::Method(_) | Cond::Model(_)
+            Condition::Team(_) | Condition::Path(_) | Condition::Method(_) | Condition::Model(_)
         )
     }
 
@@ -113,8 +115,8 @@
 
 impl Dim {
     fn new<'a>(
-        rules: &'a [Vec<Cond>],
-        texts: impl Fn(&'a Cond) -> Option<Vec<(&'a str, bool)>>,
+        rules: &'a [Vec<Condition>],
+        texts: impl Fn(&'a Condition) -> Option<Vec<(&'a str, bool)>>,
     ) -> Self {
         let mut dim = Self {
             any: vec![0; rules.len().div_ceil(64)].into(),
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -5,7 +5,7 @@
 //! questions that each request raises: which team sent it, and which rule matches it first.
 //! `docs/RULES.md` is the operators' page of all this.
 
-pub mod cond;
+pub mod condition;
 pub mod config;
 pub mod decide;
 pub mod diff;
@@ -22,10 +22,10 @@
 mod rulecheck;
 
 pub use api_keys::key_digest;
-pub use cond::Cond;
+pub use condition::Condition;
 pub use config::{Config, Limits, Pool, Rule, Team, Then, Weekday, When};
 pub use decide::{parse, Decision, Facts, RuleSet};
-pub use diff::{diff, Change, Changes, Edit, Item};
-pub use explain::{Explanation, Passed};
-pub use fault::{Fault, FaultKind, Faults, Noun, Severity};
-pub use table::Field;
+pub use diff::{diff, Change, Changes, Edit, Object};
+pub use explain::{Explanation, SkippedRule};
+pub use fault::{Fault, FaultKind, Faults, NameKind, Severity};
+pub use table::OptionDoc;
--- a/crates/rules/src/read.rs
+++ b/crates/rules/src/read.rs
@@ -11,7 +11,7 @@
 use toml::Spanned;
 
 use crate::fault::{Fault, FaultKind};
-use crate::units::{Duration, Glob, Percent, Size, Window};
+use crate::units::{Duration, Glob, Percent, Size, TimeWindow};
 
 /// How alike two words must be for one to be suggested in place of the other; `strsim` gives 1 to
 /// equal words. Words that are one edit apart are suggested whatever this says.
@@ -260,7 +260,7 @@
     Duration: "duration"
     Size: "size"
     Percent: "percentage"
-    Window: "window"
+    TimeWindow: "window"
     Glob: "pattern"
 );
 
--- a/crates/rules/src/rulecheck.rs
+++ b/crates/rules/src/rulecheck.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeSet, HashSet};
 
 use crate::check::{declared, limits, name};
-use crate::cond::{self, Cond};
+use crate::condition::{self, Condition};
 use crate::config::{Config, Limits, Rule, Then, When};
-use crate::fault::{FaultKind, Noun};
+use crate::fault::{FaultKind, NameKind};
 use crate::read::Reader;
 
 /// Methods of HTTP that callers use.
@@ -39,7 +39,7 @@
         let path = format!("rule[{i}]");
         match rule.name.as_str() {
             "" if !reader.is_faulty(format!("{path}.name")) => {
-                reader.note(&path, FaultKind::Nameless);
+                reader.note(&path, FaultKind::MissingRuleName);
             }
             "" => {}
             n => name(reader, &format!("{path}.name"), n),
@@ -61,7 +61,7 @@
 fn conditions(reader: &mut Reader, config: &Config, path: &str, when: &When) {
     for (i, team) in when.team.iter().enumerate() {
         let path = format!("{path}.team[{i}]");
-        declared(reader, path, Noun::Team, team, &config.team);
+        declared(reader, path, NameKind::Team, team, &config.team);
     }
     for (i, glob) in when.path.iter().enumerate() {
         if !glob.as_str().starts_with(['/', '*']) {
@@ -75,7 +75,7 @@
         }
     }
     for header in when.header.keys().filter(|h| !is_header(h)) {
-        let kind = FaultKind::BadHeader(header.clone());
+        let kind = FaultKind::BadHeaderName(header.clone());
         reader.note(format!("{path}.header.{header}"), kind);
     }
     if when
@@ -87,7 +87,7 @@
         let (low, high) = ("min", "max");
         reader.note(
             format!("{path}.prompt.min"),
-            FaultKind::Crossed { low, high },
+            FaultKind::InvertedBounds { low, high },
         );
     }
 }
@@ -115,14 +115,14 @@
     }
     if let Some(pool) = &then.pool {
         let path = format!("{path}.then.pool");
-        declared(reader, path, Noun::Pool, pool, &config.pool);
+        declared(reader, path, NameKind::Pool, pool, &config.pool);
     }
     for (header, value) in &then.set {
         let sendable = value.bytes().all(|b| b == b' ' || b.is_ascii_graphic());
         let kind = match header.as_str() {
-            h if !is_header(h) => FaultKind::BadHeader(header.clone()),
+            h if !is_header(h) => FaultKind::BadHeaderName(header.clone()),
             h if RESERVED.contains(&h) => FaultKind::ReservedHeader(header.clone()),
-            _ if !sendable => FaultKind::BadValue(header.clone()),
+            _ if !sendable => FaultKind::BadHeaderValue(header.clone()),
             _ => continue,
         };
         reader.note(format!("{path}.then.set.{header}"), kind);
@@ -148,7 +148,7 @@
 fn idle(reader: &mut Reader, path: &str, keys: &[Key], then: &Then, beside: &'static str) {
     for (key, _) in keys.iter().filter(|(_, set)| set(then)) {
         let path = format!("{path}.then.{key}");
-        reader.note(path, FaultKind::IdleKey { key, beside });
+        reader.note(path, FaultKind::IneffectiveKey { key, beside });
     }
 }
 
@@ -177,14 +177,14 @@
         return;
     }
     let teams: Vec<_> = audience(config, rule)
-        .map(|t| config.limits(t).each())
+        .map(|t| config.limits(t).by_key())
         .collect();
-    for (k, (key, mine)) in own.each().into_iter().enumerate() {
+    for (k, (key, mine)) in own.by_key().into_iter().enumerate() {
         let tighter = |t: &[(&str, Option<u64>); 3]| {
             mine.zip(t[k].1).is_some_and(|(mine, theirs)| theirs < mine)
         };
         if !teams.is_empty() && teams.iter().all(tighter) {
-            reader.note(format!("{path}.{key}"), FaultKind::LooseLimit(key));
+            reader.note(format!("{path}.{key}"), FaultKind::IneffectiveLimit(key));
         }
     }
 }
@@ -220,7 +220,7 @@
 /// Notes rules that match nothing, by themselves or after those before them. Only a single earlier
 /// rule is considered; several that together cover a later one go unnoticed.
 fn reach(reader: &mut Reader, config: &Config) {
-    let mut earlier: Vec<(&str, Vec<Cond>)> = Vec::new();
+    let mut earlier: Vec<(&str, Vec<Condition>)> = Vec::new();
     for (i, rule) in config.rule.iter().enumerate() {
         let path = format!("rule[{i}]");
         // A condition that couldn't be read is missing here, and the rule would seem to match more
@@ -228,13 +228,13 @@
         if reader.is_faulty(format!("{path}.when")) || reader.is_faulty(format!("{path}.not")) {
             continue;
         }
-        let conds = cond::of(rule);
-        let clash = |(i, c): (usize, &Cond)| conds[i + 1..].iter().any(|d| c.excludes(d));
+        let conds = condition::of(rule);
+        let clash = |(i, c): (usize, &Condition)| conds[i + 1..].iter().any(|d| c.excludes(d));
         if conds.iter().enumerate().any(clash) {
             reader.note(path, FaultKind::NeverMatches(rule.name.clone()));
             continue;
         }
-        let covers = |by: &Vec<Cond>| by.iter().all(|b| conds.iter().any(|c| c.implies(b)));
+        let covers = |by: &Vec<Condition>| by.iter().all(|b| conds.iter().any(|c| c.implies(b)));
         if let Some((by, _)) = earlier.iter().find(|(_, by)| covers(by)) {
             let kind = FaultKind::Unreachable {
                 rule: rule.name.clone(),
--- a/crates/rules/src/table.rs
+++ b/crates/rules/src/table.rs
@@ -7,7 +7,7 @@
 
 /// One key of a table, for documentation; shown as a row of its options table.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Field {
+pub struct OptionDoc {
     /// The table it stands in.
     pub table: &'static str,
     /// The key.
@@ -20,7 +20,7 @@
     pub meaning: String,
 }
 
-impl fmt::Display for Field {
+impl fmt::Display for OptionDoc {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let default = match self.default.as_str() {
             "" => String::new(),
@@ -64,9 +64,9 @@
             const KEYS: &'static [&'static str] = &[$($key,)*];
 
             /// Its keys, for documentation.
-            pub fn fields() -> Vec<$crate::table::Field> {
+            pub fn fields() -> Vec<$crate::table::OptionDoc> {
                 let d = Self::default();
-                vec![$($crate::table::Field {
+                vec![$($crate::table::OptionDoc {
                     table: $table,
                     key: $key,
                     kind: <$kind as $crate::read::Read>::kind(),
--- a/crates/rules/src/units.rs
+++ b/crates/rules/src/units.rs
@@ -48,7 +48,7 @@
 /// A part of each day in UTC, from its first minute up to, but not including, its last; one that
 /// ends before it starts goes on past midnight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Window {
+pub struct TimeWindow {
     from: u16,
     to: u16,
 }
@@ -71,7 +71,7 @@
 
 impl Percent {
     /// So many thousandths, at most all of them.
-    pub const fn permille(n: u16) -> Self {
+    pub const fn from_permille(n: u16) -> Self {
         match n {
             0..=1000 => Self(n),
             _ => Self(1000),
@@ -84,7 +84,7 @@
     }
 }
 
-impl Window {
+impl TimeWindow {
     /// A window between two minutes of the day; none if both are the same or either is too late.
     pub fn new(from: u16, to: u16) -> Option<Self> {
         let whole = (from, to) == (0, DAY);
@@ -200,7 +200,7 @@
     }
 }
 
-impl FromStr for Window {
+impl FromStr for TimeWindow {
     type Err = FaultKind;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
@@ -242,7 +242,7 @@
     }
 }
 
-impl fmt::Display for Window {
+impl fmt::Display for TimeWindow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (a, b) = (self.from, self.to);
         write!(f, "{:02}:{:02}-{:02}:{:02}", a / 60, a % 60, b / 60, b % 60)
@@ -265,4 +265,4 @@
     )*};
 }
 
-as_text!(Duration Size Percent Window Glob);
+as_text!(Duration Size Percent TimeWindow Glob);
--- a/crates/rules/tests/faults.rs
+++ b/crates/rules/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Every kind of fault, with the place, key and words that an operator sees.
 
 use assert_matches::assert_matches;
-use rules::{Fault, FaultKind, Noun, RuleSet, Severity};
+use rules::{Fault, FaultKind, NameKind, RuleSet, Severity};
 
 /// Follows each case's text, so that nothing else is wrong with it.
 const REST: &str = r#"
@@ -388,9 +388,9 @@
     assert_matches!(
         faults.0.as_slice(),
         [
-            Fault { kind: FaultKind::EmptyTeam(team), severity: Severity::Warning, line: 1, column: 7, .. },
+            Fault { kind: FaultKind::TeamWithoutKey(team), severity: Severity::Warning, line: 1, column: 7, .. },
             Fault { kind: FaultKind::UnusedPool(_), .. },
-            Fault { kind: FaultKind::UnknownName { noun: Noun::Pool, hint: Some(hint), .. }, .. },
+            Fault { kind: FaultKind::UnknownName { noun: NameKind::Pool, hint: Some(hint), .. }, .. },
         ] if team == "a" && hint == "b"
     );
     let shown =
--- a/crates/rules/tests/properties.rs
+++ b/crates/rules/tests/properties.rs
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 use proptest::sample::{select, subsequence};
 use proptest::test_runner::RngSeed;
-use rules::config::{PoolKind, Range, Region};
-use rules::units::{Duration, Glob, Percent, Size, Window};
+use rules::config::{PoolKind, Region, SizeRange};
+use rules::units::{Duration, Glob, Percent, Size, TimeWindow};
 use rules::{Config, Facts, FaultKind, Limits, Pool, Rule, RuleSet, Team, Then, Weekday, When};
 
 const TEAMS: [&str; 4] = ["a", "b", "c", "d"];
@@ -41,8 +41,8 @@
     })
 }
 
-fn window() -> impl Strategy<Value = Window> {
-    (0u16..1440, 0u16..=1440).prop_filter_map("equal ends", |(a, b)| Window::new(a, b))
+fn window() -> impl Strategy<Value = TimeWindow> {
+    (0u16..1440, 0u16..=1440).prop_filter_map("equal ends", |(a, b)| TimeWindow::new(a, b))
 }
 
 fn days() -> impl Strategy<Value = Vec<Weekday>> {
@@ -53,9 +53,9 @@
     prop_oneof![Just(Vec::new()), subsequence(&Class::ALL[..], 1..3)]
 }
 
-fn range() -> impl Strategy<Value = Range> {
+fn range() -> impl Strategy<Value = SizeRange> {
     let size = || option::of((0u64..5000).prop_map(Size));
-    (size(), size()).prop_map(|(min, max)| Range { min, max })
+    (size(), size()).prop_map(|(min, max)| SizeRange { min, max })
 }
 
 fn when() -> impl Strategy<Value = When> {
@@ -219,7 +219,7 @@
             };
             c.place.probes = probes;
             c.drain.notice = Duration(model::Micros(span));
-            c.retry.share = Percent::permille(part);
+            c.retry.share = Percent::from_permille(part);
             c
         },
     )
@@ -287,7 +287,7 @@
     let rule = (sparse(), sparse(), then);
     vec(rule, 1..90).prop_map(|rules| {
         let mut config = around(rules);
-        match RuleSet::compile(config.print().unwrap()) {
+        match RuleSet::compile(config.to_toml().unwrap()) {
             Ok(rules) => rules,
             Err(faults) => {
                 let bad = |i| format!("rule[{i}]");
@@ -299,7 +299,7 @@
                 };
                 let kept = config.rule.drain(..).enumerate().filter(|(i, _)| clean(*i));
                 config.rule = kept.map(|(_, r)| r).collect();
-                RuleSet::compile(config.print().unwrap()).unwrap_or_else(|e| panic!("{e}"))
+                RuleSet::compile(config.to_toml().unwrap()).unwrap_or_else(|e| panic!("{e}"))
             }
         }
     })
@@ -352,7 +352,7 @@
 }
 
 /// Walks a window from its first minute to its last.
-fn inside(window: &Window, minute: u16) -> bool {
+fn inside(window: &TimeWindow, minute: u16) -> bool {
     let text = window.to_string();
     let number = |at: std::ops::Range<usize>| text[at].parse::<u16>().unwrap();
     let (from, to) = (
@@ -377,10 +377,10 @@
 
     #[test]
     fn printing_and_parsing_is_the_identity(config in config()) {
-        let text = config.print().unwrap();
+        let text = config.to_toml().unwrap();
         let (again, _) = rules::parse("", &text);
         prop_assert_eq!(&again, &config);
-        prop_assert_eq!(again.print().unwrap(), text);
+        prop_assert_eq!(again.to_toml().unwrap(), text);
     }
 
     #[test]
@@ -400,8 +400,8 @@
             prop_assert!(name.is_none_or(|n| !unreachable.contains(&n)));
             let why = rules.explain(f);
             prop_assert_eq!(why.decision.as_ref().map(|(i, _)| *i), first);
-            prop_assert_eq!(why.passed.len(), first.unwrap_or(rules.config().rule.len()));
-            prop_assert!(why.passed.iter().all(|p| !p.failed.holds(f)));
+            prop_assert_eq!(why.skipped.len(), first.unwrap_or(rules.config().rule.len()));
+            prop_assert!(why.skipped.iter().all(|p| !p.failed.holds(f)));
         }
     }
 
@@ -411,7 +411,7 @@
         facts in vec(facts(), 64),
     ) {
         let rules = pairs.into_iter().map(|(when, not)| (when, not, Then::default()));
-        let (config, faults) = rules::parse("", &around(rules.collect()).print().unwrap());
+        let (config, faults) = rules::parse("", &around(rules.collect()).to_toml().unwrap());
         let matches = |name: &str, f: &Facts| {
             let rule = config.rule.iter().filter(|r| r.name == name).cloned().collect();
             oracle(&Config { rule, ..Config::default() }, f).is_some()
--- a/crates/rules/tests/tables.rs
+++ b/crates/rules/tests/tables.rs
@@ -2,8 +2,8 @@
 
 use assert_matches::assert_matches;
 use model::{Class, Micros};
-use rules::units::{Duration, Percent, Size, Window};
-use rules::{diff, Cond, Facts, Limits, RuleSet, Weekday};
+use rules::units::{Duration, Percent, Size, TimeWindow};
+use rules::{diff, Condition, Facts, Limits, RuleSet, Weekday};
 
 const BASE: &str = r#"
 [limits]
@@ -94,17 +94,17 @@
     assert_eq!(Size(1 << 40).to_string(), "1024GiB");
     assert_matches!("4MB".parse::<Size>(), Err(_));
     assert_matches!("17179869184GiB".parse::<Size>(), Err(_));
-    assert_eq!("20%".parse(), Ok(Percent::permille(200)));
-    assert_eq!("12.5%".parse(), Ok(Percent::permille(125)));
-    assert_eq!(Percent::permille(125).to_string(), "12.5%");
+    assert_eq!("20%".parse(), Ok(Percent::from_permille(200)));
+    assert_eq!("12.5%".parse(), Ok(Percent::from_permille(125)));
+    assert_eq!(Percent::from_permille(125).to_string(), "12.5%");
     for bad in ["+2%", "%", "1.25%", ".5%", "5.%", "100.1%", "65536%"] {
         assert_matches!(bad.parse::<Percent>(), Err(_), "{bad}");
     }
 
-    let night: Window = "22:00-06:00".parse().unwrap();
+    let night: TimeWindow = "22:00-06:00".parse().unwrap();
     let minutes = [1319, 1320, 1439, 0, 359, 360].map(|m| night.contains(m));
     assert_eq!(minutes, [false, true, true, true, true, false]);
-    let day: Window = "00:00-24:00".parse().unwrap();
+    let day: TimeWindow = "00:00-24:00".parse().unwrap();
     assert!((0..1440).all(|m| day.contains(m)));
     for bad in [
         "24:00-01:00",
@@ -114,7 +114,7 @@
         "01:00",
         "+1:00-02:00",
     ] {
-        assert_matches!(bad.parse::<Window>(), Err(_), "{bad}");
+        assert_matches!(bad.parse::<TimeWindow>(), Err(_), "{bad}");
     }
 }
 
@@ -193,8 +193,8 @@
     f.model = Some("m2".to_owned());
     let why = rules.explain(&f);
     assert_eq!(why.decision, None);
-    assert_matches!(why.passed[0].failed, Cond::Hours(_));
-    assert_matches!(why.passed[1].failed, Cond::Header(name, _) if name == "x-kind");
+    assert_matches!(why.skipped[0].failed, Condition::Hours(_));
+    assert_matches!(why.skipped[1].failed, Condition::Header(name, _) if name == "x-kind");
     let shown = [
         "1. on-call: wants hours `22:00-06:00`, found `12:00`",
         "2. no-south: wants header `x-kind` `old*`, found `none`",
