--- a/crates/daemon/src/entry/prepare.rs
+++ b/crates/daemon/src/entry/prepare.rs
@@ -179,7 +179,7 @@
         p.retry = d.rule.then.retry_after.map(|t| t.0);
         return Err(p);
     }
-    match d.body {
+    match d.max_body {
         Some(max) if size as u64 > max.0 => {
             let m = format!("body has more than the {} bytes allowed here", max.0);
             Err(Problem::unsent(Code::TooLarge, m))
--- a/crates/rules/src/decide.rs
+++ b/crates/rules/src/decide.rs
@@ -84,7 +84,7 @@
     /// rule and hold as well.
     pub limits: Limits,
     /// The largest body that both allow.
-    pub body: Option<Size>,
+    pub max_body: Option<Size>,
 }
 
 impl RuleSet {
@@ -162,7 +162,7 @@
             deadline: then.deadline.map(|d| d.0),
             scope: then.scope.as_deref().or(own),
             limits,
-            body: [limits.body, then.limits.body].into_iter().flatten().min(),
+            max_body: [limits.body, then.limits.body].into_iter().flatten().min(),
         })
     }
 
--- a/crates/rules/tests/tables.rs
+++ b/crates/rules/tests/tables.rs
@@ -166,7 +166,7 @@
             body: Some(Size(2 << 20))
         }
     );
-    assert_eq!(d.body, Some(Size(1 << 20)));
+    assert_eq!(d.max_body, Some(Size(1 << 20)));
 
     let old = with(facts("south", "GET", "/files/1"), &[("x-kind", "older")]);
     let d = rules.decide(&old).unwrap();
