--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -1,4 +1,5 @@
-//! One condition of a rule, ready to be tested, compared with another and shown.
+//! Conditions of a rule: evaluation against a request, implication between conditions, and
+//! display.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,48 +8,51 @@
 
 use crate::config::{Rule, SizeRange, Weekday, When};
 use crate::decide::Facts;
-use crate::units::{Glob, TimeWindow};
+use crate::units::{Glob, TimeWindow, MINUTES_PER_DAY};
 
-/// The header in which a caller asks for a class.
+/// Header in which a caller requests a class.
 pub const CLASS_HEADER: &str = "x-class";
 
-/// A condition.
+/// A single condition of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Condition {
-    /// The team is one of these.
+    /// Team is one of these.
     Team(BTreeSet<String>),
-    /// The path matches one of these.
+    /// Path matches one of these patterns.
     Path(Vec<Glob>),
-    /// The method is one of these.
+    /// HTTP method is one of these.
     Method(BTreeSet<String>),
-    /// The model matches one of these.
+    /// Requested model matches one of these patterns; false if the request names no model.
     Model(Vec<Glob>),
-    /// The class asked for is one of these.
+    /// Requested class is one of these; false if the request names no class.
     Class(BTreeSet<Class>),
-    /// The time of day lies in one of these.
+    /// Time of day, in UTC, lies in one of these windows.
     Hours(Vec<TimeWindow>),
-    /// The day is one of these.
+    /// Day of the week, in UTC, is one of these.
     Days(BTreeSet<Weekday>),
-    /// The prompt's size lies in this range.
+    /// Size of the prompt lies in this range.
     Prompt(SizeRange),
-    /// This header has this value.
+    /// Header with this name is present and its value matches this pattern.
     Header(String, Glob),
-    /// That doesn't hold.
+    /// Inner condition doesn't hold.
     Not(Box<Condition>),
 }
 
-/// All conditions of a rule, the positive ones first.
-pub(crate) fn of(rule: &Rule) -> Vec<Condition> {
-    let negated = list(&rule.not)
+/// All conditions of a rule: those of `when` first, then those of `not`, negated.
+pub(crate) fn of_rule(rule: &Rule) -> Vec<Condition> {
+    let negated = of_table(&rule.not)
         .into_iter()
         .map(|c| Condition::Not(Box::new(c)));
-    list(&rule.when).into_iter().chain(negated).collect()
+    of_table(&rule.when).into_iter().chain(negated).collect()
 }
 
-fn list(when: &When) -> Vec<Condition> {
-    let mut conds = Vec::new();
-    let mut add = |there: bool, cond: Condition| conds.extend(there.then_some(cond));
-    let w = when.clone();
+/// The conditions that are set in a `when` or `not` table.
+fn of_table(table: &When) -> Vec<Condition> {
+    let mut conditions = Vec::new();
+    let mut add = |is_set: bool, condition: Condition| {
+        conditions.extend(is_set.then_some(condition));
+    };
+    let w = table.clone();
     add(
         !w.team.is_empty(),
         Condition::Team(w.team.into_iter().collect()),
@@ -75,11 +79,11 @@
     for (name, value) in w.header {
         add(true, Condition::Header(name, value));
     }
-    conds
+    conditions
 }
 
 impl Condition {
-    /// Whether it holds for a request.
+    /// Whether the condition holds for a request.
     pub fn holds(&self, facts: &Facts) -> bool {
         match self {
             Self::Team(names) => names.contains(&facts.team),
@@ -100,17 +104,20 @@
         }
     }
 
-    /// Whether each request that it holds for is one that `other` holds for. May say no where the
-    /// answer is yes, never the other way round: a false yes would call a needed rule unreachable.
+    /// Whether `other` holds for every request that this condition holds for. The result may be a
+    /// false negative, but never a false positive, which would report a needed rule as
+    /// unreachable.
     pub(crate) fn implies(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Team(a), Self::Team(b)) => a.is_subset(b),
             (Self::Method(a), Self::Method(b)) => a.is_subset(b),
             (Self::Class(a), Self::Class(b)) => a.is_subset(b),
             (Self::Days(a), Self::Days(b)) => a.is_subset(b),
-            (Self::Path(a), Self::Path(b)) | (Self::Model(a), Self::Model(b)) => within(a, b),
-            (Self::Hours(a), Self::Hours(b)) => hours_within(a, b),
-            (Self::Prompt(a), Self::Prompt(b)) => a.within(b),
+            (Self::Path(a), Self::Path(b)) | (Self::Model(a), Self::Model(b)) => {
+                globs_covered(a, b)
+            }
+            (Self::Hours(a), Self::Hours(b)) => hours_covered(a, b),
+            (Self::Prompt(a), Self::Prompt(b)) => a.is_within(b),
             (Self::Header(m, a), Self::Header(n, b)) => m == n && b.covers(a),
             (Self::Not(a), Self::Not(b)) => b.implies(a),
             (a, Self::Not(b)) => a.excludes(b),
@@ -118,14 +125,17 @@
         }
     }
 
-    /// Whether no request meets both. May say no where the answer is yes.
+    /// Whether no request meets both conditions. The result may be a false negative, but never a
+    /// false positive.
     pub(crate) fn excludes(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Team(a), Self::Team(b)) => a.is_disjoint(b),
             (Self::Method(a), Self::Method(b)) => a.is_disjoint(b),
             (Self::Class(a), Self::Class(b)) => a.is_disjoint(b),
             (Self::Days(a), Self::Days(b)) => a.is_disjoint(b),
-            (Self::Path(a), Self::Path(b)) | (Self::Model(a), Self::Model(b)) => apart(a, b),
+            (Self::Path(a), Self::Path(b)) | (Self::Model(a), Self::Model(b)) => {
+                globs_disjoint(a, b)
+            }
             (Self::Header(m, a), Self::Header(n, b)) => m == n && !a.covers(b) && !b.covers(a),
             (a, Self::Not(b)) => a.implies(b),
             _ => false,
@@ -133,21 +143,26 @@
     }
 }
 
-fn within(a: &[Glob], b: &[Glob]) -> bool {
+/// Whether each pattern of `a` is covered by a single pattern of `b`.
+fn globs_covered(a: &[Glob], b: &[Glob]) -> bool {
     a.iter().all(|x| b.iter().any(|y| y.covers(x)))
 }
 
-fn apart(a: &[Glob], b: &[Glob]) -> bool {
+/// Whether no text matches a pattern of both lists. A `*` stands only at the end, so that two
+/// patterns overlap only if one covers the other.
+fn globs_disjoint(a: &[Glob], b: &[Glob]) -> bool {
     a.iter()
         .all(|x| b.iter().all(|y| !x.covers(y) && !y.covers(x)))
 }
 
-fn hours_within(a: &[TimeWindow], b: &[TimeWindow]) -> bool {
-    let holds = |ws: &[TimeWindow], m| ws.iter().any(|w| w.contains(m));
-    (0..crate::units::DAY).all(|m| !holds(a, m) || holds(b, m))
+/// Whether each minute in a window of `a` is in some window of `b`.
+fn hours_covered(a: &[TimeWindow], b: &[TimeWindow]) -> bool {
+    let contains = |windows: &[TimeWindow], minute| windows.iter().any(|w| w.contains(minute));
+    (0..MINUTES_PER_DAY).all(|m| !contains(a, m) || contains(b, m))
 }
 
 impl SizeRange {
+    /// Both bounds, included, with those that aren't set at the extremes of `u64`.
     fn bounds(&self) -> (u64, u64) {
         (
             self.min.map_or(0, |s| s.0),
@@ -155,13 +170,13 @@
         )
     }
 
-    /// Whether it holds a size.
+    /// Whether a size lies in the range.
     pub fn contains(&self, size: usize) -> bool {
         let (min, max) = self.bounds();
         (min..=max).contains(&(size as u64))
     }
 
-    fn within(&self, other: &Self) -> bool {
+    fn is_within(&self, other: &Self) -> bool {
         let (a, b) = (self.bounds(), other.bounds());
         a.0 >= b.0 && a.1 <= b.1
     }
@@ -170,15 +185,15 @@
 impl fmt::Display for Condition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Team(x) => write!(f, "team {}", any(x)),
-            Self::Path(x) => write!(f, "path {}", any(x)),
-            Self::Method(x) => write!(f, "method {}", any(x)),
-            Self::Model(x) => write!(f, "model {}", any(x)),
-            Self::Class(x) => write!(f, "class {}", any(x)),
-            Self::Hours(x) => write!(f, "hours {}", any(x)),
-            Self::Days(x) => write!(f, "days {}", any(x)),
+            Self::Team(x) => write!(f, "team {}", alternatives(x)),
+            Self::Path(x) => write!(f, "path {}", alternatives(x)),
+            Self::Method(x) => write!(f, "method {}", alternatives(x)),
+            Self::Model(x) => write!(f, "model {}", alternatives(x)),
+            Self::Class(x) => write!(f, "class {}", alternatives(x)),
+            Self::Hours(x) => write!(f, "hours {}", alternatives(x)),
+            Self::Days(x) => write!(f, "days {}", alternatives(x)),
             Self::Prompt(x) => write!(f, "prompt {x}"),
-            Self::Header(name, value) => write!(f, "header `{name}` {}", any([value])),
+            Self::Header(name, value) => write!(f, "header `{name}` {}", alternatives([value])),
             Self::Not(inner) => write!(f, "not {inner}"),
         }
     }
@@ -195,7 +210,8 @@
     }
 }
 
-fn any(items: impl IntoIterator<Item = impl fmt::Display>) -> String {
+/// Alternatives in quotes, joined by "or".
+fn alternatives(items: impl IntoIterator<Item = impl fmt::Display>) -> String {
     let quoted: Vec<_> = items.into_iter().map(|x| format!("`{x}`")).collect();
     quoted.join(" or ")
 }
--- a/crates/rules/src/decide.rs
+++ b/crates/rules/src/decide.rs
@@ -1,4 +1,4 @@
-//! From a request's facts to the first rule that matches.
+//! Compiles a configuration and finds the first rule that matches a request.
 
 use std::collections::BTreeMap;
 
@@ -13,36 +13,35 @@
 use crate::read::Reader;
 use crate::units::Size;
 
-/// Seconds of a day.
-const DAY: u64 = 86_400;
+const SECONDS_PER_DAY: u64 = 86_400;
 
-/// A checked configuration, ready to decide.
+/// A checked configuration together with the indexes that requests are matched against.
 #[derive(Clone, Debug, Default)]
 pub struct RuleSet {
     config: Config,
     warnings: Vec<Fault>,
     keys: ApiKeys,
     index: Index,
-    /// All conditions of each rule.
-    conds: Vec<Vec<Condition>>,
-    /// Those of each rule that the index leaves open.
-    rest: Vec<Vec<Condition>>,
+    /// All conditions of each rule, in rule order.
+    conditions: Vec<Vec<Condition>>,
+    /// For each rule, the conditions that the index doesn't evaluate.
+    unindexed: Vec<Vec<Condition>>,
 }
 
-/// What the rules may ask of a request.
+/// The properties of a request that conditions can test.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Facts {
-    /// The team that sent it.
+    /// Name of the team that sent the request.
     pub team: String,
     /// HTTP method.
     pub method: String,
     /// Path without query.
     pub path: String,
-    /// Model it names, if any.
+    /// Model named in the request, if any.
     pub model: Option<String>,
     /// Headers, names in lower case.
     pub headers: BTreeMap<String, String>,
-    /// Bytes of prompt.
+    /// Size of the prompt.
     pub prompt_bytes: usize,
     /// Minutes since midnight, UTC.
     pub minute: u16,
@@ -51,49 +50,50 @@
 }
 
 impl Facts {
-    /// The class that the caller asks for, if it is one.
+    /// Class requested in the `x-class` header; absent if the header is missing or names no class.
     pub fn requested_class(&self) -> Option<Class> {
         self.headers.get(condition::CLASS_HEADER)?.parse().ok()
     }
 
-    /// The same facts at a time, in seconds since the beginning of 1970, UTC.
-    pub fn at_unix_time(mut self, unix: u64) -> Self {
-        self.minute = (unix % DAY / 60) as u16;
-        // The first day of 1970 was a Thursday.
-        self.weekday = Weekday::ALL[((unix / DAY + 3) % 7) as usize];
+    /// Sets the minute and weekday from a Unix time in seconds.
+    pub fn at_unix_time(mut self, seconds: u64) -> Self {
+        self.minute = (seconds % SECONDS_PER_DAY / 60) as u16;
+        // 1 January 1970 was a Thursday, which is `Weekday::ALL[3]`.
+        self.weekday = Weekday::ALL[((seconds / SECONDS_PER_DAY + 3) % 7) as usize];
         self
     }
 }
 
-/// What a rule makes of a request.
+/// The matching rule and its consequences for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision<'a> {
-    /// The rule.
+    /// The first rule that matches.
     pub rule: &'a Rule,
-    /// Where it goes; absent if the rule refuses.
+    /// Name and settings of the pool that serves the request; absent if the rule refuses it.
     pub pool: Option<(&'a str, &'a Pool)>,
-    /// How urgent it is.
+    /// Priority class.
     pub class: Class,
-    /// Whether it may run more than once.
+    /// Whether the request may be executed more than once.
     pub idempotent: bool,
-    /// How long until the answer is of no use.
+    /// Time after which the answer is useless to the caller.
     pub deadline: Option<Micros>,
     /// Cache scope: the rule's, or else the team's. Absent for a team that isn't declared.
     pub scope: Option<&'a str>,
-    /// Limits on all that the team sends; those on what it sends under this rule stand in the
-    /// rule and hold as well.
+    /// Limits on all requests of the team. The rule's own limits, in `rule.then.limits`, apply
+    /// in addition.
     pub limits: Limits,
-    /// The largest body that both allow.
+    /// The smaller of the team's and the rule's body limit.
     pub max_body: Option<Size>,
 }
 
 impl RuleSet {
-    /// Parses and checks a text; all faults at once if there is an error among them.
+    /// Parses and checks a configuration. If there is any error, returns every fault, warnings
+    /// included.
     pub fn compile(text: impl AsRef<str>) -> Result<Self, Faults> {
         Self::compile_file("", text)
     }
 
-    /// The same for the text of a file, whose name the faults then bear.
+    /// Like [`RuleSet::compile`], with a file name that the faults are reported under.
     pub fn compile_file(file: impl AsRef<str>, text: impl AsRef<str>) -> Result<Self, Faults> {
         let (config, faults) = parse(file.as_ref(), text.as_ref());
         match faults.has_errors() {
@@ -102,39 +102,40 @@
         }
     }
 
-    /// Takes a configuration that another program has checked and put in order.
+    /// Builds a rule set without any check, from a configuration that another program has
+    /// checked and whose rules it has ordered.
     pub fn from_checked(config: Config) -> Self {
         Self::build(config, Vec::new())
     }
 
     fn build(config: Config, warnings: Vec<Fault>) -> Self {
-        let conds: Vec<_> = config.rule.iter().map(condition::of).collect();
-        let open = |conds: &Vec<Condition>| {
-            let open = conds.iter().filter(|c| !Index::answers(c));
-            open.cloned().collect()
+        let conditions: Vec<_> = config.rule.iter().map(condition::of_rule).collect();
+        let unindexed = |conditions: &Vec<Condition>| {
+            let unindexed = conditions.iter().filter(|c| !Index::evaluates(c));
+            unindexed.cloned().collect()
         };
         Self {
             warnings,
             keys: ApiKeys::new(&config),
-            index: Index::new(&conds),
-            rest: conds.iter().map(open).collect(),
-            conds,
+            index: Index::new(&conditions),
+            unindexed: conditions.iter().map(unindexed).collect(),
+            conditions,
             config,
         }
     }
 
-    /// The configuration itself.
+    /// The configuration that the rule set was built from.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// What is allowed in it, but hardly meant.
+    /// Faults that don't prevent use, such as unreachable rules.
     pub fn warnings(&self) -> &[Fault] {
         &self.warnings
     }
 
-    /// The team with this API key. The time taken doesn't tell how near a guess came; see the head
-    /// of the module `api_keys`.
+    /// The team that an API key belongs to. The lookup is safe against timing attacks; see the
+    /// module `api_keys`.
     pub fn team(&self, key: impl AsRef<[u8]>) -> Option<(&str, &Team)> {
         let name = self.keys.team(key)?;
         Some((name, self.config.team.get(name)?))
@@ -142,42 +143,43 @@
 
     /// The first rule that matches, with its consequences.
     pub fn decide(&self, facts: &Facts) -> Option<Decision<'_>> {
-        let first = self.first_match(facts)?;
-        let rule = &self.config.rule[first];
+        let position = self.first_match(facts)?;
+        let rule = &self.config.rule[position];
         let then = &rule.then;
         let pool = then
             .pool
             .as_deref()
             .and_then(|n| Some((n, self.config.pool.get(n)?)));
-        let safe = matches!(facts.method.as_str(), "GET" | "HEAD" | "OPTIONS");
-        let model = pool.is_some_and(|(_, p)| p.kind == PoolKind::Model);
+        let safe_method = matches!(facts.method.as_str(), "GET" | "HEAD" | "OPTIONS");
+        let model_pool = pool.is_some_and(|(_, p)| p.kind == PoolKind::Model);
         let team = self.config.team.get_key_value(&facts.team);
-        let own = team.map(|(name, _)| self.config.scope(name));
+        let team_scope = team.map(|(name, _)| self.config.scope(name));
         let limits = team.map_or(self.config.limits, |(_, t)| t.limits.or(self.config.limits));
         Some(Decision {
             rule,
             pool: pool.filter(|_| then.refuse.is_none()),
             class: then.class,
-            idempotent: then.idempotent.unwrap_or(safe || model),
+            idempotent: then.idempotent.unwrap_or(safe_method || model_pool),
             deadline: then.deadline.map(|d| d.0),
-            scope: then.scope.as_deref().or(own),
+            scope: then.scope.as_deref().or(team_scope),
             limits,
             max_body: [limits.body, then.limits.body].into_iter().flatten().min(),
         })
     }
 
-    /// The position of the first rule that matches.
+    /// Position of the first rule that matches, counted from 0.
     pub fn first_match(&self, facts: &Facts) -> Option<usize> {
-        let pass = |rule: usize| self.rest[rule].iter().all(|c| c.holds(facts));
-        self.index.find(facts, pass)
+        let rest_holds = |rule: usize| self.unindexed[rule].iter().all(|c| c.holds(facts));
+        self.index.find(facts, rest_holds)
     }
 
-    pub(crate) fn conds(&self) -> &[Vec<Condition>] {
-        &self.conds
+    pub(crate) fn conditions(&self) -> &[Vec<Condition>] {
+        &self.conditions
     }
 }
 
-/// Reads and checks a text: what could be read, and all that is wrong with it.
+/// Parses and checks a configuration. Values that can't be read keep their defaults, and each is
+/// reported as a fault.
 pub fn parse(file: &str, text: &str) -> (Config, Faults) {
     let (mut reader, config) = Reader::parse::<Config>(text);
     check::run(&mut reader, &config);
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -32,10 +32,12 @@
     /// Which rule decides a request, and why each earlier one doesn't.
     pub fn explain(&self, facts: &Facts) -> Explanation<'_> {
         let decision = self.first_match(facts).zip(self.decide(facts));
-        let end = decision.as_ref().map_or(self.conds().len(), |(i, _)| *i);
-        let conds = self.conds().iter().take(end).enumerate();
-        let skipped = conds.filter_map(|(index, conds)| {
-            let failed = conds.iter().find(|c| !c.holds(facts))?;
+        let end = decision
+            .as_ref()
+            .map_or(self.conditions().len(), |(i, _)| *i);
+        let conditions = self.conditions().iter().take(end).enumerate();
+        let skipped = conditions.filter_map(|(index, conditions)| {
+            let failed = conditions.iter().find(|c| !c.holds(facts))?;
             Some(SkippedRule {
                 index,
                 rule: &self.config().rule[index].name,
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -1,11 +1,12 @@
-//! Which rules can match a request, by its team, path, method and model.
+//! Index from a request's team, path, method and model to the rules that can match it.
 //!
-//! A fleet has hundreds of rules and asks them thousands of times a second; testing each in turn
-//! costs the more the later the rule that decides. Here each of the four properties maps to a set
-//! of rules, one bit each, that don't exclude it. The four sets are intersected a word at a time
-//! and only the rules left over are tested for the rest of their conditions, in order. (Bit-vector
+//! A fleet has hundreds of rules and evaluates them thousands of times a second. A linear scan
+//! costs more the later the matching rule stands in the list. This index instead keeps, for each
+//! value of the four properties, a bit set of the rules whose condition on that property accepts
+//! the value. A lookup intersects four bit sets one machine word at a time and tests the remaining
+//! conditions of only those rules that are left, in order. The method is bit-vector
 //! classification: Lakshman and Stiliadis, "High-speed policy-based packet forwarding using
-//! efficient multi-dimensional range matching", 1998.)
+//! efficient multi-dimensional range matching", 1998.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,175 +14,187 @@
 use crate::decide::Facts;
 use crate::units::Glob;
 
-/// A set of rules.
-type Bits = Box<[u64]>;
+/// A set of rules, one bit for each rule in rule order.
+type RuleBits = Box<[u64]>;
 
-/// The sets of all four properties.
+/// The indexed properties of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
-    team: Dim,
-    path: Dim,
-    method: Dim,
-    model: Dim,
+    team: PropertyIndex,
+    path: PropertyIndex,
+    method: PropertyIndex,
+    model: PropertyIndex,
 }
 
-/// The sets of one property.
+/// The rules that accept each value of one property.
 #[derive(Clone, Debug, Default)]
-struct Dim {
-    /// Rules that ask nothing of it.
-    any: Bits,
-    /// Rules by texts that a condition names in whole.
-    exact: HashMap<Box<str>, Bits>,
-    /// Rules by what stands before a trailing `*`, sorted.
+struct PropertyIndex {
+    /// Rules without a condition on the property.
+    unconstrained: RuleBits,
+    /// Rules by the values that conditions spell out whole.
+    exact: HashMap<Box<str>, RuleBits>,
+    /// Rules by the prefixes of patterns with a trailing `*`, sorted by prefix.
     prefixes: Vec<Prefix>,
 }
 
-/// What a text that begins like this can match.
+/// A prefix and the rules that accept a value for which it is the longest matching prefix.
 #[derive(Clone, Debug)]
 struct Prefix {
     text: Box<str>,
-    /// The longest other prefix that this one begins with.
+    /// Position of the longest other prefix that `text` begins with.
     parent: Option<usize>,
-    bits: Bits,
+    rules: RuleBits,
 }
 
 impl Index {
-    /// Builds the sets from each rule's conditions.
+    /// Builds the index from each rule's conditions.
     pub(crate) fn new(rules: &[Vec<Condition>]) -> Self {
         Self {
-            team: Dim::new(rules, |c| match c {
+            team: PropertyIndex::new(rules, |c| match c {
                 Condition::Team(names) => Some(names.iter().map(|n| (n.as_str(), false)).collect()),
                 _ => None,
             }),
-            path: Dim::new(rules, |c| match c {
+            path: PropertyIndex::new(rules, |c| match c {
                 Condition::Path(globs) => Some(globs.iter().map(split).collect()),
                 _ => None,
             }),
-            method: Dim::new(rules, |c| match c {
+            method: PropertyIndex::new(rules, |c| match c {
                 Condition::Method(names) => {
                     Some(names.iter().map(|n| (n.as_str(), false)).collect())
                 }
                 _ => None,
             }),
-            model: Dim::new(rules, |c| match c {
+            model: PropertyIndex::new(rules, |c| match c {
                 Condition::Model(globs) => Some(globs.iter().map(split).collect()),
                 _ => None,
             }),
         }
     }
 
-    /// Whether a condition is fully answered by these sets.
-    pub(crate) fn answers(cond: &Condition) -> bool {
+    /// Whether the index evaluates this condition, so that it needs no further test.
+    pub(crate) fn evaluates(condition: &Condition) -> bool {
         matches!(
-            cond,
+            condition,
             Condition::Team(_) | Condition::Path(_) | Condition::Method(_) | Condition::Model(_)
         )
     }
 
-    /// The first rule in all four sets that also passes a test.
-    pub(crate) fn find(&self, facts: &Facts, pass: impl Fn(usize) -> bool) -> Option<usize> {
+    /// Position of the first rule whose indexed conditions hold and that also passes `rest_holds`.
+    pub(crate) fn find(&self, facts: &Facts, rest_holds: impl Fn(usize) -> bool) -> Option<usize> {
         let team = self.team.get(&facts.team);
         let path = self.path.get(&facts.path);
         let method = self.method.get(&facts.method);
         let model = match &facts.model {
             Some(m) => self.model.get(m),
-            None => &self.model.any,
+            None => &self.model.unconstrained,
         };
         (0..team.len()).find_map(|word| {
-            let mut left = team[word] & path[word] & method[word] & model[word];
-            while left != 0 {
-                let rule = word * 64 + left.trailing_zeros() as usize;
-                if pass(rule) {
+            let mut candidates = team[word] & path[word] & method[word] & model[word];
+            while candidates != 0 {
+                let rule = word * 64 + candidates.trailing_zeros() as usize;
+                if rest_holds(rule) {
                     return Some(rule);
                 }
-                left &= left - 1;
+                // Clears the lowest set bit.
+                candidates &= candidates - 1;
             }
             None
         })
     }
 }
 
-/// A pattern as a text and whether any rest may follow it.
+/// The text of a pattern without the trailing `*`, and whether there was one.
 fn split(glob: &Glob) -> (&str, bool) {
     match glob.prefix() {
-        Some(head) => (head, true),
+        Some(prefix) => (prefix, true),
         None => (glob.as_str(), false),
     }
 }
 
-fn set(bits: &mut Bits, rule: usize) {
-    bits[rule / 64] |= 1 << (rule % 64);
+fn insert(set: &mut RuleBits, rule: usize) {
+    set[rule / 64] |= 1 << (rule % 64);
 }
 
-impl Dim {
+impl PropertyIndex {
+    /// Builds the index of one property. `texts` gives the values that a condition on the property
+    /// accepts, each with whether it is a prefix, and nothing for other conditions.
     fn new<'a>(
         rules: &'a [Vec<Condition>],
         texts: impl Fn(&'a Condition) -> Option<Vec<(&'a str, bool)>>,
     ) -> Self {
-        let mut dim = Self {
-            any: vec![0; rules.len().div_ceil(64)].into(),
+        let mut index = Self {
+            unconstrained: vec![0; rules.len().div_ceil(64)].into(),
             ..Self::default()
         };
-        let mut open: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
-        let mut whole: Vec<(&str, usize)> = Vec::new();
-        for (rule, conds) in rules.iter().enumerate() {
-            let Some(named) = conds.iter().find_map(&texts) else {
-                set(&mut dim.any, rule);
+        let mut prefixes: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
+        let mut exact: Vec<(&str, usize)> = Vec::new();
+        for (rule, conditions) in rules.iter().enumerate() {
+            let Some(accepted) = conditions.iter().find_map(&texts) else {
+                insert(&mut index.unconstrained, rule);
                 continue;
             };
-            for (text, rest) in named {
-                match rest {
-                    true => open.entry(text).or_default().push(rule),
-                    false => whole.push((text, rule)),
+            for (text, is_prefix) in accepted {
+                match is_prefix {
+                    true => prefixes.entry(text).or_default().push(rule),
+                    false => exact.push((text, rule)),
                 }
             }
         }
-        open.into_iter().for_each(|(t, rules)| dim.push(t, rules));
-        for (text, rule) in whole {
-            if !dim.exact.contains_key(text) {
-                let bits = dim.longest(text).clone();
-                dim.exact.insert(text.into(), bits);
+        prefixes
+            .into_iter()
+            .for_each(|(t, rules)| index.push_prefix(t, rules));
+        // An exact value is also accepted by the rules of its longest prefix, so the prefixes have
+        // to be complete before.
+        for (text, rule) in exact {
+            if !index.exact.contains_key(text) {
+                let set = index.of_longest_prefix(text).clone();
+                index.exact.insert(text.into(), set);
             }
-            if let Some(bits) = dim.exact.get_mut(text) {
-                set(bits, rule);
+            if let Some(set) = index.exact.get_mut(text) {
+                insert(set, rule);
             }
         }
-        dim
+        index
     }
 
-    /// Adds a prefix; they come sorted, so that those it begins with are there already.
-    fn push(&mut self, text: &str, rules: Vec<usize>) {
+    /// Adds a prefix. Prefixes are added in sorted order, so that all shorter prefixes of `text`
+    /// are present already.
+    fn push_prefix(&mut self, text: &str, rules: Vec<usize>) {
         let parent = self.ancestor(text, self.prefixes.len().checked_sub(1));
-        let mut bits = self.bits(parent).clone();
-        rules.into_iter().for_each(|r| set(&mut bits, r));
+        let mut set = self.of_prefix(parent).clone();
+        rules.into_iter().for_each(|r| insert(&mut set, r));
         self.prefixes.push(Prefix {
             text: text.into(),
             parent,
-            bits,
+            rules: set,
         });
     }
 
-    fn get(&self, text: &str) -> &Bits {
+    /// The rules that accept a value.
+    fn get(&self, text: &str) -> &RuleBits {
         match self.exact.get(text) {
-            Some(bits) => bits,
-            None => self.longest(text),
+            Some(set) => set,
+            None => self.of_longest_prefix(text),
         }
     }
 
-    /// The set of the longest prefix of a text. All that the text begins with sorts before it, and
-    /// what lies between begins with the longest of them too, so that this one is reached from the
-    /// text's predecessor by going to shorter ones.
-    fn longest(&self, text: &str) -> &Bits {
-        let before = self.prefixes.partition_point(|p| &*p.text <= text);
-        self.bits(self.ancestor(text, before.checked_sub(1)))
+    /// The rules of the longest prefix of a text.
+    ///
+    /// All prefixes of the text sort at or before it. Any entry between the longest one and the
+    /// text also begins with that longest one, which is therefore an ancestor of the last
+    /// entry at or before the text.
+    fn of_longest_prefix(&self, text: &str) -> &RuleBits {
+        let after = self.prefixes.partition_point(|p| &*p.text <= text);
+        self.of_prefix(self.ancestor(text, after.checked_sub(1)))
     }
 
+    /// The first prefix of the text among an entry and its ancestors.
     fn ancestor(&self, text: &str, from: Option<usize>) -> Option<usize> {
         std::iter::successors(from, |i| self.prefixes[*i].parent)
             .find(|i| text.starts_with(&*self.prefixes[*i].text))
     }
 
-    fn bits(&self, prefix: Option<usize>) -> &Bits {
-        prefix.map_or(&self.any, |i| &self.prefixes[i].bits)
+    fn of_prefix(&self, prefix: Option<usize>) -> &RuleBits {
+        prefix.map_or(&self.unconstrained, |i| &self.prefixes[i].rules)
     }
 }
--- a/crates/rules/src/rulecheck.rs
+++ b/crates/rules/src/rulecheck.rs
@@ -228,7 +228,7 @@
         if reader.is_faulty(format!("{path}.when")) || reader.is_faulty(format!("{path}.not")) {
             continue;
         }
-        let conds = condition::of(rule);
+        let conds = condition::of_rule(rule);
         let clash = |(i, c): (usize, &Condition)| conds[i + 1..].iter().any(|d| c.excludes(d));
         if conds.iter().enumerate().any(clash) {
             reader.note(path, FaultKind::NeverMatches(rule.name.clone()));
--- a/crates/rules/src/units.rs
+++ b/crates/rules/src/units.rs
@@ -30,8 +30,7 @@
     ("B", 1),
 ];
 
-/// Minutes of a day.
-pub(crate) const DAY: u16 = 1_440;
+pub(crate) const MINUTES_PER_DAY: u16 = 1_440;
 
 /// A span of time, written as `1500ms` or `8s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -87,8 +86,8 @@
 impl TimeWindow {
     /// A window between two minutes of the day; none if both are the same or either is too late.
     pub fn new(from: u16, to: u16) -> Option<Self> {
-        let whole = (from, to) == (0, DAY);
-        let part = from < DAY && to <= DAY && from != to % DAY;
+        let whole = (from, to) == (0, MINUTES_PER_DAY);
+        let part = from < MINUTES_PER_DAY && to <= MINUTES_PER_DAY && from != to % MINUTES_PER_DAY;
         (whole || part).then_some(Self { from, to })
     }
 
@@ -165,7 +164,7 @@
     let (h, m) = text.split_once(':')?;
     let two = |s: &str| digits(s, 2).then(|| s.parse::<u16>().ok()).flatten();
     let (h, m) = (two(h)?, two(m)?);
-    (h <= 24 && m < 60 && h * 60 + m <= DAY).then_some(h * 60 + m)
+    (h <= 24 && m < 60 && h * 60 + m <= MINUTES_PER_DAY).then_some(h * 60 + m)
 }
 
 impl FromStr for Duration {
