--- a/crates/rules/src/config.rs
+++ b/crates/rules/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration as its text spells it; each struct mirrors a table of the same name.
+//! The configuration as it is written in a rule file: each struct mirrors one TOML table.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,15 @@
 
 use crate::features;
 use crate::read::{Read, Reader};
-use crate::table::{table, word, words, OptionDoc};
+use crate::table::{find_word, table, word_enum, OptionDoc};
 use crate::units::{Duration, Glob, Size, TimeWindow};
 
-/// Loads of weights at once in one pool; both users' weight stores slow down beyond two.
+/// Default number of concurrent weight loads in one pool. Both users' weight stores slow down
+/// beyond two.
 pub const DEFAULT_PERMITS: u32 = 2;
 
 table! {
-    /// The whole text.
+    /// A whole configuration.
     Config in "" {
         /// Regions by name, each with its failure domains.
         "region" region: BTreeMap<String, Region> = BTreeMap::new();
@@ -49,15 +50,15 @@
 }
 
 table! {
-    /// Failure domains near one another.
+    /// A group of failure domains that are near one another.
     Region in "region.NAME" {
         /// Names of its failure domains.
         "domains" domains: Vec<String> = Vec::new();
     }
 }
 
-words! {
-    /// What stands behind a pool.
+word_enum! {
+    /// Kind of targets that a pool consists of.
     PoolKind {
         /// Model engines with a prefix cache.
         #[default]
@@ -68,7 +69,7 @@
 }
 
 table! {
-    /// Targets that can stand in for one another.
+    /// A set of interchangeable targets.
     Pool in "pool.NAME" {
         /// What stands behind it: `model` engines with a prefix cache, or `plain` services.
         "kind" kind: PoolKind = PoolKind::Model;
@@ -89,7 +90,7 @@
 }
 
 table! {
-    /// A customer.
+    /// A customer, identified by its API keys.
     Team in "team.NAME" {
         /// API key digests, `blake3:` and 64 hexadecimal digits each.
         "keys" keys: Vec<String> = Vec::new();
@@ -104,7 +105,7 @@
 
 table! {
     #[derive(Copy)]
-    /// What one team may send. A limit of the team and one of the rule hold at once.
+    /// Limits on what one team may send. Limits of the team and of the rule apply together.
     Limits in "limits" {
         /// Requests a second.
         "requests" requests: Option<u32> = None;
@@ -130,7 +131,7 @@
 }
 
 table! {
-    /// Conditions; an empty one always holds.
+    /// Conditions on a request. A condition that isn't set always holds.
     When in "rule.when" {
         /// One of these teams.
         "team" team: Vec<String> = Vec::new();
@@ -156,7 +157,7 @@
 
 table! {
     #[derive(Copy)]
-    /// Sizes from a least to a greatest, both included.
+    /// A range of sizes, both ends included.
     SizeRange in "rule.when.prompt" {
         /// The least size.
         "min" min: Option<Size> = None;
@@ -165,7 +166,7 @@
     }
 }
 
-words! {
+word_enum! {
     /// A day of the week.
     Weekday {
         /// Monday.
@@ -187,7 +188,7 @@
 }
 
 table! {
-    /// Consequences.
+    /// Consequences of a rule for the requests that it decides.
     Then in "rule.then" {
         /// Where it goes.
         "pool" pool: Option<String> = None;
@@ -212,7 +213,7 @@
 }
 
 impl Limits {
-    /// Each limit by its key, as plain numbers.
+    /// Each limit with its key in the configuration.
     pub fn by_key(&self) -> [(&'static str, Option<u64>); 3] {
         [
             ("requests", self.requests.map(u64::from)),
@@ -221,7 +222,7 @@
         ]
     }
 
-    /// These, and others where none is set.
+    /// These limits, with those of `other` where none is set.
     pub fn or(self, other: Self) -> Self {
         Self {
             requests: self.requests.or(other.requests),
@@ -232,13 +233,13 @@
 }
 
 impl Config {
-    /// The configuration in canonical form: parsing it gives the same configuration, and printing
-    /// that the same text. Comments are lost.
+    /// Serializes the configuration in canonical form: parsing the text gives the same
+    /// configuration, and serializing that gives the same text. Comments are lost.
     pub fn to_toml(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
 
-    /// The cache scope of a team: its own name unless it shares one.
+    /// Cache scope of a team: its own name unless its table sets a scope.
     pub fn scope<'a>(&'a self, team: &'a str) -> &'a str {
         match self.team.get(team) {
             Some(t) if !t.scope.is_empty() => &t.scope,
@@ -246,7 +247,7 @@
         }
     }
 
-    /// The limits on all that a team sends.
+    /// Limits on all requests of a team: its own, with the general ones where it sets none.
     pub fn limits(&self, team: &str) -> Limits {
         match self.team.get(team) {
             Some(t) => t.limits.or(self.limits),
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Every key of every table, for documentation.
+    /// Documentation of every key of every table.
     pub fn options() -> Vec<OptionDoc> {
         [
             Region::fields(),
@@ -281,13 +282,13 @@
     }
 }
 
-/// A class as the reader wants it, with a fault that suggests one.
+/// Wrapper that parses a class with a fault that lists the known ones and suggests one of them.
 struct ClassWord(Class);
 
 impl std::str::FromStr for ClassWord {
     type Err = crate::fault::FaultKind;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
-        word(s, Class::ALL.iter().map(|c| c.as_str())).map(|i| Self(Class::ALL[i]))
+        find_word(s, Class::ALL.iter().map(|c| c.as_str())).map(|i| Self(Class::ALL[i]))
     }
 }
--- a/crates/rules/src/features.rs
+++ b/crates/rules/src/features.rs
@@ -1,15 +1,16 @@
-//! Tables of the features that act under load; each has the name of the module in `policy` that it
-//! sets, and its keys the names of that module's settings.
+//! Configuration tables of the features that act under load, such as admission, queues and
+//! retries.
 //!
-//! The defaults are that module's, which also holds their grounds. A table here exists so that an
-//! operator can change a figure without a new release; what only a developer could judge, such as
-//! the weight of a new sample, has no key.
+//! Each table configures one module of the crate `policy` and has the same defaults as that module,
+//! where the reasons for them are given. The tables let an operator change a value without a new
+//! release. Values that only a developer can judge, such as the weight of a new sample in an
+//! average, have no key.
 
 use crate::table::{table, OptionDoc};
 use crate::units::{Duration, Percent};
 
 table! {
-    /// Which replicas are asked for a request.
+    /// How many replicas are probed to place a request.
     Placement in "place" {
         /// Most replicas asked for one request.
         "probes" probes: u32 = 4;
@@ -17,7 +18,7 @@
 }
 
 table! {
-    /// Places held at replicas for requests that may come.
+    /// Reservation of places at replicas for requests that may arrive.
     Reserve in "reserve" {
         /// How long a place is held for a request that doesn't come.
         "hold" hold: Duration = Duration::from_millis(50);
@@ -25,7 +26,7 @@
 }
 
 table! {
-    /// What is turned away before it waits.
+    /// Admission control: which requests are refused before they wait.
     Admit in "admit" {
         /// Most requests that wait at one target.
         "places" places: u32 = 1_024;
@@ -41,7 +42,7 @@
 }
 
 table! {
-    /// In which order requests leave a target's queue.
+    /// Order in which requests leave a target's queue.
     Queue in "queue" {
         /// Part of the work assured to class `normal` while calls wait too.
         "normal" normal: Percent = Percent::from_permille(100);
@@ -53,7 +54,7 @@
 }
 
 table! {
-    /// How many requests a target runs at once.
+    /// Limit on the number of requests that a target runs at once.
     Concurrency in "concurrency" {
         /// Smallest limit.
         "least" least: u32 = 1;
@@ -65,7 +66,7 @@
 }
 
 table! {
-    /// How often a request is tried again.
+    /// Retries of a request and the budget for them.
     Retry in "retry" {
         /// Most attempts for one request, the first included.
         "attempts" attempts: u32 = 3;
@@ -77,7 +78,7 @@
 }
 
 table! {
-    /// When a target is taken out for a while.
+    /// Ejection of slow or failing targets and the trials that readmit them.
     Health in "health" {
         /// Multiple of its peers' median that is too slow.
         "slow" slow: u32 = 3;
@@ -95,7 +96,7 @@
 }
 
 table! {
-    /// What becomes of a request that crashes its targets.
+    /// Refusal of requests that repeatedly crash their targets.
     Quarantine in "quarantine" {
         /// Crashes after which it is refused.
         "strikes" strikes: u32 = 2;
@@ -107,14 +108,14 @@
 }
 
 table! {
-    /// How a planned stop goes.
+    /// Planned shutdown.
     Drain in "drain" {
         /// How long late arrivals are expected after readiness is withdrawn.
         "notice" notice: Duration = Duration::from_secs(5);
     }
 }
 
-/// Every key of these tables.
+/// Documentation of every key of these tables.
 pub(crate) fn fields() -> Vec<OptionDoc> {
     [
         Placement::fields(),
--- a/crates/rules/src/rulecheck.rs
+++ b/crates/rules/src/rulecheck.rs
@@ -70,7 +70,7 @@
         }
     }
     for (i, method) in when.method.iter().enumerate() {
-        if let Err(kind) = crate::table::word(method, METHODS.into_iter()) {
+        if let Err(kind) = crate::table::find_word(method, METHODS.into_iter()) {
             reader.note(format!("{path}.method[{i}]"), kind);
         }
     }
--- a/crates/rules/src/table.rs
+++ b/crates/rules/src/table.rs
@@ -1,22 +1,24 @@
-//! Declares the tables of a configuration: one list of keys gives the struct, its defaults, its
-//! reader, its printer and its rows in the documentation, so that these can't drift apart.
+//! Macros that declare the tables and enums of a configuration.
+//!
+//! One list of keys generates the struct, its defaults, its reader, its serializer and its rows in
+//! the documentation, so that these can't drift apart.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// One key of a table, for documentation; shown as a row of its options table.
+/// Documentation of one key. `Display` gives its row in a table of options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OptionDoc {
-    /// The table it stands in.
+    /// Name of the table that has the key.
     pub table: &'static str,
-    /// The key.
+    /// Name of the key.
     pub key: &'static str,
-    /// The type of its value.
+    /// Type of the value.
     pub kind: String,
-    /// The value when it isn't written; empty if there is none.
+    /// Default value in TOML; empty if there is none or it can't be written on one line.
     pub default: String,
-    /// What it means.
+    /// Description of the key.
     pub meaning: String,
 }
 
@@ -31,16 +33,17 @@
     }
 }
 
-/// A value as the text spells it; nothing for what can't stand after a key.
-pub(crate) fn spell(value: &impl Serialize) -> String {
+/// The value in TOML; empty for tables and absent values, which can't be written as `key = value`.
+pub(crate) fn inline_toml(value: &impl Serialize) -> String {
     match toml::Value::try_from(value) {
         Ok(toml::Value::Table(_)) | Err(_) => String::new(),
         Ok(v) => v.to_string(),
     }
 }
 
-/// Fields are written as `"key" field: Type = default;`, scalars before tables, as TOML wants them
-/// printed. A key at its default is not printed.
+/// Declares a table. Each field is written as `"key" field: Type = default;`, and its doc comment
+/// becomes the description of the option. Scalars come before tables, as TOML requires in output.
+/// Keys at their defaults are not serialized.
 macro_rules! table {
     (
         $(#[$meta:meta])*
@@ -63,14 +66,14 @@
         impl $name {
             const KEYS: &'static [&'static str] = &[$($key,)*];
 
-            /// Its keys, for documentation.
+            /// Documentation of the table's keys.
             pub fn fields() -> Vec<$crate::table::OptionDoc> {
                 let d = Self::default();
                 vec![$($crate::table::OptionDoc {
                     table: $table,
                     key: $key,
                     kind: <$kind as $crate::read::Read>::kind(),
-                    default: $crate::table::spell(&d.$field),
+                    default: $crate::table::inline_toml(&d.$field),
                     meaning: concat!($($doc),+).trim().to_owned(),
                 },)*]
             }
@@ -110,8 +113,8 @@
     };
 }
 
-/// Enums whose variants are single words in the text.
-macro_rules! words {
+/// Declares an enum whose variants are written as single words in the configuration.
+macro_rules! word_enum {
     (
         $(#[$meta:meta])*
         $name:ident { $($(#[$doc:meta])+ $variant:ident $word:literal,)* }
@@ -121,10 +124,10 @@
         pub enum $name { $($(#[$doc])+ $variant,)* }
 
         impl $name {
-            /// All of them, in order.
+            /// All variants, in order of declaration.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The word in the text.
+            /// The variant's word in the configuration.
             pub const fn as_str(self) -> &'static str {
                 match self { $(Self::$variant => $word,)* }
             }
@@ -141,7 +144,7 @@
 
             fn from_str(s: &str) -> Result<Self, Self::Err> {
                 let known = Self::ALL.iter().map(|w| w.as_str());
-                $crate::table::word(s, known)
+                $crate::table::find_word(s, known)
                     .map(|i| Self::ALL[i])
             }
         }
@@ -156,10 +159,10 @@
     };
 }
 
-pub(crate) use {table, words};
+pub(crate) use {table, word_enum};
 
-/// The position of a word among those allowed.
-pub(crate) fn word(
+/// Position of a word among the known ones, or a fault that lists them.
+pub(crate) fn find_word(
     word: &str,
     known: impl Iterator<Item = &'static str> + Clone,
 ) -> Result<usize, crate::fault::FaultKind> {
