--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -5,7 +5,7 @@
 use crate::api_keys::KeyDigest;
 use crate::config::{Config, Limits, Pool, PoolKind, Team};
 use crate::fault::{FaultKind, NameKind};
-use crate::read::{nearest, Reader};
+use crate::read::{suggestion, Reader};
 use crate::rulecheck;
 
 /// Longest name of a pool, team, region, failure domain or rule; they become labels of metrics.
@@ -24,7 +24,7 @@
 pub(crate) fn name(reader: &mut Reader, path: &str, name: &str) {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.is_empty() || name.len() > NAME_MAX || !name.chars().all(plain) {
-        reader.note(path, FaultKind::BadName(name.to_owned()));
+        reader.report(path, FaultKind::BadName(name.to_owned()));
     }
 }
 
@@ -32,17 +32,17 @@
 pub(crate) fn declared<T>(
     reader: &mut Reader,
     path: impl Into<String>,
-    noun: NameKind,
+    kind: NameKind,
     name: &str,
     known: &BTreeMap<String, T>,
 ) {
     if !known.contains_key(name) {
         let kind = FaultKind::UnknownName {
-            noun,
+            kind,
             name: name.to_owned(),
-            hint: nearest(name, known.keys().map(String::as_str)),
+            hint: suggestion(name, known.keys().map(String::as_str)),
         };
-        reader.note(path, kind);
+        reader.report(path, kind);
     }
 }
 
@@ -52,7 +52,7 @@
         let path = format!("region.{region}");
         name(reader, &path, region);
         if r.domains.is_empty() && !reader.is_faulty(format!("{path}.domains")) {
-            reader.note(&path, FaultKind::EmptyRegion(region.clone()));
+            reader.report(&path, FaultKind::EmptyRegion(region.clone()));
         }
         for (i, domain) in r.domains.iter().enumerate() {
             let path = format!("{path}.domains[{i}]");
@@ -62,7 +62,7 @@
                     domain: domain.clone(),
                     region: (*first).to_owned(),
                 };
-                reader.note(path, kind);
+                reader.report(path, kind);
                 continue;
             }
             homes.insert(domain, region);
@@ -79,7 +79,7 @@
         kept(reader, &path, p, pools);
         match p.kind {
             PoolKind::Model if p.model.is_empty() => {
-                reader.note(path, FaultKind::MissingModel(pool.clone()));
+                reader.report(path, FaultKind::MissingModel(pool.clone()));
             }
             PoolKind::Plain => plain(reader, &path, p),
             PoolKind::Model => {}
@@ -95,7 +95,7 @@
     let path = format!("{path}.kept");
     match pools.get(name) {
         Some(p) if p.kind == PoolKind::Model => {
-            reader.note(path, FaultKind::KvStoreNotPlain(name.clone()))
+            reader.report(path, FaultKind::KvStoreNotPlain(name.clone()))
         }
         _ => declared(reader, path, NameKind::Pool, name, pools),
     }
@@ -112,10 +112,10 @@
         ("permits", pool.permits != d.permits),
     ];
     for (key, _) in set.into_iter().filter(|(_, set)| *set) {
-        let beside = "in a pool of kind `plain`";
-        reader.note(
+        let context = "in a pool of kind `plain`";
+        reader.report(
             format!("{path}.{key}"),
-            FaultKind::IneffectiveKey { key, beside },
+            FaultKind::IneffectiveKey { key, context },
         );
     }
 }
@@ -128,15 +128,15 @@
         name(reader, &path, team);
         zero(reader, &path, "share", Some(t.share));
         if t.keys.is_empty() && !reader.is_faulty(format!("{path}.keys")) {
-            reader.note(&path, FaultKind::TeamWithoutKey(team.clone()));
+            reader.report(&path, FaultKind::TeamWithoutKey(team.clone()));
         }
         for (i, key) in t.keys.iter().enumerate() {
             let path = format!("{path}.keys[{i}]");
             match KeyDigest::parse(key) {
-                None => reader.note(path, FaultKind::BadDigest),
+                None => reader.report(path, FaultKind::BadDigest),
                 Some(d) => {
                     if let Some(other) = holders.insert(d, team) {
-                        reader.note(path, FaultKind::DuplicateApiKey(other.to_owned()));
+                        reader.report(path, FaultKind::DuplicateApiKey(other.to_owned()));
                     }
                 }
             }
@@ -158,13 +158,13 @@
             owner: t.scope.clone(),
             team: team.to_owned(),
         };
-        reader.note(format!("team.{team}.scope"), kind);
+        reader.report(format!("team.{team}.scope"), kind);
     }
 }
 
 fn zero(reader: &mut Reader, path: &str, key: &'static str, value: Option<u32>) {
     if value == Some(0) {
-        reader.note(format!("{path}.{key}"), FaultKind::Zero(key));
+        reader.report(format!("{path}.{key}"), FaultKind::Zero(key));
     }
 }
 
@@ -172,7 +172,7 @@
 pub(crate) fn limits(reader: &mut Reader, path: &str, limits: &Limits) {
     for (key, value) in limits.by_key() {
         if value == Some(0) {
-            reader.note(format!("{path}.{key}"), FaultKind::Zero(key));
+            reader.report(format!("{path}.{key}"), FaultKind::Zero(key));
         }
     }
 }
@@ -220,7 +220,7 @@
     (high, b): (&'static str, T),
 ) {
     if a > b {
-        reader.note(
+        reader.report(
             format!("{table}.{low}"),
             FaultKind::InvertedBounds { low, high },
         );
--- a/crates/rules/src/config.rs
+++ b/crates/rules/src/config.rs
@@ -278,7 +278,7 @@
     }
 
     fn read(r: &mut Reader, path: &str, value: &Spanned<DeValue<'_>>) -> Option<Self> {
-        r.text::<ClassWord>(path, value).map(|w| w.0)
+        r.parse_string::<ClassWord>(path, value).map(|w| w.0)
     }
 }
 
--- a/crates/rules/src/fault.rs
+++ b/crates/rules/src/fault.rs
@@ -1,19 +1,19 @@
-//! What can be wrong with a configuration.
+//! Faults of a configuration and their messages.
 //!
-//! A check reports everything at once, each fault with its place in the text, so that an operator
-//! mends a file in one round. Errors keep a configuration from being taken; warnings point at what
-//! is allowed but hardly meant.
+//! A check reports all faults at once, each with its position in the text, so that an operator can
+//! correct a file in one pass. A configuration with errors is rejected. Warnings point at settings
+//! that are allowed but probably unintended.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// How bad a fault is.
+/// Severity of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Severity {
-    /// The configuration can't be taken.
+    /// The configuration is rejected.
     Error,
-    /// It can be taken, but this is hardly meant.
+    /// The configuration is accepted, but the setting is probably unintended.
     Warning,
 }
 
@@ -26,12 +26,12 @@
     }
 }
 
-/// A kind of name that one part of a configuration declares and another uses.
+/// Kind of a name that one part of a configuration declares and another refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NameKind {
-    /// A pool.
+    /// Name of a pool.
     Pool,
-    /// A team.
+    /// Name of a team.
     Team,
 }
 
@@ -44,109 +44,109 @@
     }
 }
 
-/// What is wrong.
+/// Kind of a fault; its `Display` is the message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FaultKind {
-    /// The text is not TOML.
+    /// The text is not valid TOML.
     #[error("{0}")]
     Syntax(String),
-    /// A key that nothing reads.
+    /// A key that its table doesn't have.
     #[error("unknown key `{name}`")]
     UnknownKey {
-        /// The key.
+        /// The unknown key.
         name: String,
-        /// A known key like it.
+        /// A known key with a similar name.
         hint: Option<String>,
-        /// Whether it stands among conditions.
-        condition: bool,
+        /// Whether the key is in a `when` or `not` table.
+        is_condition: bool,
     },
-    /// A value of another type.
-    #[error("expected {want}, found {found}")]
+    /// A value of the wrong type.
+    #[error("expected {expected}, found {found}")]
     WrongType {
-        /// What belongs there.
-        want: &'static str,
-        /// What stands there.
+        /// Type that the key requires.
+        expected: &'static str,
+        /// Type of the value.
         found: &'static str,
     },
-    /// A number that doesn't fit.
+    /// A number that is not a `u32`.
     #[error("`{0}` is not a whole number from 0 to 4294967295")]
     BadNumber(String),
-    /// A word that isn't one of a fixed few.
+    /// A word that isn't among a fixed set of words.
     #[error("`{word}` is none of {known}")]
     UnknownWord {
-        /// The word.
+        /// The unknown word.
         word: String,
-        /// Those allowed.
+        /// Words that are allowed, as a list for display.
         known: String,
-        /// One like it.
+        /// An allowed word that is similar.
         hint: Option<String>,
     },
-    /// Not a duration.
+    /// A malformed duration.
     #[error("`{0}` is no duration; write a whole number and us, ms, s, m, h or d")]
     BadDuration(String),
-    /// Not a size.
+    /// A malformed size.
     #[error("`{0}` is no size; write a whole number and B, KiB, MiB or GiB")]
     BadSize(String),
-    /// Not a percentage.
+    /// A malformed percentage.
     #[error(
         "`{0}` is no percentage; write a number from 0 to 100, with at most one decimal, and %"
     )]
     BadPercent(String),
-    /// Not a window of the day.
+    /// A malformed or empty window of the day.
     #[error("`{0}` is no window; write two different times of day as `06:00-18:30`")]
     BadWindow(String),
-    /// A `*` elsewhere than at the end.
+    /// A pattern with a `*` elsewhere than at the end.
     #[error("`{0}` is no pattern; a `*` stands only at the end")]
     BadGlob(String),
     /// A path pattern that no path can match.
     #[error("path `{0}` doesn't begin with `/`")]
     BadPath(String),
-    /// Not a key digest.
+    /// A malformed digest of an API key.
     #[error("a key is `blake3:` and 64 hexadecimal digits")]
     BadDigest,
-    /// Not a header name.
+    /// An invalid header name, or one that is not in lower case.
     #[error("`{0}` is no header name; names are written in lower case")]
     BadHeaderName(String),
-    /// Not a header value.
+    /// A header value with characters that can't be sent.
     #[error("the value of header `{0}` holds characters that can't be sent")]
     BadHeaderValue(String),
     /// A header that the router itself sets.
     #[error("header `{0}` is set by the router itself")]
     ReservedHeader(String),
     /// A name that is used, but not declared.
-    #[error("no {noun} is named `{name}`")]
+    #[error("no {kind} is named `{name}`")]
     UnknownName {
-        /// What it would be.
-        noun: NameKind,
-        /// The name.
+        /// Kind of the name.
+        kind: NameKind,
+        /// The undeclared name.
         name: String,
-        /// A declared one like it.
+        /// A declared name that is similar.
         hint: Option<String>,
     },
-    /// A name that can't stand in metrics and logs.
+    /// A name that can't be used as a label in metrics and logs.
     #[error("`{0}` is no name; names are letters, digits, `-`, `_` and `.`")]
     BadName(String),
     /// A rule without a name.
     #[error("the rule has no name")]
     MissingRuleName,
-    /// A second rule of the same name.
+    /// A second rule with the same name.
     #[error("rule `{0}` stands twice")]
     DuplicateRule(String),
-    /// A rule that says nothing.
+    /// A rule that neither forwards requests to a pool nor refuses them.
     #[error("rule `{0}` has neither `pool` nor `refuse`")]
     NoOutcome(String),
-    /// A rule that says two things.
+    /// A rule that both forwards requests to a pool and refuses them.
     #[error("rule `{0}` has both `pool` and `refuse`")]
     TwoOutcomes(String),
-    /// An earlier rule matches all that this one does.
+    /// A rule that is shadowed by an earlier rule, which matches all its requests.
     #[error("rule `{rule}` is never reached: `{by}` matches all that it does")]
     Unreachable {
-        /// The rule.
+        /// Name of the shadowed rule.
         rule: String,
-        /// The earlier rule.
+        /// Name of the earlier rule.
         by: String,
     },
-    /// Conditions that exclude one another.
+    /// A rule whose conditions exclude one another.
     #[error("rule `{0}` can't match: its conditions exclude one another")]
     NeverMatches(String),
     /// A lower bound above the upper one.
@@ -157,68 +157,72 @@
         /// Key of the upper bound.
         high: &'static str,
     },
-    /// A pool that nothing is sent to.
+    /// A pool that no rule or other pool refers to.
     #[error("no rule sends anything to pool `{0}`")]
     UnusedPool(String),
-    /// Engines without a model.
+    /// A model pool without a model.
     #[error("model pool `{0}` names no model")]
     MissingModel(String),
-    /// Kept KV cache in a pool of engines.
+    /// A `kept` key that names a pool of engines instead of a plain one.
     #[error("kept KV cache is held by a pool of kind `plain`, and `{0}` is one of engines")]
     KvStoreNotPlain(String),
-    /// A key that has no effect beside another.
-    #[error("`{key}` has no effect {beside}")]
+    /// A key that has no effect in combination with other settings.
+    #[error("`{key}` has no effect {context}")]
     IneffectiveKey {
-        /// The key.
+        /// The key without effect.
         key: &'static str,
-        /// Beside what.
-        beside: &'static str,
+        /// Settings that make it so, as "without `refuse`".
+        context: &'static str,
     },
-    /// A team that nobody can speak for.
+    /// A team without API keys, as which no caller can authenticate.
     #[error("team `{0}` has no key, so nobody can call as it")]
     TeamWithoutKey(String),
-    /// A key that two teams hold.
+    /// An API key that another team has already; the field names that team.
     #[error("team `{0}` has the same key")]
     DuplicateApiKey(String),
     /// A region without failure domains.
     #[error("region `{0}` has no failure domain")]
     EmptyRegion(String),
-    /// A failure domain that stands twice.
+    /// A failure domain that is listed twice.
     #[error("failure domain `{domain}` stands in region `{region}` already")]
     DuplicateDomain {
-        /// The domain.
+        /// Name of the failure domain.
         domain: String,
-        /// Where it stood first.
+        /// Region that lists it first.
         region: String,
     },
     /// A value that must not be zero.
     #[error("`{0}` can't be zero")]
     Zero(&'static str),
-    /// A limit that a tighter one overrules.
+    /// A limit of a rule that has no effect, as every team that the rule matches has a lower one.
     #[error("limit `{0}` never binds: each team that the rule matches has a tighter one")]
     IneffectiveLimit(&'static str),
-    /// A rule whose limit refuses all that it matches.
+    /// A rule whose body limit is below the smallest prompt that it matches, so that it refuses
+    /// every request.
     #[error("the largest body allowed is smaller than the least prompt matched")]
     BodyBelowPrompt,
-    /// A scope that another team believes to be its own.
+    /// A cache scope of another team that doesn't share it.
     #[error("scope `{scope}` is that of team `{owner}`, which doesn't share it with `{team}`")]
     ForeignScope {
-        /// The scope.
+        /// Name of the scope.
         scope: String,
-        /// Whose it is.
+        /// Team that the scope belongs to.
         owner: String,
-        /// Who would read it.
+        /// Team that would get access to the scope.
         team: String,
     },
 }
 
 impl FaultKind {
-    /// How bad it is. An unknown key is a warning, save among conditions: leaving one out would
-    /// make its rule match more than is written.
+    /// Severity of this kind of fault.
+    ///
+    /// An unknown key is only a warning, except among conditions: ignoring a condition would make
+    /// its rule match more requests than intended.
     pub fn severity(&self) -> Severity {
         match self {
             Self::UnknownKey {
-                condition: false, ..
+                is_condition: false,
+                ..
             }
             | Self::Unreachable { .. }
             | Self::UnusedPool(_)
@@ -230,7 +234,7 @@
         }
     }
 
-    /// What was probably meant.
+    /// A known name that was probably intended.
     pub fn hint(&self) -> Option<&str> {
         match self {
             Self::UnknownKey { hint, .. }
@@ -241,20 +245,20 @@
     }
 }
 
-/// One thing that is wrong, and where.
+/// One fault and its position.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct Fault {
-    /// The file's name; empty if the text came from elsewhere.
+    /// Name of the file; empty if the text came from elsewhere.
     pub file: String,
     /// Line, from 1.
     pub line: usize,
-    /// Column, from 1, in characters.
+    /// Column in characters, from 1.
     pub column: usize,
-    /// The key's whole path, as `rule[3].then.pool`.
+    /// Full path of the key, such as `rule[3].then.pool`; empty for a syntax error.
     pub key: String,
-    /// How bad it is.
+    /// Severity of `kind`.
     pub severity: Severity,
-    /// What is wrong.
+    /// Kind of the fault, with its details.
     pub kind: FaultKind,
 }
 
@@ -275,12 +279,12 @@
     }
 }
 
-/// All that is wrong with one text, in its order.
+/// All faults of a configuration, in the order of its text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Error)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// Whether anything keeps the configuration from being taken.
+    /// Whether any fault is an error, so that the configuration is rejected.
     pub fn has_errors(&self) -> bool {
         self.0.iter().any(|f| f.severity == Severity::Error)
     }
--- a/crates/rules/src/read.rs
+++ b/crates/rules/src/read.rs
@@ -1,7 +1,7 @@
-//! From a parsed text to typed tables, keeping the place of every key and noting every fault.
+//! Reads TOML into typed tables, recording the position of every key and every fault.
 //!
-//! A reader that stops at the first fault makes an operator check a file as often as it has faults.
-//! Here each value that can't be read is noted and left at its default, and reading goes on.
+//! A reader that stops at the first fault makes an operator check a file once for each fault. This
+//! reader reports a value that can't be read, leaves it at its default and continues.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
@@ -13,42 +13,44 @@
 use crate::fault::{Fault, FaultKind};
 use crate::units::{Duration, Glob, Percent, Size, TimeWindow};
 
-/// How alike two words must be for one to be suggested in place of the other; `strsim` gives 1 to
-/// equal words. Words that are one edit apart are suggested whatever this says.
-const ALIKE: f64 = 0.7;
+/// Least Jaro-Winkler similarity at which a known word is suggested for an unknown one; equal
+/// words have 1. Words at most one edit apart are suggested regardless of their similarity.
+const MIN_SIMILARITY: f64 = 0.7;
 
-/// A value that can be read from the text.
+/// A type whose values can be read from TOML.
 pub(crate) trait Read: Sized {
-    /// What it is called in documentation.
+    /// Name of the type in documentation.
     fn kind() -> String;
 
-    /// Reads it; absent if it can't be read, which the reader has noted then.
+    /// Reads a value. If it can't be read, reports a fault to the reader and returns nothing.
     fn read(reader: &mut Reader, path: &str, value: &Spanned<DeValue<'_>>) -> Option<Self>;
 }
 
-/// What is known of a text besides its values: places and faults.
+/// Collects the positions of keys and the faults while a configuration is read and checked.
 #[derive(Debug, Default)]
 pub(crate) struct Reader {
-    spots: HashMap<String, usize>,
+    /// Byte offset in the text of each key, by the key's path.
+    offsets: HashMap<String, usize>,
+    /// Faults with their byte offset and the path of their key.
     faults: Vec<(usize, String, FaultKind)>,
 }
 
-/// A table being read.
-pub(crate) struct Section<'a, 'i> {
+/// A table whose keys are being read.
+pub(crate) struct TableReader<'a, 'i> {
     reader: &'a mut Reader,
     path: &'a str,
     table: &'a DeTable<'i>,
 }
 
 impl Reader {
-    /// Parses a text and reads it as a table.
+    /// Parses a text as TOML and reads it as a table.
     pub(crate) fn parse<T: Read + Default>(text: &str) -> (Self, T) {
         let mut reader = Self::default();
         let (table, errors) = DeTable::parse_recoverable(text);
         for e in errors {
-            let at = e.span().map_or(0, |s| s.start);
+            let offset = e.span().map_or(0, |s| s.start);
             let kind = FaultKind::Syntax(e.message().to_owned());
-            reader.faults.push((at, String::new(), kind));
+            reader.faults.push((offset, String::new(), kind));
         }
         let span = table.span();
         let value = Spanned::new(span, DeValue::Table(table.into_inner()));
@@ -56,13 +58,13 @@
         (reader, read)
     }
 
-    /// Notes a fault at a key, or at the nearest key around it.
-    pub(crate) fn note(&mut self, path: impl Into<String>, kind: FaultKind) {
+    /// Reports a fault at a key, or at the nearest enclosing key that the text contains.
+    pub(crate) fn report(&mut self, path: impl Into<String>, kind: FaultKind) {
         let path = path.into();
-        self.faults.push((self.spot(&path), path, kind));
+        self.faults.push((self.offset(&path), path, kind));
     }
 
-    /// Whether anything was noted at a key or within it.
+    /// Whether a fault was reported at a key or within it.
     pub(crate) fn is_faulty(&self, path: impl AsRef<str>) -> bool {
         let within = |key: &str| match key.strip_prefix(path.as_ref()) {
             Some(rest) => rest.is_empty() || rest.starts_with(['.', '[']),
@@ -71,14 +73,14 @@
         self.faults.iter().any(|(_, key, _)| within(key))
     }
 
-    /// All faults with their places, in the order of the text.
+    /// All faults with lines and columns, in the order of the text.
     pub(crate) fn finish(mut self, file: &str, text: &str) -> Vec<Fault> {
-        self.faults.sort_by_key(|(at, ..)| *at);
-        let mut places = Places::new(text);
+        self.faults.sort_by_key(|(offset, ..)| *offset);
+        let mut positions = LineColumns::new(text);
         self.faults
             .into_iter()
-            .map(|(at, key, kind)| {
-                let (line, column) = places.of(at);
+            .map(|(offset, key, kind)| {
+                let (line, column) = positions.at(offset);
                 let severity = kind.severity();
                 Fault {
                     file: file.to_owned(),
@@ -92,18 +94,20 @@
             .collect()
     }
 
-    fn spot(&self, path: &str) -> usize {
+    /// Byte offset of a key, or of the nearest enclosing key that the text contains.
+    fn offset(&self, path: &str) -> usize {
         let mut path = path;
         loop {
-            match self.spots.get(path) {
-                Some(at) => return *at,
+            match self.offsets.get(path) {
+                Some(offset) => return *offset,
                 None if path.is_empty() => return 0,
                 None => path = path.rfind(['.', '[']).map_or("", |i| &path[..i]),
             }
         }
     }
 
-    /// Remembers where a key stands: a table at its name, anything else at its value.
+    /// Records the offset of a key, for a table that of its name and otherwise that of the value.
+    /// Returns the path of the key.
     fn enter<K: AsRef<str>>(
         &mut self,
         path: &str,
@@ -119,55 +123,57 @@
             DeValue::Table(_) => key.span(),
             _ => value.span(),
         };
-        self.spots.insert(path.clone(), start);
+        self.offsets.insert(path.clone(), start);
         path
     }
 
-    /// Reads a word or a value written as text.
-    pub(crate) fn text<T: FromStr<Err = FaultKind>>(
+    /// Reads a string and parses it.
+    pub(crate) fn parse_string<T: FromStr<Err = FaultKind>>(
         &mut self,
         path: &str,
         value: &Spanned<DeValue<'_>>,
     ) -> Option<T> {
         match value.get_ref() {
-            DeValue::String(s) => s.parse().map_err(|kind| self.note(path, kind)).ok(),
+            DeValue::String(s) => s.parse().map_err(|kind| self.report(path, kind)).ok(),
             other => {
-                self.wrong(path, "string", other);
+                self.report_type(path, "string", other);
                 None
             }
         }
     }
 
-    fn wrong(&mut self, path: &str, want: &'static str, value: &DeValue<'_>) {
+    fn report_type(&mut self, path: &str, expected: &'static str, value: &DeValue<'_>) {
         let found = value.type_str();
-        self.note(path, FaultKind::WrongType { want, found });
+        self.report(path, FaultKind::WrongType { expected, found });
     }
 }
 
-/// Turns growing offsets into lines and columns in one pass over the text.
-struct Places<'a> {
+/// Converts ascending byte offsets to lines and columns in one pass over the text.
+struct LineColumns<'a> {
     text: &'a str,
-    at: usize,
+    /// Offset up to which `line` and `column` have been counted.
+    offset: usize,
     line: usize,
     column: usize,
 }
 
-impl<'a> Places<'a> {
+impl<'a> LineColumns<'a> {
     fn new(text: &'a str) -> Self {
         Self {
             text,
-            at: 0,
+            offset: 0,
             line: 1,
             column: 1,
         }
     }
 
-    fn of(&mut self, offset: usize) -> (usize, usize) {
-        for c in self.text[self.at..].chars() {
-            if self.at >= offset {
+    /// Line and column of an offset, which must not be less than that of the previous call.
+    fn at(&mut self, offset: usize) -> (usize, usize) {
+        for c in self.text[self.offset..].chars() {
+            if self.offset >= offset {
                 break;
             }
-            self.at += c.len_utf8();
+            self.offset += c.len_utf8();
             (self.line, self.column) = match c {
                 '\n' => (self.line + 1, 1),
                 _ => (self.line, self.column + 1),
@@ -177,8 +183,8 @@
     }
 }
 
-impl<'a, 'i> Section<'a, 'i> {
-    /// Opens a value as a table.
+impl<'a, 'i> TableReader<'a, 'i> {
+    /// Starts reading a value as a table; reports a fault and returns nothing if it is not one.
     pub(crate) fn open(
         reader: &'a mut Reader,
         path: &'a str,
@@ -191,41 +197,44 @@
                 table,
             }),
             other => {
-                reader.wrong(path, "table", other);
+                reader.report_type(path, "table", other);
                 None
             }
         }
     }
 
-    /// Reads one key.
+    /// Reads the value of one key; absent if the table lacks the key or the value can't be read.
     pub(crate) fn get<T: Read>(&mut self, key: &str) -> Option<T> {
         let (name, value) = self.table.iter().find(|(k, _)| k.get_ref() == key)?;
         let path = self.reader.enter(self.path, name, value);
         T::read(self.reader, &path, value)
     }
 
-    /// Notes each key that isn't among the known ones.
+    /// Reports each key that isn't among the known ones.
     pub(crate) fn finish(self, known: &[&str]) {
-        let condition = self.path.ends_with(".when") || self.path.ends_with(".not");
+        let is_condition = self.path.ends_with(".when") || self.path.ends_with(".not");
         for (key, value) in self.table {
             let name = key.get_ref().to_string();
             if known.contains(&name.as_str()) {
                 continue;
             }
             let path = self.reader.enter(self.path, key, value);
-            self.reader.spots.insert(path.clone(), key.span().start);
+            self.reader.offsets.insert(path.clone(), key.span().start);
             let kind = FaultKind::UnknownKey {
-                hint: nearest(&name, known.iter().copied()),
+                hint: suggestion(&name, known.iter().copied()),
                 name,
-                condition,
+                is_condition,
             };
-            self.reader.note(path, kind);
+            self.reader.report(path, kind);
         }
     }
 }
 
-/// The name most like another one, if any is like it.
-pub(crate) fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
+/// The known name most similar to a given one, if any is similar enough.
+pub(crate) fn suggestion<'a>(
+    name: &str,
+    known: impl IntoIterator<Item = &'a str>,
+) -> Option<String> {
     known
         .into_iter()
         .map(|k| {
@@ -235,12 +244,13 @@
                 k,
             )
         })
-        .filter(|(edits, alike, _)| *edits <= 1 || *alike >= ALIKE)
+        .filter(|(edits, similarity, _)| *edits <= 1 || *similarity >= MIN_SIMILARITY)
         .min_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)))
         .map(|(.., k)| k.to_owned())
 }
 
-macro_rules! read_text {
+/// Implements [`Read`] for types that are written as strings and parsed by `FromStr`.
+macro_rules! read_from_str {
     ($($name:ty: $kind:literal)*) => {$(
         impl Read for $name {
             fn kind() -> String {
@@ -248,15 +258,15 @@
             }
 
             fn read(r: &mut Reader, path: &str, value: &Spanned<DeValue<'_>>) -> Option<Self> {
-                r.text(path, value)
+                r.parse_string(path, value)
             }
         }
     )*};
 }
 
-pub(crate) use read_text;
+pub(crate) use read_from_str;
 
-read_text!(
+read_from_str!(
     Duration: "duration"
     Size: "size"
     Percent: "percentage"
@@ -273,7 +283,7 @@
         match value.get_ref() {
             DeValue::String(s) => Some(s.to_string()),
             other => {
-                r.wrong(path, "string", other);
+                r.report_type(path, "string", other);
                 None
             }
         }
@@ -289,7 +299,7 @@
         match value.get_ref() {
             DeValue::Boolean(b) => Some(*b),
             other => {
-                r.wrong(path, "boolean", other);
+                r.report_type(path, "boolean", other);
                 None
             }
         }
@@ -304,10 +314,10 @@
     fn read(r: &mut Reader, path: &str, value: &Spanned<DeValue<'_>>) -> Option<Self> {
         match value.get_ref() {
             DeValue::Integer(i) => Self::from_str_radix(i.as_str(), i.radix())
-                .map_err(|_| r.note(path, FaultKind::BadNumber(i.to_string())))
+                .map_err(|_| r.report(path, FaultKind::BadNumber(i.to_string())))
                 .ok(),
             other => {
-                r.wrong(path, "integer", other);
+                r.report_type(path, "integer", other);
                 None
             }
         }
@@ -324,7 +334,7 @@
     }
 }
 
-/// A list of one may be written without brackets.
+/// Reads an array; a list with a single element may be written without brackets.
 impl<T: Read> Read for Vec<T> {
     fn kind() -> String {
         format!("list: {}", T::kind())
@@ -337,7 +347,7 @@
         let mut read = Self::with_capacity(items.len());
         for item in items {
             let path = format!("{path}[{}]", read.len());
-            r.spots.insert(path.clone(), item.span().start);
+            r.offsets.insert(path.clone(), item.span().start);
             read.extend(T::read(r, &path, item));
         }
         Some(read)
@@ -351,7 +361,7 @@
 
     fn read(r: &mut Reader, path: &str, value: &Spanned<DeValue<'_>>) -> Option<Self> {
         let DeValue::Table(table) = value.get_ref() else {
-            r.wrong(path, "table", value.get_ref());
+            r.report_type(path, "table", value.get_ref());
             return None;
         };
         let mut read = Self::new();
--- a/crates/rules/src/rulecheck.rs
+++ b/crates/rules/src/rulecheck.rs
@@ -39,14 +39,14 @@
         let path = format!("rule[{i}]");
         match rule.name.as_str() {
             "" if !reader.is_faulty(format!("{path}.name")) => {
-                reader.note(&path, FaultKind::MissingRuleName);
+                reader.report(&path, FaultKind::MissingRuleName);
             }
             "" => {}
             n => name(reader, &format!("{path}.name"), n),
         }
         if !rule.name.is_empty() && !names.insert(rule.name.as_str()) {
             let kind = FaultKind::DuplicateRule(rule.name.clone());
-            reader.note(format!("{path}.name"), kind);
+            reader.report(format!("{path}.name"), kind);
         }
         conditions(reader, config, &format!("{path}.when"), &rule.when);
         conditions(reader, config, &format!("{path}.not"), &rule.not);
@@ -66,17 +66,17 @@
     for (i, glob) in when.path.iter().enumerate() {
         if !glob.as_str().starts_with(['/', '*']) {
             let kind = FaultKind::BadPath(glob.to_string());
-            reader.note(format!("{path}.path[{i}]"), kind);
+            reader.report(format!("{path}.path[{i}]"), kind);
         }
     }
     for (i, method) in when.method.iter().enumerate() {
         if let Err(kind) = crate::table::find_word(method, METHODS.into_iter()) {
-            reader.note(format!("{path}.method[{i}]"), kind);
+            reader.report(format!("{path}.method[{i}]"), kind);
         }
     }
     for header in when.header.keys().filter(|h| !is_header(h)) {
         let kind = FaultKind::BadHeaderName(header.clone());
-        reader.note(format!("{path}.header.{header}"), kind);
+        reader.report(format!("{path}.header.{header}"), kind);
     }
     if when
         .prompt
@@ -85,7 +85,7 @@
         .is_some_and(|(a, b)| a > b)
     {
         let (low, high) = ("min", "max");
-        reader.note(
+        reader.report(
             format!("{path}.prompt.min"),
             FaultKind::InvertedBounds { low, high },
         );
@@ -104,10 +104,10 @@
     match (&then.pool, &then.refuse) {
         (Some(_), Some(_)) => {
             let kind = FaultKind::TwoOutcomes(rule.name.clone());
-            reader.note(format!("{path}.then.refuse"), kind);
+            reader.report(format!("{path}.then.refuse"), kind);
         }
         (None, None) if !reader.is_faulty(format!("{path}.then")) => {
-            reader.note(path, FaultKind::NoOutcome(rule.name.clone()));
+            reader.report(path, FaultKind::NoOutcome(rule.name.clone()));
         }
         (None, None) => {}
         (Some(_), None) => idle(reader, path, RETRY, then, "without `refuse`"),
@@ -125,7 +125,7 @@
             _ if !sendable => FaultKind::BadHeaderValue(header.clone()),
             _ => continue,
         };
-        reader.note(format!("{path}.then.set.{header}"), kind);
+        reader.report(format!("{path}.then.set.{header}"), kind);
     }
 }
 
@@ -145,10 +145,10 @@
     ("set", |t| !t.set.is_empty()),
 ];
 
-fn idle(reader: &mut Reader, path: &str, keys: &[Key], then: &Then, beside: &'static str) {
+fn idle(reader: &mut Reader, path: &str, keys: &[Key], then: &Then, context: &'static str) {
     for (key, _) in keys.iter().filter(|(_, set)| set(then)) {
         let path = format!("{path}.then.{key}");
-        reader.note(path, FaultKind::IneffectiveKey { key, beside });
+        reader.report(path, FaultKind::IneffectiveKey { key, context });
     }
 }
 
@@ -160,7 +160,7 @@
         .deadline
         .is_some_and(|d| d.0 == model::Micros::ZERO)
     {
-        reader.note(format!("{path}.deadline"), FaultKind::Zero("deadline"));
+        reader.report(format!("{path}.deadline"), FaultKind::Zero("deadline"));
     }
     let path = format!("{path}.limits");
     let own = &rule.then.limits;
@@ -170,7 +170,7 @@
         .zip(rule.when.prompt.min)
         .is_some_and(|(body, min)| body < min)
     {
-        reader.note(format!("{path}.body"), FaultKind::BodyBelowPrompt);
+        reader.report(format!("{path}.body"), FaultKind::BodyBelowPrompt);
     }
     // Most rules set no limits, and asking each team about none costs a large check its time.
     if *own == Limits::default() {
@@ -184,7 +184,7 @@
             mine.zip(t[k].1).is_some_and(|(mine, theirs)| theirs < mine)
         };
         if !teams.is_empty() && teams.iter().all(tighter) {
-            reader.note(format!("{path}.{key}"), FaultKind::IneffectiveLimit(key));
+            reader.report(format!("{path}.{key}"), FaultKind::IneffectiveLimit(key));
         }
     }
 }
@@ -205,7 +205,7 @@
             owner: owner.clone(),
             team: team.to_owned(),
         };
-        reader.note(path, kind);
+        reader.report(path, kind);
     }
 }
 
@@ -231,7 +231,7 @@
         let conds = condition::of_rule(rule);
         let clash = |(i, c): (usize, &Condition)| conds[i + 1..].iter().any(|d| c.excludes(d));
         if conds.iter().enumerate().any(clash) {
-            reader.note(path, FaultKind::NeverMatches(rule.name.clone()));
+            reader.report(path, FaultKind::NeverMatches(rule.name.clone()));
             continue;
         }
         let covers = |by: &Vec<Condition>| by.iter().all(|b| conds.iter().any(|c| c.implies(b)));
@@ -240,7 +240,7 @@
                 rule: rule.name.clone(),
                 by: (*by).to_owned(),
             };
-            reader.note(path, kind);
+            reader.report(path, kind);
         }
         earlier.push((&rule.name, conds));
     }
@@ -252,6 +252,6 @@
     let used: BTreeSet<_> = pools.chain(kept).collect();
     for pool in config.pool.keys().filter(|p| !used.contains(p.as_str())) {
         let path = format!("pool.{pool}");
-        reader.note(path, FaultKind::UnusedPool(pool.clone()));
+        reader.report(path, FaultKind::UnusedPool(pool.clone()));
     }
 }
--- a/crates/rules/src/table.rs
+++ b/crates/rules/src/table.rs
@@ -89,12 +89,12 @@
                 path: &str,
                 value: &toml::Spanned<toml::de::DeValue<'_>>,
             ) -> Option<Self> {
-                let mut section = $crate::read::Section::open(r, path, value)?;
+                let mut table = $crate::read::TableReader::open(r, path, value)?;
                 let mut read = Self::default();
-                $(if let Some(v) = section.get($key) {
+                $(if let Some(v) = table.get($key) {
                     read.$field = v;
                 })*
-                section.finish(Self::KEYS);
+                table.finish(Self::KEYS);
                 Some(read)
             }
         }
@@ -155,7 +155,7 @@
             }
         }
 
-        $crate::read::read_text!($name: "word");
+        $crate::read::read_from_str!($name: "word");
     };
 }
 
@@ -171,7 +171,7 @@
         crate::fault::FaultKind::UnknownWord {
             word: word.to_owned(),
             known: quoted.join(", "),
-            hint: crate::read::nearest(word, known),
+            hint: crate::read::suggestion(word, known),
         }
     })
 }
--- a/crates/rules/tests/faults.rs
+++ b/crates/rules/tests/faults.rs
@@ -390,7 +390,7 @@
         [
             Fault { kind: FaultKind::TeamWithoutKey(team), severity: Severity::Warning, line: 1, column: 7, .. },
             Fault { kind: FaultKind::UnusedPool(_), .. },
-            Fault { kind: FaultKind::UnknownName { noun: NameKind::Pool, hint: Some(hint), .. }, .. },
+            Fault { kind: FaultKind::UnknownName { kind: NameKind::Pool, hint: Some(hint), .. }, .. },
         ] if team == "a" && hint == "b"
     );
     let shown =
