--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -1,35 +1,37 @@
-//! Whether a configuration holds together: names, limits, keys and places.
+//! Checks that span several values of a configuration: names, references, limits, API keys and
+//! bounds.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::api_keys::KeyDigest;
+use crate::check_rules;
 use crate::config::{Config, Limits, Pool, PoolKind, Team};
 use crate::fault::{FaultKind, NameKind};
 use crate::read::{suggestion, Reader};
-use crate::rulecheck;
 
-/// Longest name of a pool, team, region, failure domain or rule; they become labels of metrics.
-const NAME_MAX: usize = 64;
+/// Maximum length of the name of a pool, team, region, failure domain or rule, in bytes. Names
+/// become labels of metrics.
+const MAX_NAME_LEN: usize = 64;
 
-/// Notes every fault that reading the values alone doesn't show.
+/// Reports every fault that can't be found by reading each value alone.
 pub(crate) fn run(reader: &mut Reader, config: &Config) {
-    regions(reader, config);
-    pools(reader, &config.pool);
-    teams(reader, config);
-    features(reader, config);
-    rulecheck::run(reader, config);
+    check_regions(reader, config);
+    check_pools(reader, &config.pool);
+    check_teams(reader, config);
+    check_features(reader, config);
+    check_rules::run(reader, config);
 }
 
-/// Notes a name that can't stand in metrics and logs.
-pub(crate) fn name(reader: &mut Reader, path: &str, name: &str) {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if name.is_empty() || name.len() > NAME_MAX || !name.chars().all(plain) {
+/// Reports a name that can't be used as a label in metrics and logs.
+pub(crate) fn check_name(reader: &mut Reader, path: &str, name: &str) {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if name.is_empty() || name.len() > MAX_NAME_LEN || !name.chars().all(allowed) {
         reader.report(path, FaultKind::BadName(name.to_owned()));
     }
 }
 
-/// Notes a name that nothing declares.
-pub(crate) fn declared<T>(
+/// Reports a name that isn't declared.
+pub(crate) fn check_declared<T>(
     reader: &mut Reader,
     path: impl Into<String>,
     kind: NameKind,
@@ -46,18 +48,18 @@
     }
 }
 
-fn regions(reader: &mut Reader, config: &Config) {
-    let mut homes: HashMap<&str, &str> = HashMap::new();
+fn check_regions(reader: &mut Reader, config: &Config) {
+    let mut region_of: HashMap<&str, &str> = HashMap::new();
     for (region, r) in &config.region {
         let path = format!("region.{region}");
-        name(reader, &path, region);
+        check_name(reader, &path, region);
         if r.domains.is_empty() && !reader.is_faulty(format!("{path}.domains")) {
             reader.report(&path, FaultKind::EmptyRegion(region.clone()));
         }
         for (i, domain) in r.domains.iter().enumerate() {
             let path = format!("{path}.domains[{i}]");
-            name(reader, &path, domain);
-            if let Some(first) = homes.get(domain.as_str()) {
+            check_name(reader, &path, domain);
+            if let Some(first) = region_of.get(domain.as_str()) {
                 let kind = FaultKind::DuplicateDomain {
                     domain: domain.clone(),
                     region: (*first).to_owned(),
@@ -65,30 +67,30 @@
                 reader.report(path, kind);
                 continue;
             }
-            homes.insert(domain, region);
+            region_of.insert(domain, region);
         }
     }
 }
 
-fn pools(reader: &mut Reader, pools: &BTreeMap<String, Pool>) {
+fn check_pools(reader: &mut Reader, pools: &BTreeMap<String, Pool>) {
     for (pool, p) in pools {
         let path = format!("pool.{pool}");
-        name(reader, &path, pool);
-        zero(reader, &path, "permits", Some(p.permits));
-        zero(reader, &path, "concurrency", p.concurrency);
-        kept(reader, &path, p, pools);
+        check_name(reader, &path, pool);
+        check_nonzero(reader, &path, "permits", Some(p.permits));
+        check_nonzero(reader, &path, "concurrency", p.concurrency);
+        check_kept(reader, &path, p, pools);
         match p.kind {
             PoolKind::Model if p.model.is_empty() => {
                 reader.report(path, FaultKind::MissingModel(pool.clone()));
             }
-            PoolKind::Plain => plain(reader, &path, p),
+            PoolKind::Plain => check_plain(reader, &path, p),
             PoolKind::Model => {}
         }
     }
 }
 
-/// Notes a store of kept KV cache that isn't there or isn't one.
-fn kept(reader: &mut Reader, path: &str, pool: &Pool, pools: &BTreeMap<String, Pool>) {
+/// Reports a `kept` key that names no pool or a pool of engines.
+fn check_kept(reader: &mut Reader, path: &str, pool: &Pool, pools: &BTreeMap<String, Pool>) {
     let Some(name) = &pool.kept else {
         return;
     };
@@ -97,21 +99,21 @@
         Some(p) if p.kind == PoolKind::Model => {
             reader.report(path, FaultKind::KvStoreNotPlain(name.clone()))
         }
-        _ => declared(reader, path, NameKind::Pool, name, pools),
+        _ => check_declared(reader, path, NameKind::Pool, name, pools),
     }
 }
 
-/// Notes what only model engines heed.
-fn plain(reader: &mut Reader, path: &str, pool: &Pool) {
+/// Reports keys of a plain pool that have an effect for model engines only.
+fn check_plain(reader: &mut Reader, path: &str, pool: &Pool) {
     let d = Pool::default();
-    let set = [
+    let keys = [
         ("model", pool.model != d.model),
         ("weights", pool.weights != d.weights),
         ("fencing", pool.fencing != d.fencing),
         ("kept", pool.kept != d.kept),
         ("permits", pool.permits != d.permits),
     ];
-    for (key, _) in set.into_iter().filter(|(_, set)| *set) {
+    for (key, _) in keys.into_iter().filter(|(_, is_set)| *is_set) {
         let context = "in a pool of kind `plain`";
         reader.report(
             format!("{path}.{key}"),
@@ -120,13 +122,13 @@
     }
 }
 
-fn teams(reader: &mut Reader, config: &Config) {
-    let mut holders: HashMap<KeyDigest, &str> = HashMap::new();
-    limits(reader, "limits", &config.limits);
+fn check_teams(reader: &mut Reader, config: &Config) {
+    let mut team_of: HashMap<KeyDigest, &str> = HashMap::new();
+    check_limits(reader, "limits", &config.limits);
     for (team, t) in &config.team {
         let path = format!("team.{team}");
-        name(reader, &path, team);
-        zero(reader, &path, "share", Some(t.share));
+        check_name(reader, &path, team);
+        check_nonzero(reader, &path, "share", Some(t.share));
         if t.keys.is_empty() && !reader.is_faulty(format!("{path}.keys")) {
             reader.report(&path, FaultKind::TeamWithoutKey(team.clone()));
         }
@@ -135,22 +137,23 @@
             match KeyDigest::parse(key) {
                 None => reader.report(path, FaultKind::BadDigest),
                 Some(d) => {
-                    if let Some(other) = holders.insert(d, team) {
+                    if let Some(other) = team_of.insert(d, team) {
                         reader.report(path, FaultKind::DuplicateApiKey(other.to_owned()));
                     }
                 }
             }
         }
         let inner = format!("{path}.limits");
-        limits(reader, &inner, &t.limits);
-        borrowed(reader, config, team, t);
+        check_limits(reader, &inner, &t.limits);
+        check_team_scope(reader, config, team, t);
     }
 }
 
-/// Notes a team that takes another's scope while that one believes it to be its own. Otherwise one
-/// team could read what another left in the caches just by naming it; sharing has to be written in
-/// both tables.
-fn borrowed(reader: &mut Reader, config: &Config, team: &str, t: &Team) {
+/// Reports a team that uses another team's name as its scope while that team sets no scope itself.
+///
+/// A team could otherwise read another team's cache entries just by naming that team. Sharing
+/// has to be declared in the tables of both teams.
+fn check_team_scope(reader: &mut Reader, config: &Config, team: &str, t: &Team) {
     let owner = config.team.get(&t.scope);
     if t.scope != team && owner.is_some_and(|o| o.scope.is_empty()) {
         let kind = FaultKind::ForeignScope {
@@ -162,14 +165,14 @@
     }
 }
 
-fn zero(reader: &mut Reader, path: &str, key: &'static str, value: Option<u32>) {
+fn check_nonzero(reader: &mut Reader, path: &str, key: &'static str, value: Option<u32>) {
     if value == Some(0) {
         reader.report(format!("{path}.{key}"), FaultKind::Zero(key));
     }
 }
 
-/// Notes limits that let nothing through.
-pub(crate) fn limits(reader: &mut Reader, path: &str, limits: &Limits) {
+/// Reports limits of zero, which refuse every request.
+pub(crate) fn check_limits(reader: &mut Reader, path: &str, limits: &Limits) {
     for (key, value) in limits.by_key() {
         if value == Some(0) {
             reader.report(format!("{path}.{key}"), FaultKind::Zero(key));
@@ -177,7 +180,7 @@
     }
 }
 
-fn features(reader: &mut Reader, c: &Config) {
+fn check_features(reader: &mut Reader, c: &Config) {
     let counts = [
         ("place", "probes", c.place.probes),
         ("admit", "places", c.admit.places),
@@ -189,22 +192,22 @@
         ("quarantine", "strikes", c.quarantine.strikes),
     ];
     for (table, key, count) in counts {
-        zero(reader, table, key, Some(count));
+        check_nonzero(reader, table, key, Some(count));
     }
-    let (con, health) = (&c.concurrency, &c.health);
-    crossed(
+    let (concurrency, health) = (&c.concurrency, &c.health);
+    check_bounds(
         reader,
         "concurrency",
-        ("least", con.least),
-        ("first", con.first),
+        ("least", concurrency.least),
+        ("first", concurrency.first),
     );
-    crossed(
+    check_bounds(
         reader,
         "concurrency",
-        ("first", con.first),
-        ("most", con.most),
+        ("first", concurrency.first),
+        ("most", concurrency.most),
     );
-    crossed(
+    check_bounds(
         reader,
         "health",
         ("out", health.out),
@@ -212,14 +215,14 @@
     );
 }
 
-/// Notes a lower bound that lies above the upper one.
-fn crossed<T: PartialOrd>(
+/// Reports a lower bound above its upper bound, each given by key and value.
+fn check_bounds<T: PartialOrd>(
     reader: &mut Reader,
     table: &str,
-    (low, a): (&'static str, T),
-    (high, b): (&'static str, T),
+    (low, low_value): (&'static str, T),
+    (high, high_value): (&'static str, T),
 ) {
-    if a > b {
+    if low_value > high_value {
         reader.report(
             format!("{table}.{low}"),
             FaultKind::InvertedBounds { low, high },
--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -49,9 +49,8 @@
 /// The conditions that are set in a `when` or `not` table.
 fn of_table(table: &When) -> Vec<Condition> {
     let mut conditions = Vec::new();
-    let mut add = |is_set: bool, condition: Condition| {
-        conditions.extend(is_set.then_some(condition));
-    };
+    let mut add =
+        |is_set: bool, condition: Condition| conditions.extend(is_set.then_some(condition));
     let w = table.clone();
     add(
         !w.team.is_empty(),
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -17,9 +17,9 @@
 
 mod api_keys;
 mod check;
+mod check_rules;
 mod index;
 mod read;
-mod rulecheck;
 
 pub use api_keys::key_digest;
 pub use condition::Condition;
