--- a/crates/daemon/src/entry/prepare.rs
+++ b/crates/daemon/src/entry/prepare.rs
@@ -8,7 +8,7 @@
 use hyper::http::request::Parts;
 use model::{Code, RequestId};
 use prefix::Seed;
-use rules::config::Kind;
+use rules::config::PoolKind;
 use rules::{Decision, Facts, RuleSet, Team};
 use tokio::time::Instant;
 use viz::header::HeaderMap;
@@ -85,7 +85,7 @@
     let Some((name, pool)) = decision.pool else {
         return Err(Problem::unsent(Code::NoRule, "the rule names no pool"));
     };
-    if pool.kind == Kind::Model && completion.is_none() {
+    if pool.kind == PoolKind::Model && completion.is_none() {
         ask::guard(&body)?;
     }
     let Some(key) = view.world.pool(name) else {
@@ -94,7 +94,7 @@
     let sent = Sent {
         team: &facts.team,
         rule: &decision.rule.name,
-        prompt: facts.prompt,
+        prompt: facts.prompt_bytes,
         entries: view.entries,
     };
     limited(cx, sent, &decision)?;
@@ -151,10 +151,10 @@
         path: head.uri.path().to_owned(),
         model: completion.and_then(|c| c.model.clone()),
         headers: headers.collect(),
-        prompt: completion.map_or(0, |c| c.prompt.len()),
+        prompt_bytes: completion.map_or(0, |c| c.prompt.len()),
         ..Facts::default()
     };
-    facts.at(clock::epoch())
+    facts.at_unix_time(clock::epoch())
 }
 
 fn target(head: &Parts) -> String {
@@ -179,7 +179,7 @@
         p.retry = d.rule.then.retry_after.map(|t| t.0);
         return Err(p);
     }
-    match d.body {
+    match d.max_body {
         Some(max) if size as u64 > max.0 => {
             let m = format!("body has more than the {} bytes allowed here", max.0);
             Err(Problem::unsent(Code::TooLarge, m))
--- a/crates/rules/examples/rules_bench.rs
+++ b/crates/rules/examples/rules_bench.rs
@@ -34,7 +34,7 @@
 fn text() -> String {
     let mut out = String::from("[pool.desk]\nmodel = \"m\"\n");
     for i in 0..TEAMS {
-        let digest = rules::digest(key(i));
+        let digest = rules::key_digest(key(i));
         let _ = writeln!(out, "[team.t{i}]\nkeys = [\"{digest}\"]");
     }
     for i in 0..RULES - 1 {
@@ -67,7 +67,7 @@
             method: "POST".to_owned(),
             path: "/v1/chat/completions".to_owned(),
             model: Some("m".to_owned()),
-            prompt: 20_000,
+            prompt_bytes: 20_000,
             ..Facts::default()
         };
         f.headers.insert("x-kind".to_owned(), "usual".to_owned());
@@ -90,7 +90,7 @@
     let requests = requests();
     let scan = |f: &Facts| rules.config().rule.iter().position(|r| matches(&r.when, f));
     for f in &requests {
-        assert_eq!(rules.first(f), scan(f), "{f:?}");
+        assert_eq!(rules.first_match(f), scan(f), "{f:?}");
     }
     let next = |i: usize| &requests[i % REQUESTS];
     report("decide", ROUNDS, |i| rules.decide(next(i)).is_some());
--- a/crates/rules/src/config.rs
+++ b/crates/rules/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration as its text spells it; each struct mirrors a table of the same name.
+//! The configuration as it is written in a rule file: each struct mirrors one TOML table.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,15 @@
 
 use crate::features;
 use crate::read::{Read, Reader};
-use crate::table::{table, word, words, Field};
-use crate::units::{Duration, Glob, Size, Window};
+use crate::table::{find_word, table, word_enum, OptionDoc};
+use crate::units::{Duration, Glob, Size, TimeWindow};
 
-/// Loads of weights at once in one pool; both users' weight stores slow down beyond two.
-pub const PERMITS: u32 = 2;
+/// Default number of concurrent weight loads in one pool. Both users' weight stores slow down
+/// beyond two.
+pub const DEFAULT_PERMITS: u32 = 2;
 
 table! {
-    /// The whole text.
+    /// A whole configuration.
     Config in "" {
         /// Regions by name, each with its failure domains.
         "region" region: BTreeMap<String, Region> = BTreeMap::new();
@@ -26,7 +27,7 @@
         /// Limits of each team that sets none of its own.
         "limits" limits: Limits = Limits::default();
         /// Which replicas are asked for a request.
-        "place" place: features::Place = features::Place::default();
+        "place" place: features::Placement = features::Placement::default();
         /// Places held at replicas for requests that may come.
         "reserve" reserve: features::Reserve = features::Reserve::default();
         /// What is turned away before it waits.
@@ -49,16 +50,16 @@
 }
 
 table! {
-    /// Failure domains near one another.
+    /// A group of failure domains that are near one another.
     Region in "region.NAME" {
         /// Names of its failure domains.
         "domains" domains: Vec<String> = Vec::new();
     }
 }
 
-words! {
-    /// What stands behind a pool.
-    Kind {
+word_enum! {
+    /// Kind of targets that a pool consists of.
+    PoolKind {
         /// Model engines with a prefix cache.
         #[default]
         Model "model",
@@ -68,10 +69,10 @@
 }
 
 table! {
-    /// Targets that can stand in for one another.
+    /// A set of interchangeable targets.
     Pool in "pool.NAME" {
         /// What stands behind it: `model` engines with a prefix cache, or `plain` services.
-        "kind" kind: Kind = Kind::Model;
+        "kind" kind: PoolKind = PoolKind::Model;
         /// The model its engines serve.
         "model" model: String = String::new();
         /// The version of the weights its engines should serve.
@@ -82,14 +83,14 @@
         /// The plain pool that holds kept KV cache for these engines, if there is one.
         "kept" kept: Option<String> = None;
         /// Loads of weights at once.
-        "permits" permits: u32 = PERMITS;
+        "permits" permits: u32 = DEFAULT_PERMITS;
         /// Requests that one target should run at once at most; measured if absent.
         "concurrency" concurrency: Option<u32> = None;
     }
 }
 
 table! {
-    /// A customer.
+    /// A customer, identified by its API keys.
     Team in "team.NAME" {
         /// API key digests, `blake3:` and 64 hexadecimal digits each.
         "keys" keys: Vec<String> = Vec::new();
@@ -104,7 +105,7 @@
 
 table! {
     #[derive(Copy)]
-    /// What one team may send. A limit of the team and one of the rule hold at once.
+    /// Limits on what one team may send. Limits of the team and of the rule apply together.
     Limits in "limits" {
         /// Requests a second.
         "requests" requests: Option<u32> = None;
@@ -130,7 +131,7 @@
 }
 
 table! {
-    /// Conditions; an empty one always holds.
+    /// Conditions on a request. A condition that isn't set always holds.
     When in "rule.when" {
         /// One of these teams.
         "team" team: Vec<String> = Vec::new();
@@ -143,11 +144,11 @@
         /// One of these classes, as asked for in the `x-class` header.
         "class" class: Vec<Class> = Vec::new();
         /// One of these windows of the day in UTC, as `06:00-18:30`.
-        "hours" hours: Vec<Window> = Vec::new();
+        "hours" hours: Vec<TimeWindow> = Vec::new();
         /// One of these days of the week in UTC.
         "days" days: Vec<Weekday> = Vec::new();
         /// Size of the prompt.
-        "prompt" prompt: Range = Range::default();
+        "prompt" prompt: SizeRange = SizeRange::default();
         /// All of these headers, names in lower case; a trailing `*` stands for any rest, so that
         /// `*` alone asks that the header be there.
         "header" header: BTreeMap<String, Glob> = BTreeMap::new();
@@ -156,8 +157,8 @@
 
 table! {
     #[derive(Copy)]
-    /// Sizes from a least to a greatest, both included.
-    Range in "rule.when.prompt" {
+    /// A range of sizes, both ends included.
+    SizeRange in "rule.when.prompt" {
         /// The least size.
         "min" min: Option<Size> = None;
         /// The greatest size.
@@ -165,7 +166,7 @@
     }
 }
 
-words! {
+word_enum! {
     /// A day of the week.
     Weekday {
         /// Monday.
@@ -187,7 +188,7 @@
 }
 
 table! {
-    /// Consequences.
+    /// Consequences of a rule for the requests that it decides.
     Then in "rule.then" {
         /// Where it goes.
         "pool" pool: Option<String> = None;
@@ -212,8 +213,8 @@
 }
 
 impl Limits {
-    /// Each limit by its key, as plain numbers.
-    pub fn each(&self) -> [(&'static str, Option<u64>); 3] {
+    /// Each limit with its key in the configuration.
+    pub fn by_key(&self) -> [(&'static str, Option<u64>); 3] {
         [
             ("requests", self.requests.map(u64::from)),
             ("tokens", self.tokens.map(u64::from)),
@@ -221,7 +222,7 @@
         ]
     }
 
-    /// These, and others where none is set.
+    /// These limits, with those of `other` where none is set.
     pub fn or(self, other: Self) -> Self {
         Self {
             requests: self.requests.or(other.requests),
@@ -232,13 +233,13 @@
 }
 
 impl Config {
-    /// The configuration in canonical form: parsing it gives the same configuration, and printing
-    /// that the same text. Comments are lost.
-    pub fn print(&self) -> Result<String, toml::ser::Error> {
+    /// Serializes the configuration in canonical form: parsing the text gives the same
+    /// configuration, and serializing that gives the same text. Comments are lost.
+    pub fn to_toml(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
 
-    /// The cache scope of a team: its own name unless it shares one.
+    /// Cache scope of a team: its own name unless its table sets a scope.
     pub fn scope<'a>(&'a self, team: &'a str) -> &'a str {
         match self.team.get(team) {
             Some(t) if !t.scope.is_empty() => &t.scope,
@@ -246,7 +247,7 @@
         }
     }
 
-    /// The limits on all that a team sends.
+    /// Limits on all requests of a team: its own, with the general ones where it sets none.
     pub fn limits(&self, team: &str) -> Limits {
         match self.team.get(team) {
             Some(t) => t.limits.or(self.limits),
@@ -254,8 +255,8 @@
         }
     }
 
-    /// Every key of every table, for documentation.
-    pub fn options() -> Vec<Field> {
+    /// Documentation of every key of every table.
+    pub fn options() -> Vec<OptionDoc> {
         [
             Region::fields(),
             Pool::fields(),
@@ -263,7 +264,7 @@
             Limits::fields(),
             Rule::fields(),
             When::fields(),
-            Range::fields(),
+            SizeRange::fields(),
             Then::fields(),
             features::fields(),
         ]
@@ -277,17 +278,17 @@
     }
 
     fn read(r: &mut Reader, path: &str, value: &Spanned<DeValue<'_>>) -> Option<Self> {
-        r.text::<ClassWord>(path, value).map(|w| w.0)
+        r.parse_string::<ClassWord>(path, value).map(|w| w.0)
     }
 }
 
-/// A class as the reader wants it, with a fault that suggests one.
+/// Wrapper that parses a class with a fault that lists the known ones and suggests one of them.
 struct ClassWord(Class);
 
 impl std::str::FromStr for ClassWord {
     type Err = crate::fault::FaultKind;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
-        word(s, Class::ALL.iter().map(|c| c.as_str())).map(|i| Self(Class::ALL[i]))
+        find_word(s, Class::ALL.iter().map(|c| c.as_str())).map(|i| Self(Class::ALL[i]))
     }
 }
--- a/crates/rules/src/features.rs
+++ b/crates/rules/src/features.rs
@@ -1,23 +1,24 @@
-//! Tables of the features that act under load; each has the name of the module in `policy` that it
-//! sets, and its keys the names of that module's settings.
+//! Configuration tables of the features that act under load, such as admission, queues and
+//! retries.
 //!
-//! The defaults are that module's, which also holds their grounds. A table here exists so that an
-//! operator can change a figure without a new release; what only a developer could judge, such as
-//! the weight of a new sample, has no key.
+//! Each table configures one module of the crate `policy` and has the same defaults as that module,
+//! where the reasons for them are given. The tables let an operator change a value without a new
+//! release. Values that only a developer can judge, such as the weight of a new sample in an
+//! average, have no key.
 
-use crate::table::{table, Field};
+use crate::table::{table, OptionDoc};
 use crate::units::{Duration, Percent};
 
 table! {
-    /// Which replicas are asked for a request.
-    Place in "place" {
+    /// How many replicas are probed to place a request.
+    Placement in "place" {
         /// Most replicas asked for one request.
         "probes" probes: u32 = 4;
     }
 }
 
 table! {
-    /// Places held at replicas for requests that may come.
+    /// Reservation of places at replicas for requests that may arrive.
     Reserve in "reserve" {
         /// How long a place is held for a request that doesn't come.
         "hold" hold: Duration = Duration::from_millis(50);
@@ -25,12 +26,12 @@
 }
 
 table! {
-    /// What is turned away before it waits.
+    /// Admission control: which requests are refused before they wait.
     Admit in "admit" {
         /// Most requests that wait at one target.
         "places" places: u32 = 1_024;
         /// Part of the places that only class `call` may take.
-        "reserve" reserve: Percent = Percent::permille(125);
+        "reserve" reserve: Percent = Percent::from_permille(125);
         /// Longest expected wait of class `call`.
         "call" call: Duration = Duration::from_secs(4);
         /// Longest expected wait of class `normal`.
@@ -41,19 +42,19 @@
 }
 
 table! {
-    /// In which order requests leave a target's queue.
+    /// Order in which requests leave a target's queue.
     Queue in "queue" {
         /// Part of the work assured to class `normal` while calls wait too.
-        "normal" normal: Percent = Percent::permille(100);
+        "normal" normal: Percent = Percent::from_permille(100);
         /// Part of the work assured to class `batch` while more urgent requests wait too.
-        "batch" batch: Percent = Percent::permille(50);
+        "batch" batch: Percent = Percent::from_permille(50);
         /// By how many times its own work a long request falls back behind later ones.
         "ageing" ageing: u32 = 6;
     }
 }
 
 table! {
-    /// How many requests a target runs at once.
+    /// Limit on the number of requests that a target runs at once.
     Concurrency in "concurrency" {
         /// Smallest limit.
         "least" least: u32 = 1;
@@ -65,26 +66,26 @@
 }
 
 table! {
-    /// How often a request is tried again.
+    /// Retries of a request and the budget for them.
     Retry in "retry" {
         /// Most attempts for one request, the first included.
         "attempts" attempts: u32 = 3;
         /// Retries earned by each request.
-        "share" share: Percent = Percent::permille(100);
+        "share" share: Percent = Percent::from_permille(100);
         /// Most retries saved up.
         "saved" saved: u32 = 10;
     }
 }
 
 table! {
-    /// When a target is taken out for a while.
+    /// Ejection of slow or failing targets and the trials that readmit them.
     Health in "health" {
         /// Multiple of its peers' median that is too slow.
         "slow" slow: u32 = 3;
         /// Samples before a target is judged.
         "samples" samples: u32 = 8;
         /// Largest part of a pool that may be out; always at least one target of a small pool.
-        "ejected" ejected: Percent = Percent::permille(250);
+        "ejected" ejected: Percent = Percent::from_permille(250);
         /// First time out.
         "out" out: Duration = Duration::from_secs(5);
         /// Longest time out.
@@ -95,7 +96,7 @@
 }
 
 table! {
-    /// What becomes of a request that crashes its targets.
+    /// Refusal of requests that repeatedly crash their targets.
     Quarantine in "quarantine" {
         /// Crashes after which it is refused.
         "strikes" strikes: u32 = 2;
@@ -107,17 +108,17 @@
 }
 
 table! {
-    /// How a planned stop goes.
+    /// Planned shutdown.
     Drain in "drain" {
         /// How long late arrivals are expected after readiness is withdrawn.
         "notice" notice: Duration = Duration::from_secs(5);
     }
 }
 
-/// Every key of these tables.
-pub(crate) fn fields() -> Vec<Field> {
+/// Documentation of every key of these tables.
+pub(crate) fn fields() -> Vec<OptionDoc> {
     [
-        Place::fields(),
+        Placement::fields(),
         Reserve::fields(),
         Admit::fields(),
         Queue::fields(),
