--- a/crates/cli/src/admin.rs
+++ b/crates/cli/src/admin.rs
@@ -1,4 +1,4 @@
-//! Messages of the entries' admin interface.
+//! Messages of the admin interface, which each entry serves.
 
 use std::fmt;
 
@@ -6,158 +6,159 @@
 use serde::{Deserialize, Serialize};
 
 /// Path of the configuration in force; `PUT` changes it.
-pub const CONFIGURATION: &str = "/admin/configuration";
-/// Path of the changes so far.
-pub const HISTORY: &str = "/admin/history";
-/// Path of the members and their versions.
-pub const STATUS: &str = "/admin/status";
+pub const CONFIGURATION_PATH: &str = "/admin/configuration";
+/// Path of the history of configuration changes.
+pub const HISTORY_PATH: &str = "/admin/history";
+/// Path of the members of the fleet and the versions that they have in force.
+pub const STATUS_PATH: &str = "/admin/status";
 
-/// A change that an operator wants.
+/// A change of the configuration that an operator proposes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Proposal {
-    /// The text.
+    /// Text of the new configuration.
     pub text: String,
-    /// The version it was written against; `None` replaces whatever is there.
+    /// Version that the change is based on; `None` replaces whatever version is in force.
     pub base: Option<u64>,
-    /// Names the change, so that sending it twice is harmless.
+    /// Id of the change, which makes it safe to send the change twice.
     pub operation: String,
-    /// Who asks for it.
+    /// Author of the change.
     pub author: String,
 }
 
 /// The answer to a change that was accepted.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Accepted {
-    /// The version it made.
+    /// Version that the change created.
     pub version: u64,
 }
 
-/// What one entry has in force.
+/// The configuration in force on one entry.
 #[derive(Clone, Debug, Deserialize)]
 pub struct InForce {
-    /// Its version; 0 if there is none yet.
+    /// Version of the configuration; 0 if there is none yet.
     pub version: u64,
-    /// Hash of the text.
+    /// Hash of the text in hexadecimal.
     pub digest: String,
-    /// The text.
+    /// Text of the configuration.
     pub text: String,
 }
 
-/// The changes that the platform remembers.
+/// The changes recorded in the platform's table.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Changes {
-    /// The last one; absent before the first.
+pub struct ChangeHistory {
+    /// The latest change; absent before the first change.
     pub current: Option<PastChange>,
-    /// Those before, the latest first.
+    /// Earlier changes, the latest first.
     pub past: Vec<PastChange>,
 }
 
-/// The fleet as one entry sees it.
+/// State of the fleet from the view of one entry.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Members {
-    /// The version that this entry has in force.
+pub struct FleetStatus {
+    /// Version in force on this entry.
     pub version: u64,
-    /// Hash of its text.
+    /// Hash of the configuration text in hexadecimal.
     pub digest: String,
-    /// All members it knows.
+    /// All members that this entry knows of.
     pub members: Vec<Member>,
 }
 
-/// One process of the fleet.
+/// A process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Member {
-    /// Its id, in hexadecimal.
+    /// Member id in hexadecimal.
     pub id: String,
-    /// What it does.
+    /// Role of the process.
     pub role: Role,
-    /// Its host.
+    /// Host that the process runs on.
     pub host: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Its region.
+    /// Region of the host.
     pub region: String,
-    /// The pool of its target; entries have none.
+    /// Pool of a sidecar's target; `None` for entries.
     pub pool: Option<String>,
-    /// How it fares.
+    /// Membership state.
     pub state: State,
-    /// The version it has in force.
+    /// Configuration version in force on the process.
     pub version: u64,
-    /// Where other members reach it.
+    /// Address for the other members.
     pub peer: String,
 }
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts the requests of callers.
     Entry,
-    /// Stands before one target.
+    /// Forwards requests to one target.
     Sidecar,
 }
 
-/// How a process fares, as the others see it.
+/// State of a process from the view of the other members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It answers.
+    /// The process answers.
     Alive,
-    /// It hasn't answered for a moment.
+    /// The process hasn't answered recently and may have failed.
     Suspect,
-    /// It stops as planned.
+    /// The process is shutting down as planned.
     Leaving,
-    /// It has stopped as planned.
+    /// The process has shut down as planned.
     Left,
-    /// It has gone without a word.
+    /// The process has stopped answering without announcing a shutdown.
     Dead,
 }
 
 impl State {
-    /// Whether it may still serve. A leaving member does: it answers late arrivals, so they
-    /// would be decided by an old configuration if nobody waited for it.
+    /// Whether the process may still serve requests. A leaving member does: it still answers
+    /// requests that arrive late. If `apply` didn't wait for leaving members, an old configuration
+    /// could decide these requests after the new one was reported to be in force.
     pub fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect | Self::Leaving)
     }
 }
 
-/// An answer that is no success.
+/// Body of an error answer.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Refusal {
-    /// Why.
+pub struct ErrorBody {
+    /// The error.
     pub error: Problem,
 }
 
-/// Why an entry doesn't do what it is asked.
+/// Reason why an entry didn't carry out a call.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "code", rename_all = "snake_case")]
 pub enum Problem {
     /// The configuration has faults.
     Faults {
-        /// All of them, each as a line with its place.
+        /// All faults, each as a line with its position in the text.
         #[serde(default)]
         faults: Vec<String>,
     },
     /// The operators' key is missing or wrong.
     Unauthorized,
-    /// Another change came first.
-    Conflict(Winner),
-    /// The platform is away; nothing was accepted.
+    /// Another change was made first.
+    Conflict(ConflictingChange),
+    /// The platform is unavailable; the change was not accepted.
     PlatformDown,
-    /// The platform is away; the change may have been accepted.
+    /// The platform is unavailable; the change may have been accepted.
     UnknownOutcome,
-    /// A reason that this client doesn't know.
+    /// An error code that this client doesn't know.
     #[serde(other)]
     Other,
 }
 
-/// The change that came first.
+/// The change that was made first.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct Winner {
-    /// Its version.
+pub struct ConflictingChange {
+    /// Version that the change created.
     pub version: u64,
-    /// Who made it.
+    /// Author of the change.
     pub author: String,
-    /// Its operation.
+    /// Operation id of the change.
     pub operation: String,
 }
 
--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -8,21 +8,21 @@
 use rand::{Rng, SeedableRng};
 use rules::units;
 
-use crate::admin::{InForce, Proposal, CONFIGURATION};
-use crate::exit::{Failure, Span, Usage};
+use crate::admin::{InForce, Proposal, CONFIGURATION_PATH};
+use crate::exit::{Failure, Seconds, Usage};
 use crate::fleet::Fleet;
-use crate::{check, propose, spread};
+use crate::{check, propagation, propose};
 
-/// Author of a change when neither the option nor the environment names one.
-const NOBODY: &str = "unknown";
-/// Hexadecimal digits of an operation id.
-const DIGITS: usize = 32;
+/// Author of a change if neither the option nor the environment names an author.
+const UNKNOWN_AUTHOR: &str = "unknown";
+/// Number of hexadecimal digits in an operation id.
+const OPERATION_ID_LEN: usize = 32;
 
 /// put a configuration in force
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "apply")]
 pub struct Apply {
-    /// the file
+    /// the configuration file
     #[argh(positional)]
     file: PathBuf,
     /// operators' address of an entry as HOST:PORT; may be repeated, tried in order (default:
@@ -32,31 +32,32 @@
     /// file with the operators' key (default: CLEMENTINESTEP_OPERATOR_KEY)
     #[argh(option)]
     operator_key_file: Option<PathBuf>,
-    /// version that the file was written against; another one in force is a conflict (default:
-    /// the version in force when the command starts)
+    /// version that the file is based on; if another version is in force, the change is a
+    /// conflict (default: the version in force when the command starts)
     #[argh(option)]
     base: Option<u64>,
     /// replace whatever version is in force
     #[argh(switch)]
     force: bool,
-    /// who asks for the change (default: USER)
+    /// author of the change (default: USER)
     #[argh(option)]
     author: Option<String>,
-    /// longest wait until every live member has the version (default: 10s)
+    /// time limit for the wait until every live member has the version (default: 10s)
     #[argh(option, default = "units::Duration::from_secs(10)")]
     wait: units::Duration,
-    /// how long a call whose outcome is uncertain is repeated (default: 15s)
+    /// time limit for repeating a call whose outcome is unknown (default: 15s)
     #[argh(option, default = "units::Duration::from_secs(15)")]
     retry: units::Duration,
-    /// operation id of an earlier call whose outcome was unknown, to repeat it (default: random)
+    /// operation id of an earlier call whose outcome is unknown, to repeat that call (default:
+    /// random)
     #[argh(option)]
     operation: Option<String>,
 }
 
-/// Applies.
+/// Runs the command.
 pub async fn run(a: &Apply) -> Result<String, Failure> {
     let (text, _) = check::load(&a.file)?;
-    let fleet = Fleet::open(&a.entry, &a.operator_key_file)?;
+    let fleet = Fleet::from_options(&a.entry, &a.operator_key_file)?;
     let proposal = Proposal {
         text,
         operation: operation(a)?,
@@ -64,29 +65,32 @@
         base: base(a, &fleet).await?,
     };
     let start = Instant::now();
-    let version = propose::run(&fleet, &proposal, span(a.retry)).await?;
-    let spread = spread::wait(&fleet, version, span(a.wait)).await?;
-    let spent = Span(start.elapsed());
-    let live = spread.live;
+    let version = propose::run(&fleet, &proposal, to_std(a.retry)).await?;
+    let propagation = propagation::wait(&fleet, version, to_std(a.wait)).await?;
+    let elapsed = Seconds(start.elapsed());
+    let live = propagation.live;
     Ok(format!(
-        "version {version} is in force on {live} members after {spent}"
+        "version {version} is in force on {live} members after {elapsed}"
     ))
 }
 
+/// The version that the change is based on; `None` replaces whatever version is in force.
 async fn base(a: &Apply, fleet: &Fleet) -> Result<Option<u64>, Failure> {
     match (a.base, a.force) {
         (Some(_), true) => Err(Usage::BaseAndForce.into()),
         (None, true) => Ok(None),
         (Some(base), false) => Ok(Some(base)),
         (None, false) => {
-            let now: InForce = fleet.get(CONFIGURATION).await?;
-            Ok(Some(now.version))
+            let current: InForce = fleet.get(CONFIGURATION_PATH).await?;
+            Ok(Some(current.version))
         }
     }
 }
 
+/// The operation id: the given one, or a random one.
 fn operation(a: &Apply) -> Result<String, Failure> {
-    let valid = |id: &str| id.len() == DIGITS && id.bytes().all(|b| b.is_ascii_hexdigit());
+    let valid =
+        |id: &str| id.len() == OPERATION_ID_LEN && id.bytes().all(|b| b.is_ascii_hexdigit());
     match &a.operation {
         Some(id) if valid(id) => Ok(id.clone()),
         Some(id) => Err(Usage::BadOperation(id.clone()).into()),
@@ -97,9 +101,9 @@
 fn author(a: &Apply) -> String {
     let user = || std::env::var("USER").ok().filter(|u| !u.is_empty());
     let author = a.author.clone().or_else(user);
-    author.unwrap_or_else(|| NOBODY.to_owned())
+    author.unwrap_or_else(|| UNKNOWN_AUTHOR.to_owned())
 }
 
-fn span(d: units::Duration) -> Duration {
+fn to_std(d: units::Duration) -> Duration {
     Duration::from_micros(d.0 .0)
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `check`: says all that is wrong with a configuration, without asking anybody.
+//! `check`: lists all faults of a configuration file, without a call to the fleet.
 
 use std::path::{Path, PathBuf};
 
@@ -11,12 +11,12 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
-    /// the file
+    /// the configuration file
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// Checks; warnings alone are no failure.
+/// Runs the command. Warnings alone don't make it fail.
 pub fn run(c: &Check) -> Result<String, Failure> {
     let (_, rules) = load(&c.file)?;
     let conf = rules.config();
@@ -30,21 +30,21 @@
     ))
 }
 
-/// Reads and checks a file; gives its text along with what it means, and notes the warnings.
+/// Reads and checks a file; returns its text and its rules, and prints the warnings.
 pub fn load(path: &Path) -> Result<(String, RuleSet), Failure> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     let rules = compile(&path.display().to_string(), &text)?;
     rules.warnings().iter().for_each(note);
     Ok((text, rules))
 }
 
-/// Checks a text; faults bear the name of where it came from.
-pub fn compile(name: &str, text: &str) -> Result<RuleSet, Failure> {
-    RuleSet::compile_file(name, text).map_err(Failure::Faults)
+/// Checks a text; the faults name its source.
+pub fn compile(source: &str, text: &str) -> Result<RuleSet, Failure> {
+    RuleSet::compile_file(source, text).map_err(Failure::Faults)
 }
 
 /// Reads a file.
-pub fn read(path: &Path) -> Result<String, Failure> {
+pub fn read_file(path: &Path) -> Result<String, Failure> {
     std::fs::read_to_string(path).map_err(|error| Failure::File {
         path: path.to_owned(),
         error,
--- a/crates/cli/src/digest.rs
+++ b/crates/cli/src/digest.rs
@@ -1,4 +1,4 @@
-//! `digest`: what a configuration holds in place of an API key.
+//! `digest`: the digest that a configuration contains instead of an API key.
 
 use argh::FromArgs;
 
@@ -9,12 +9,12 @@
 #[argh(subcommand, name = "digest")]
 pub struct Digest {}
 
-/// Makes the digest. The key comes from standard input, since arguments show in process lists and
-/// shell histories.
+/// Runs the command. The key is read from standard input, since arguments are visible in process
+/// lists and shell histories.
 pub fn run(_: &Digest) -> Result<String, Failure> {
     let mut key = String::new();
-    let done = std::io::stdin().read_line(&mut key);
-    done.map_err(|error| Failure::File {
+    let read = std::io::stdin().read_line(&mut key);
+    read.map_err(|error| Failure::File {
         path: "standard input".into(),
         error,
     })?;
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,4 +1,4 @@
-//! Why commands fail, and the exit codes, the same for every command.
+//! Reasons for the failure of a command, and the exit codes, which are the same for all commands.
 
 use std::ffi::OsString;
 use std::fmt;
@@ -10,176 +10,188 @@
 use rules::Faults;
 use thiserror::Error;
 
-use crate::admin::{Member, Winner};
-use crate::fleet::Miss;
-use crate::page::List;
+use crate::admin::{ConflictingChange, Member};
+use crate::fleet::EntryError;
+use crate::layout::IndentedList;
 use crate::{fleet, NAME};
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, Error)]
 pub enum Failure {
     /// The configuration has faults.
     #[error("{0}")]
     Faults(Faults),
-    /// An entry found faults that this client doesn't know of.
-    #[error("the fleet finds faults that this client doesn't know; is the client older?{}", List(.0))]
+    /// An entry rejected the configuration for faults that this client doesn't check for.
+    #[error(
+        "the fleet found faults that this client doesn't check for; \
+         is the client older than the fleet?{}",
+        IndentedList(.0)
+    )]
     Rejected(Vec<String>),
-    /// The command line doesn't say what to do.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(#[from] Usage),
-    /// A file can't be read, or output can't be written.
+    /// A file couldn't be read, or output couldn't be written.
     #[error("{}: {error}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// No entry gave an answer that can be used.
-    #[error("no entry answers{}\n{AWAY}", List(.0))]
-    Away(Vec<Miss>),
-    /// An entry refused.
-    #[error("{entry} refuses with status {status}: {reason}")]
+    /// No entry gave a usable answer.
+    #[error("no entry gave a usable answer{}\n{FLEET_UNAVAILABLE_HINT}", IndentedList(.0))]
+    FleetUnavailable(Vec<EntryError>),
+    /// An entry refused the request, and other entries would refuse it too.
+    #[error("{entry} refused the request with status {status}: {reason}")]
     Refused {
-        /// The entry.
+        /// Address of the entry.
         entry: String,
         /// HTTP status.
         status: u16,
-        /// Why.
+        /// Reason for the refusal.
         reason: Reason,
     },
-    /// The logs don't tell of a request.
+    /// The logs contain no line of the request.
     #[error(
-        "nothing of request `{id}` in {lines} lines ({foreign} more aren't this system's)\n\
-         is its process's log among the files, and was its line left out under load? see `{NAME} why`"
+        "no line of request `{id}` among {lines} log lines ({unrecognized} more lines are not \
+         log lines of this system)\n\
+         check that the log of the process that took the request is among the files; its lines \
+         may also have been dropped under load, see `{NAME} why`"
     )]
-    NoRequest {
-        /// The request.
+    RequestNotFound {
+        /// Request id.
         id: String,
-        /// Lines read.
+        /// Number of log lines read.
         lines: usize,
-        /// Lines of other writers.
-        foreign: usize,
+        /// Number of lines that are not log lines of this system.
+        unrecognized: usize,
     },
-    /// Another change came first.
+    /// Another change was made first.
     #[error(
         "version {} by {} came first (operation {}); nothing was changed\n\
          compare with `{NAME} diff`, then apply again",
         .0.version, .0.author, .0.operation
     )]
-    Conflict(Winner),
+    Conflict(ConflictingChange),
     /// A version was accepted, but some live members don't have it yet.
     #[error(
-        "version {version} is accepted, but not in force everywhere after {}: {} of {live} live \
-         members lag, and the entry asked has version {seen}{}\n\
-         it spreads on by itself; see `{NAME} status`",
-        Span(*spent), behind.len(), List(behind)
+        "version {version} was accepted, but is not in force everywhere after {}: {} of {live} \
+         live members lag, and the queried entry has version {entry_version}{}\n\
+         the version continues to propagate; see `{NAME} status`",
+        Seconds(*elapsed), lagging.len(), IndentedList(lagging)
     )]
-    Partial {
-        /// The version.
+    NotInForceEverywhere {
+        /// Accepted version.
         version: u64,
-        /// The version of the entry that says so.
-        seen: u64,
-        /// Members that may still serve.
+        /// Version in force on the queried entry.
+        entry_version: u64,
+        /// Number of members that may still serve requests.
         live: usize,
-        /// Those among them that have an older version.
-        behind: Vec<Member>,
-        /// How long they had.
-        spent: Duration,
+        /// Live members that have an older version.
+        lagging: Vec<Member>,
+        /// Time waited for the version to propagate.
+        elapsed: Duration,
     },
-    /// A version was accepted, but nobody says who has it.
-    #[error("version {version} is accepted, but its spread can't be seen\n{cause}")]
-    Unseen {
-        /// The version.
+    /// A version was accepted, but no entry reports which members have it.
+    #[error("version {version} was accepted, but it is unknown which members have it\n{cause}")]
+    PropagationUnknown {
+        /// Accepted version.
         version: u64,
-        /// Why.
+        /// Failure to read the status of the fleet.
         cause: Box<Failure>,
     },
     /// A change may have been accepted.
     #[error(
-        "the change may have been accepted: no entry could tell after {}{}\n\
+        "the change may have been accepted: no entry could confirm the outcome after {}{}\n\
          look for operation {operation} in `{NAME} history`, or repeat the call with\n  \
          --operation {operation}{}",
-        Span(*spent), List(misses), Based(*base)
+        Seconds(*elapsed), IndentedList(errors), BaseOption(*base)
     )]
-    Unknown {
-        /// The operation.
+    OutcomeUnknown {
+        /// Operation id of the change.
         operation: String,
-        /// The version it was written against.
+        /// Version that the change is based on.
         base: Option<u64>,
-        /// How long it was tried.
-        spent: Duration,
-        /// What the last calls came to.
-        misses: Vec<Miss>,
+        /// Time spent on repeating the call.
+        elapsed: Duration,
+        /// Errors of the last call to each entry.
+        errors: Vec<EntryError>,
     },
-    /// The platform is away, so a change was not accepted.
+    /// A change was not accepted, since the platform is unavailable.
     #[error(
-        "the platform is away: the change was not accepted\n\
+        "the platform is unavailable: the change was not accepted\n\
          the configuration in force stays in force; try again later"
     )]
     NotAccepted,
-    /// The platform is away, so something can't be read.
-    #[error("the platform is away; `{NAME} show` and `{NAME} status` work without it")]
-    Platform,
+    /// A read failed, since the platform is unavailable.
+    #[error("the platform is unavailable; `{NAME} show` and `{NAME} status` work without it")]
+    PlatformUnavailable,
 }
 
-/// What to do when no entry answers.
-const AWAY: &str = "check --entry and CLEMENTINESTEP_ENTRIES; \
+/// Advice for the operator when no entry gives a usable answer.
+const FLEET_UNAVAILABLE_HINT: &str = "check --entry and CLEMENTINESTEP_ENTRIES; \
     entries that run keep the configuration they have";
 
-/// A command line that can't be followed.
+/// Error in the command line, the environment or the input.
 #[derive(Debug, Error)]
 pub enum Usage {
-    /// Arguments that don't fit the command.
+    /// The arguments don't match the command.
     #[error("{}\nrun `{NAME} --help` for more", .0.trim_end())]
     Arguments(String),
-    /// An argument that is not UTF-8.
-    #[error("not UTF-8: {}", .0.to_string_lossy())]
-    NotText(OsString),
-    /// No entry was named.
-    #[error("no entry is named; give --entry HOST:PORT or set {}", fleet::ENTRIES)]
+    /// An argument is not UTF-8.
+    #[error("argument is not UTF-8: {}", .0.to_string_lossy())]
+    NotUtf8(OsString),
+    /// No entry was given.
+    #[error(
+        "no entry given; use --entry HOST:PORT or set {}",
+        fleet::ENTRIES_VARIABLE
+    )]
     NoEntry,
-    /// An entry that isn't an address.
-    #[error("`{0}` is no HOST:PORT")]
+    /// The address of an entry is invalid.
+    #[error("`{0}` is not an address of the form HOST:PORT")]
     BadEntry(String),
-    /// No operators' key.
-    #[error("no operators' key; give --operator-key-file or set {}", fleet::KEY)]
+    /// No operators' key was given.
+    #[error(
+        "no operators' key given; use --operator-key-file or set {}",
+        fleet::KEY_VARIABLE
+    )]
     NoKey,
-    /// An operators' key that can't be sent. The key itself is not shown.
-    #[error("the operators' key holds characters that can't be sent")]
+    /// The operators' key can't be sent in a header. The message doesn't show the key.
+    #[error("the operators' key contains characters that are not allowed in an HTTP header")]
     BadKey,
-    /// Both `--base` and `--force`.
-    #[error("--base and --force exclude one another")]
+    /// Both `--base` and `--force` were given.
+    #[error("--base and --force are mutually exclusive")]
     BaseAndForce,
-    /// An operation id that isn't one.
-    #[error("`{0}` is no operation; it has 32 hexadecimal digits")]
+    /// An operation id is invalid.
+    #[error("`{0}` is not an operation id; an id has 32 hexadecimal digits")]
     BadOperation(String),
-    /// A header that isn't one.
-    #[error("`{0}` is no header; write NAME=VALUE")]
+    /// A header is invalid.
+    #[error("`{0}` is not a header of the form NAME=VALUE")]
     BadHeader(String),
-    /// A time that isn't one.
-    #[error("`{0}` is no time; write it as 2026-03-02T14:30:00Z")]
+    /// A time is invalid.
+    #[error("`{0}` is not a time; write it as 2026-03-02T14:30:00Z")]
     BadTime(String),
-    /// A path without a slash.
+    /// A path doesn't begin with a slash.
     #[error("path `{0}` doesn't begin with `/`")]
     BadPath(String),
-    /// No log file was named.
-    #[error("no log file is named; give one or more, or - for standard input")]
+    /// No log file was given.
+    #[error("no log file given; name one or more, or - for standard input")]
     NoLogs,
-    /// Nothing on standard input.
-    #[error("standard input has no key")]
+    /// Standard input contains no API key.
+    #[error("standard input contains no key")]
     EmptyKey,
 }
 
-/// Why an entry refused.
+/// Reason why an entry refused a request.
 #[derive(Debug, Error)]
 pub enum Reason {
-    /// The key doesn't fit.
-    #[error("the operators' key is not the fleet's")]
+    /// The operators' key is wrong.
+    #[error("the operators' key does not match the key of the fleet")]
     Unauthorized,
-    /// What it said.
+    /// Any other reason, as an excerpt of the answer.
     #[error("{0}")]
-    Said(String),
+    Other(String),
 }
 
 impl Failure {
@@ -188,20 +200,20 @@
         match self {
             Self::Faults(_) | Self::Rejected(_) => 1,
             Self::Usage(_) | Self::File { .. } => 2,
-            Self::Away(_) => 3,
+            Self::FleetUnavailable(_) => 3,
             Self::Refused { .. } => 4,
             Self::Conflict(_) => 5,
-            Self::Partial { .. } | Self::Unseen { .. } => 6,
-            Self::Unknown { .. } => 7,
-            Self::NotAccepted | Self::Platform => 8,
-            Self::NoRequest { .. } => 9,
+            Self::NotInForceEverywhere { .. } | Self::PropagationUnknown { .. } => 6,
+            Self::OutcomeUnknown { .. } => 7,
+            Self::NotAccepted | Self::PlatformUnavailable => 8,
+            Self::RequestNotFound { .. } => 9,
         }
     }
 }
 
-/// Prints what a command came to and gives its exit code.
-pub fn report(done: Result<String, Failure>) -> ExitCode {
-    match done.and_then(print) {
+/// Prints the output of a command or its failure, and returns the exit code.
+pub fn report(result: Result<String, Failure>) -> ExitCode {
+    match result.and_then(print) {
         Ok(()) => ExitCode::SUCCESS,
         Err(f) => {
             note(f.to_string().trim_end());
@@ -210,39 +222,40 @@
     }
 }
 
-/// Writes a line to standard error. One that can't be written is lost: there is nowhere left to
-/// say so, and the exit code still tells.
+/// Writes a line to standard error. A failed write is ignored: there is no other place to report
+/// it, and the exit code still shows the outcome.
 pub fn note(line: impl fmt::Display) {
     let _ = writeln!(io::stderr(), "{line}");
 }
 
 fn print(text: String) -> Result<(), Failure> {
-    let end = match text.is_empty() || text.ends_with('\n') {
+    let newline = match text.is_empty() || text.ends_with('\n') {
         true => "",
         false => "\n",
     };
-    match write!(io::stdout(), "{text}{end}") {
-        // Whoever reads has enough, as in `show | head`.
+    match write!(io::stdout(), "{text}{newline}") {
+        // The reader closed the pipe early, as in `show | head`.
         Err(e) if e.kind() == io::ErrorKind::BrokenPipe => Ok(()),
-        done => done.map_err(|error| Failure::File {
+        result => result.map_err(|error| Failure::File {
             path: "standard output".into(),
             error,
         }),
     }
 }
 
-/// A time span in seconds.
-pub(crate) struct Span(pub(crate) Duration);
+/// A duration shown in seconds with one decimal.
+pub(crate) struct Seconds(pub(crate) Duration);
 
-impl fmt::Display for Span {
+impl fmt::Display for Seconds {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:.1} s", self.0.as_secs_f64())
     }
 }
 
-struct Based(Option<u64>);
+/// The option of `apply` that repeats a change with the same base: `--base` or `--force`.
+struct BaseOption(Option<u64>);
 
-impl fmt::Display for Based {
+impl fmt::Display for BaseOption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(base) => write!(f, " --base {base}"),
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: which rule decides a request, and why the earlier ones don't.
+//! `explain`: the rule that decides a request, and the reasons why earlier rules don't match.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -7,16 +7,16 @@
 use chrono::{DateTime, Utc};
 use rules::{Facts, RuleSet};
 
-use crate::admin::{InForce, CONFIGURATION};
+use crate::admin::{InForce, CONFIGURATION_PATH};
 use crate::check;
 use crate::exit::{note, Failure, Usage};
 use crate::fleet::Fleet;
 
-/// say which rule decides a request, of a file or of the configuration in force
+/// show which rule of a file or of the configuration in force decides a request
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
-    /// the file (default: the configuration in force)
+    /// the configuration file (default: the configuration in force)
     #[argh(positional)]
     file: Option<PathBuf>,
     /// operators' address of an entry as HOST:PORT; may be repeated, tried in order (default:
@@ -41,45 +41,46 @@
     /// header as NAME=VALUE; may be repeated
     #[argh(option)]
     header: Vec<Header>,
-    /// bytes of prompt (default: 0)
+    /// size of the prompt in bytes (default: 0)
     #[argh(option, default = "0")]
     prompt_bytes: usize,
     /// time of the request, as 2026-03-02T14:30:00Z (default: now)
-    #[argh(option, default = "Time::now()")]
-    at: Time,
+    #[argh(option, default = "UnixTime::now()")]
+    at: UnixTime,
 }
 
-/// A header of the described request.
+/// A header of the request to explain.
 #[derive(Clone, Debug)]
 struct Header {
     name: String,
     value: String,
 }
 
-/// Seconds since the epoch.
+/// A time in seconds since the epoch.
 #[derive(Clone, Copy, Debug)]
-struct Time(u64);
+struct UnixTime(u64);
 
-/// Explains.
+/// Runs the command.
 pub async fn run(e: &Explain) -> Result<String, Failure> {
     let facts = facts(e)?;
     let rules = rules(e).await?;
     if !rules.config().team.contains_key(&e.team) {
         let team = &e.team;
         note(format_args!(
-            "no team is named `{team}`, so nobody can call as it"
+            "no team is named `{team}`, so no caller can send this request"
         ));
     }
     Ok(rules.explain(&facts).to_string())
 }
 
+/// The rules of the file, or of the configuration in force if no file is given.
 async fn rules(e: &Explain) -> Result<RuleSet, Failure> {
     if let Some(file) = &e.file {
         return check::load(file).map(|(_, rules)| rules);
     }
-    let fleet = Fleet::open(&e.entry, &e.operator_key_file)?;
-    let now: InForce = fleet.get(CONFIGURATION).await?;
-    check::compile(&format!("version {}", now.version), &now.text)
+    let fleet = Fleet::from_options(&e.entry, &e.operator_key_file)?;
+    let current: InForce = fleet.get(CONFIGURATION_PATH).await?;
+    check::compile(&format!("version {}", current.version), &current.text)
 }
 
 fn facts(e: &Explain) -> Result<Facts, Failure> {
@@ -103,7 +104,7 @@
     Ok(facts.at(e.at.0))
 }
 
-impl Time {
+impl UnixTime {
     fn now() -> Self {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         Self(now.unwrap_or_default().as_secs())
@@ -124,7 +125,7 @@
     }
 }
 
-impl FromStr for Time {
+impl FromStr for UnixTime {
     type Err = Usage;
 
     fn from_str(s: &str) -> Result<Self, Usage> {
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Calls to the fleet, through whichever entry answers.
+//! Calls to the fleet through any entry that answers.
 
 use std::error::Error as _;
 use std::fmt;
@@ -14,62 +14,63 @@
 use store::{Call, Client, HttpError};
 use thiserror::Error;
 
-use crate::admin::{Problem, Refusal};
-use crate::check::read;
+use crate::admin::{ErrorBody, Problem};
+use crate::check::read_file;
 use crate::exit::{Failure, Reason, Usage};
 
 /// Environment variable with the operators' key.
-pub const KEY: &str = "CLEMENTINESTEP_OPERATOR_KEY";
-/// Environment variable with the entries, separated by commas.
-pub const ENTRIES: &str = "CLEMENTINESTEP_ENTRIES";
-/// Longest wait for what an entry holds in memory or reads from the platform.
-const LIMIT: Duration = Duration::from_secs(5);
-/// Characters shown of an answer that isn't understood.
-const EXCERPT: usize = 200;
+pub const KEY_VARIABLE: &str = "CLEMENTINESTEP_OPERATOR_KEY";
+/// Environment variable with the addresses of the entries, separated by commas.
+pub const ENTRIES_VARIABLE: &str = "CLEMENTINESTEP_ENTRIES";
+/// Timeout for a read, which an entry answers from memory or from the platform.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of characters of an unexpected answer that an error message shows.
+const MAX_EXCERPT: usize = 200;
 
-/// The entries that may be asked, in this order, and the key they want.
+/// Client for the entries of a fleet.
 #[derive(Debug)]
 pub struct Fleet {
+    /// Addresses of the entries, in the order in which to try them.
     entries: Vec<String>,
     key: Key,
     client: Client,
-    /// Position of the entry that was of help last.
-    first: AtomicUsize,
+    /// Index of the entry that last gave a usable answer.
+    preferred: AtomicUsize,
 }
 
-/// Why one entry is of no help; another one may be.
+/// Failed call to one entry; another entry may answer.
 #[derive(Debug, Error)]
 #[error("{entry}: {cause}")]
-pub struct Miss {
-    /// The entry.
+pub struct EntryError {
+    /// Address of the entry.
     pub entry: String,
-    /// Why.
+    /// Cause of the failure.
     pub cause: Cause,
 }
 
-/// Why an entry is of no help.
+/// Cause of a failed call to one entry.
 #[derive(Debug, Error)]
 pub enum Cause {
-    /// No answer.
-    #[error("{}", Rooted(.0))]
+    /// The entry gave no answer.
+    #[error("{}", RootCause(.0))]
     Http(#[from] HttpError),
-    /// The platform is away.
-    #[error("the platform is away")]
-    Platform,
-    /// Neither success nor a refusal that settles anything.
-    #[error("status {status}: {said}")]
+    /// The platform is unavailable to the entry.
+    #[error("the platform is unavailable")]
+    PlatformUnavailable,
+    /// The status is neither success nor a refusal that applies to all entries.
+    #[error("status {status}: {excerpt}")]
     Status {
         /// HTTP status.
         status: u16,
-        /// What it said.
-        said: String,
+        /// Beginning of the answer.
+        excerpt: String,
     },
-    /// An answer that can't be read.
+    /// The answer can't be decoded.
     #[error("unreadable answer: {0}")]
-    Garbled(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
 }
 
-/// The operators' key; never shown.
+/// The operators' key, hidden in debug output.
 struct Key(String);
 
 impl fmt::Debug for Key {
@@ -79,10 +80,10 @@
 }
 
 impl Fleet {
-    /// The fleet behind these entries, or else those of the environment.
-    pub fn open(entries: &[String], key: &Option<PathBuf>) -> Result<Self, Failure> {
+    /// Creates a client for the given entries, or for those in the environment if none are given.
+    pub fn from_options(entries: &[String], key_file: &Option<PathBuf>) -> Result<Self, Failure> {
         let entries = match entries {
-            [] => named(std::env::var(ENTRIES).unwrap_or_default()),
+            [] => split_addresses(std::env::var(ENTRIES_VARIABLE).unwrap_or_default()),
             _ => entries.to_vec(),
         };
         if entries.is_empty() {
@@ -96,67 +97,72 @@
         }
         Ok(Self {
             entries,
-            key: key_of(key.as_deref())?,
+            key: load_key(key_file.as_deref())?,
             client: Client::default(),
-            first: AtomicUsize::new(0),
+            preferred: AtomicUsize::new(0),
         })
     }
 
-    /// The entries in the order in which to ask them: as they were named, but from the one that
-    /// was of help last. An entry behind a silent link costs a whole time limit; a command that
-    /// waits for a change to spread would pay it at every look.
-    pub fn order(&self) -> impl Iterator<Item = (usize, &str)> {
+    /// The entries with their indices, in the order in which to try them: the given order,
+    /// rotated to start with the entry that last gave a usable answer. A call to an entry behind
+    /// a link that drops packets takes a whole timeout; without the rotation, a command that
+    /// waits for a change to propagate would spend that timeout on every poll.
+    pub fn by_preference(&self) -> impl Iterator<Item = (usize, &str)> {
         let n = self.entries.len();
-        let first = self.first.load(Ordering::Relaxed);
+        let first = self.preferred.load(Ordering::Relaxed);
         (first..first + n).map(move |i| (i % n, self.entries[i % n].as_str()))
     }
 
-    /// Notes that this entry was of help.
-    pub fn prefer(&self, place: usize) {
-        self.first.store(place, Ordering::Relaxed);
+    /// Makes the entry with this index the first one to try.
+    pub fn prefer(&self, index: usize) {
+        self.preferred.store(index, Ordering::Relaxed);
     }
 
-    /// Reads something from the first entry that has it.
+    /// Reads a resource from the first entry that gives a usable answer.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
-        self.text(path).await.map(|(value, _)| value)
+        self.fetch(path).await.map(|(value, _)| value)
     }
 
-    /// What an entry knows, as the answer's own JSON or as a table of it.
-    pub async fn shown<T: DeserializeOwned>(
+    /// Reads a resource and returns it for output: the JSON of the answer, or the text that
+    /// `table` makes of the value.
+    pub async fn get_output<T: DeserializeOwned>(
         &self,
         path: &str,
         json: bool,
         table: impl Fn(&T) -> String,
     ) -> Result<String, Failure> {
-        let (value, text) = self.text::<T>(path).await?;
+        let (value, body) = self.fetch::<T>(path).await?;
         Ok(match json {
-            true => String::from_utf8_lossy(&text).into_owned(),
+            true => String::from_utf8_lossy(&body).into_owned(),
             false => table(&value),
         })
     }
 
-    /// What an entry knows, along with the answer's own text.
-    async fn text<T: DeserializeOwned>(&self, path: &str) -> Result<(T, Bytes), Failure> {
-        let mut misses = Vec::new();
-        for (place, entry) in self.order() {
-            let answer = self.send(entry, Method::GET, path, "", LIMIT).await;
+    /// Reads a resource; returns the decoded value and the body of the answer.
+    async fn fetch<T: DeserializeOwned>(&self, path: &str) -> Result<(T, Bytes), Failure> {
+        let mut errors = Vec::new();
+        for (index, entry) in self.by_preference() {
+            let answer = self.send(entry, Method::GET, path, "", READ_TIMEOUT).await;
             match answer.map_err(Cause::from) {
                 Ok((status, body)) if status.is_client_error() => {
-                    return Err(refused(entry, status, &body));
+                    return Err(refusal(entry, status, &body));
                 }
-                Ok((status, body)) => match value(status, &body) {
+                Ok((status, body)) => match decode(status, &body) {
                     Ok(v) => {
-                        self.prefer(place);
+                        self.prefer(index);
                         return Ok((v, body));
                     }
-                    Err(cause) => misses.push(Miss::new(entry, cause)),
+                    Err(cause) => errors.push(EntryError::new(entry, cause)),
                 },
-                Err(cause) => misses.push(Miss::new(entry, cause)),
+                Err(cause) => errors.push(EntryError::new(entry, cause)),
             }
         }
-        match misses.iter().any(|m| matches!(m.cause, Cause::Platform)) {
-            true => Err(Failure::Platform),
-            false => Err(Failure::Away(misses)),
+        match errors
+            .iter()
+            .any(|e| matches!(e.cause, Cause::PlatformUnavailable))
+        {
+            true => Err(Failure::PlatformUnavailable),
+            false => Err(Failure::FleetUnavailable(errors)),
         }
     }
 
@@ -167,9 +173,9 @@
         method: Method,
         path: &str,
         body: impl Into<Bytes>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes), HttpError> {
-        let call = Call::new(method, format!("http://{entry}{path}"), limit)
+        let call = Call::new(method, format!("http://{entry}{path}"), timeout)
             .header("authorization", format!("Bearer {}", self.key.0))
             .header("content-type", "application/json")
             .body(body);
@@ -177,8 +183,8 @@
     }
 }
 
-impl Miss {
-    /// One entry's failure to help.
+impl EntryError {
+    /// Creates the error of a failed call to one entry.
     pub fn new(entry: impl Into<String>, cause: impl Into<Cause>) -> Self {
         Self {
             entry: entry.into(),
@@ -187,10 +193,10 @@
     }
 }
 
-/// A failed call with the innermost reason, such as a refused connection.
-struct Rooted<'a>(&'a HttpError);
+/// Shows the innermost cause of a failed connection attempt, such as a refused connection.
+struct RootCause<'a>(&'a HttpError);
 
-impl fmt::Display for Rooted<'_> {
+impl fmt::Display for RootCause<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let HttpError::Connect(e) = self.0 else {
             return write!(f, "{}", self.0);
@@ -203,20 +209,20 @@
     }
 }
 
-/// The problem that an answer names.
-pub fn problem(body: &[u8]) -> Problem {
-    match serde_json::from_slice::<Refusal>(body) {
-        Ok(r) => r.error,
+/// Decodes the problem in the body of an error answer.
+pub fn decode_problem(body: &[u8]) -> Problem {
+    match serde_json::from_slice::<ErrorBody>(body) {
+        Ok(b) => b.error,
         Err(_) => Problem::Other,
     }
 }
 
-/// An entry's refusal that no other entry would mend.
-pub fn refused(entry: &str, status: StatusCode, body: &[u8]) -> Failure {
-    let reason = match problem(body) {
+/// The failure for a refusal that any other entry would repeat.
+pub fn refusal(entry: &str, status: StatusCode, body: &[u8]) -> Failure {
+    let reason = match decode_problem(body) {
         Problem::Unauthorized => Reason::Unauthorized,
         _ if status == StatusCode::UNAUTHORIZED => Reason::Unauthorized,
-        _ => Reason::Said(excerpt(body)),
+        _ => Reason::Other(excerpt(body)),
     };
     Failure::Refused {
         entry: entry.to_owned(),
@@ -225,40 +231,43 @@
     }
 }
 
-/// An answer that is neither success nor a refusal that settles anything.
-pub fn strange(status: StatusCode, body: &[u8]) -> Cause {
+/// The cause for a status that is neither success nor a refusal that applies to all entries.
+pub fn unexpected_status(status: StatusCode, body: &[u8]) -> Cause {
     Cause::Status {
         status: status.as_u16(),
-        said: excerpt(body),
+        excerpt: excerpt(body),
     }
 }
 
-fn value<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, Cause> {
-    match (status, problem(body)) {
+fn decode<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, Cause> {
+    match (status, decode_problem(body)) {
         (s, _) if s.is_success() => Ok(serde_json::from_slice(body)?),
-        (_, Problem::PlatformDown) => Err(Cause::Platform),
-        _ => Err(strange(status, body)),
+        (_, Problem::PlatformDown) => Err(Cause::PlatformUnavailable),
+        _ => Err(unexpected_status(status, body)),
     }
 }
 
+/// The beginning of an answer without control characters.
 fn excerpt(body: &[u8]) -> String {
     let text = String::from_utf8_lossy(body);
     let plain = text.chars().filter(|c| !c.is_control());
     match text.trim() {
         "" => "no reason given".to_owned(),
-        _ => plain.take(EXCERPT).collect(),
+        _ => plain.take(MAX_EXCERPT).collect(),
     }
 }
 
-fn named(list: String) -> Vec<String> {
-    let names = list.split([',', ' ']).filter(|e| !e.is_empty());
-    names.map(str::to_owned).collect()
+/// Splits a list of addresses at commas and spaces.
+fn split_addresses(list: String) -> Vec<String> {
+    let addresses = list.split([',', ' ']).filter(|a| !a.is_empty());
+    addresses.map(str::to_owned).collect()
 }
 
-fn key_of(file: Option<&Path>) -> Result<Key, Failure> {
+/// Reads the operators' key from a file, or from the environment if no file is given.
+fn load_key(file: Option<&Path>) -> Result<Key, Failure> {
     let text = match file {
-        Some(path) => read(path)?,
-        None => std::env::var(KEY).unwrap_or_default(),
+        Some(path) => read_file(path)?,
+        None => std::env::var(KEY_VARIABLE).unwrap_or_default(),
     };
     let key = text.trim();
     match HeaderValue::from_str(key) {
--- a/crates/cli/src/history.rs
+++ b/crates/cli/src/history.rs
@@ -1,15 +1,15 @@
-//! `history`: who changed the configuration, and when.
+//! `history`: the authors and times of the configuration changes.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
 
-use crate::admin::{Changes, HISTORY};
+use crate::admin::{ChangeHistory, HISTORY_PATH};
 use crate::exit::Failure;
 use crate::fleet::Fleet;
-use crate::page;
+use crate::layout;
 
-/// list the changes of the configuration, the latest first
+/// list the changes of the configuration, latest first
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "history")]
 pub struct History {
@@ -20,28 +20,30 @@
     /// file with the operators' key (default: CLEMENTINESTEP_OPERATOR_KEY)
     #[argh(option)]
     operator_key_file: Option<PathBuf>,
-    /// print JSON in place of a table
+    /// print JSON instead of a table
     #[argh(switch)]
     json: bool,
 }
 
-/// Lists.
+/// Runs the command.
 pub async fn run(h: &History) -> Result<String, Failure> {
-    let fleet = Fleet::open(&h.entry, &h.operator_key_file)?;
-    fleet.shown::<Changes>(HISTORY, h.json, table).await
+    let fleet = Fleet::from_options(&h.entry, &h.operator_key_file)?;
+    fleet
+        .get_output::<ChangeHistory>(HISTORY_PATH, h.json, table)
+        .await
 }
 
-fn table(changes: &Changes) -> String {
-    let all = changes.current.iter().chain(&changes.past);
+fn table(history: &ChangeHistory) -> String {
+    let changes = history.current.iter().chain(&history.past);
     let row = |c: &contract::apply::PastChange| {
         [
             c.version.to_string(),
-            page::time(c.at),
+            layout::utc_time(c.at),
             c.author.clone(),
-            page::short(&c.digest).to_owned(),
+            layout::short_id(&c.digest).to_owned(),
             c.operation.clone(),
         ]
     };
-    let rows: Vec<_> = all.filter(|c| c.version > 0).map(row).collect();
-    page::table(["VERSION", "AT", "AUTHOR", "DIGEST", "OPERATION"], &rows)
+    let rows: Vec<_> = changes.filter(|c| c.version > 0).map(row).collect();
+    layout::table(["VERSION", "AT", "AUTHOR", "DIGEST", "OPERATION"], &rows)
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,13 +1,15 @@
-//! The operators' client, as a library under a thin `main`.
+//! The operators' command line client, as a library that `main` calls.
 //!
-//! There is one module per command, all of one shape: the arguments with their defaults first,
-//! then `run`, then what it needs. `run` gives the text for standard output or a [`Failure`],
-//! whose exit code is the same for every command. Progress and warnings go to standard error, so
-//! that output can be piped. Beside the commands stand what they share: [`admin`] has the
-//! messages, [`fleet`] the calls, [`propose`] the one call that changes something, [`spread`] the
-//! wait until a version is in force, [`logs`] the reading of log lines, [`page`] the layout of text, [`exit`] the exit codes.
+//! Each command has a module with the same structure: the arguments with their defaults, then
+//! `run`, then its helper functions. `run` returns the text for standard output or a [`Failure`];
+//! each kind of failure has the same exit code in all commands. Progress and warnings go to
+//! standard error, so that the output can be piped.
 //!
-//! `docs/CLIENT.md` is the operators' page.
+//! The commands share these modules: [`admin`] has the messages, [`fleet`] the calls, [`propose`]
+//! the call that changes the configuration, [`propagation`] the wait until a version is in force,
+//! [`logs`] the log reader, [`layout`] the text layout, and [`exit`] the failures and exit codes.
+//!
+//! The manual for operators is `docs/CLIENT.md`.
 
 pub mod admin;
 pub mod apply;
@@ -18,11 +20,11 @@
 pub mod explain;
 pub mod fleet;
 pub mod history;
+pub mod layout;
 pub mod logs;
-pub mod page;
+pub mod propagation;
 pub mod propose;
 pub mod show;
-pub mod spread;
 pub mod status;
 pub mod trace;
 pub mod why;
@@ -33,10 +35,10 @@
 
 use crate::exit::{Failure, Usage};
 
-/// Name of the program in its own texts.
+/// Name of the program in help texts and error messages.
 pub const NAME: &str = "clementinestep";
 
-/// Checks, applies and inspects the configuration of a fleet.
+/// check, apply and inspect the configuration of a fleet, and read its logs
 #[derive(FromArgs, Debug)]
 pub struct Args {
     #[argh(subcommand)]
@@ -58,28 +60,28 @@
     Why(why::Why),
 }
 
-/// Reads the arguments, the program's name first. The error is what ends the run early: a usage
-/// failure, or the help that was asked for.
+/// Parses the arguments, of which the first is the name of the program. An error ends the program
+/// without a command: it is a usage failure, or the requested help text.
 pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Args, Result<String, Failure>> {
     let mut texts = Vec::new();
     for arg in args.into_iter().skip(1) {
         match arg.into_string() {
             Ok(text) => texts.push(text),
-            Err(arg) => return Err(Err(Usage::NotText(arg).into())),
+            Err(arg) => return Err(Err(Usage::NotUtf8(arg).into())),
         }
     }
     let texts: Vec<_> = texts.iter().map(String::as_str).collect();
-    Args::from_args(&[NAME], &texts).map_err(early)
+    Args::from_args(&[NAME], &texts).map_err(help_or_failure)
 }
 
-fn early(EarlyExit { output, status }: EarlyExit) -> Result<String, Failure> {
+fn help_or_failure(EarlyExit { output, status }: EarlyExit) -> Result<String, Failure> {
     match status {
         Ok(()) => Ok(output),
         Err(()) => Err(Usage::Arguments(output).into()),
     }
 }
 
-/// Runs a command; gives the text for standard output.
+/// Runs a command; returns the text for standard output.
 pub async fn run(args: Args) -> Result<String, Failure> {
     match args.command {
         Command::Check(c) => check::run(&c),
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,8 +1,8 @@
-//! Reading the log lines of many processes.
+//! Reader for the log lines of many processes.
 //!
-//! Logs are read after a failure, so they come torn at the end, mixed with other writers' lines and
-//! from hosts whose clocks differ. A line that isn't one of ours is counted and passed over; nothing
-//! in a file can end the reading.
+//! Logs are read after a failure: their last line may be truncated, they may contain lines of other
+//! programs, and they come from hosts whose clocks differ. A line that isn't a log line of this
+//! system is counted and skipped; no content of a file makes the reader fail.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -15,35 +15,36 @@
 /// One line of a process's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// The host that wrote it.
+    /// Host that wrote the line.
     pub host: String,
-    /// When it was written, by its host's clock.
+    /// Time of the line by the clock of its host.
     pub at: String,
-    /// Its kind.
+    /// Name of the event.
     pub event: String,
-    /// All of its fields.
+    /// All fields of the line, including the above.
     pub fields: Map<String, Value>,
 }
 
 impl Line {
-    /// A field as text.
+    /// The value of a text field.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    /// A field as a number.
+    /// The value of a numeric field.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 
-    /// The fields but for those of every line, as `name=value`.
-    pub fn rest(&self) -> String {
-        let known = ["at", "event", "host", "up_ms", "request"];
-        let rest = self.fields.iter().filter(|(k, v)| {
-            let told = !known.contains(&k.as_str());
-            told && !v.is_null()
+    /// The fields as `name=value`, without null fields, the request id and the fields that every
+    /// line has.
+    pub fn details(&self) -> String {
+        let common = ["at", "event", "host", "up_ms", "request"];
+        let details = self.fields.iter().filter(|(k, v)| {
+            let specific = !common.contains(&k.as_str());
+            specific && !v.is_null()
         });
-        let texts: Vec<_> = rest
+        let texts: Vec<_> = details
             .map(|(k, v)| match v.as_str() {
                 Some(text) => format!("{k}={text}"),
                 None => format!("{k}={v}"),
@@ -53,21 +54,21 @@
     }
 }
 
-/// The lines of some files, by time.
+/// The log lines of some files, sorted by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Logs {
-    /// The lines.
+    /// Log lines of this system.
     pub lines: Vec<Line>,
-    /// Lines that are none of ours.
-    pub foreign: usize,
+    /// Number of lines that are not log lines of this system.
+    pub unrecognized: usize,
 }
 
 impl Logs {
-    /// Reads files, `-` for standard input.
+    /// Reads files; `-` is standard input.
     pub fn read(files: &[PathBuf]) -> Result<Self, Failure> {
         let mut logs = Self::default();
         for path in files {
-            let bytes = bytes(path).map_err(|error| Failure::File {
+            let bytes = read_bytes(path).map_err(|error| Failure::File {
                 path: path.clone(),
                 error,
             })?;
@@ -79,24 +80,24 @@
 
     fn add(&mut self, bytes: &[u8]) {
         for raw in bytes.split(|b| *b == b'\n') {
-            match line(raw) {
+            match parse(raw) {
                 Some(line) => self.lines.push(line),
                 None if raw.iter().all(u8::is_ascii_whitespace) => {}
-                None => self.foreign += 1,
+                None => self.unrecognized += 1,
             }
         }
     }
 
-    /// What was passed over, as a sentence; empty if nothing was.
-    pub fn passed_over(&self) -> String {
-        match self.foreign {
+    /// A sentence with the number of skipped lines; empty if no line was skipped.
+    pub fn skipped(&self) -> String {
+        match self.unrecognized {
             0 => String::new(),
-            n => format!("passed over {n} lines that aren't this system's\n"),
+            n => format!("skipped {n} lines that are not log lines of this system\n"),
         }
     }
 }
 
-fn bytes(path: &Path) -> io::Result<Vec<u8>> {
+fn read_bytes(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     match path.as_os_str() == "-" {
         true => io::stdin().lock().read_to_end(&mut bytes)?,
@@ -105,10 +106,11 @@
     Ok(bytes)
 }
 
-/// A line of ours; whatever a collector has put before its object is passed over.
-fn line(raw: &[u8]) -> Option<Line> {
-    let begin = raw.windows(6).position(|w| w == b"{\"at\":")?;
-    let fields: Map<String, Value> = serde_json::from_slice(&raw[begin..]).ok()?;
+/// Parses a log line of this system; text that a log collector put before the JSON object is
+/// ignored.
+fn parse(raw: &[u8]) -> Option<Line> {
+    let start = raw.windows(6).position(|w| w == b"{\"at\":")?;
+    let fields: Map<String, Value> = serde_json::from_slice(&raw[start..]).ok()?;
     let text = |name: &str| fields.get(name)?.as_str().map(str::to_owned);
     Some(Line {
         host: text("host")?,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,12 +1,12 @@
-//! The operators' client: `clementinestep`.
+//! The operators' command line client `clementinestep`.
 
 use std::process::ExitCode;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
-    let done = match cli::parse(std::env::args_os()) {
+    let result = match cli::parse(std::env::args_os()) {
         Ok(args) => cli::run(args).await,
-        Err(early) => early,
+        Err(help_or_failure) => help_or_failure,
     };
-    cli::exit::report(done)
+    cli::exit::report(result)
 }
--- a/crates/cli/src/propose.rs
+++ b/crates/cli/src/propose.rs
@@ -1,115 +1,127 @@
-//! The one call that changes something, sent until its outcome is certain.
+//! The call that changes the configuration, repeated until its outcome is certain.
 //!
-//! The answer to a change can be lost after the platform accepted it: a connection breaks, or the
-//! entry itself can't tell. An operator who is told "failed" then applies again and overwrites a
-//! colleague's change that came in between; one who is told "done" walks away from a change that
-//! never was. So a call whose outcome is uncertain is repeated under the same operation id, which
-//! the fleet recognises, until an entry knows or the time is up; and then the answer is "unknown".
-//! After one uncertain call, only an acceptance or a conflict is certain: a refusal of a later
-//! call says nothing of the earlier one.
+//! The answer to a change can be lost after the platform accepted the change: the connection
+//! breaks, or the entry itself doesn't learn the outcome. If the client then reported a failure,
+//! the operator would apply the file again and could overwrite a colleague's change made in
+//! between; if it reported success, the operator would rely on a change that may never have been
+//! made. So a call with an unknown outcome is repeated with the same operation id, which the
+//! fleet recognizes, until an entry answers with the outcome or the time limit has passed; in the
+//! latter case the client reports that the outcome is unknown. After one call with an unknown
+//! outcome, only an acceptance or a conflict is certain: the refusal of a later call says nothing
+//! about the earlier one.
 
 use std::time::{Duration, Instant};
 
 use hyper::{Method, StatusCode};
 use store::HttpError;
 
-use crate::admin::{Accepted, Problem, Proposal, Winner, CONFIGURATION};
+use crate::admin::{Accepted, ConflictingChange, Problem, Proposal, CONFIGURATION_PATH};
 use crate::exit::{note, Failure};
-use crate::fleet::{problem, refused, strange, Cause, Fleet, Miss};
+use crate::fleet::{decode_problem, refusal, unexpected_status, Cause, EntryError, Fleet};
 
-/// Longest wait for one answer. The entry writes to the platform, which may be slow.
-const LIMIT: Duration = Duration::from_secs(10);
-/// Pause before the entries are asked again; the fleet's own repeats are shorter than this.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Timeout for one call. The entry writes to the platform, which may be slow.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay before the call is repeated; longer than the delays between the fleet's own retries.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What one call came to.
-enum Heard {
-    /// It is in the platform's table.
+/// Outcome of one call.
+enum Outcome {
+    /// The platform's table contains the change, with this version.
     Accepted(u64),
-    /// Another change is there instead.
-    Conflict(Winner),
-    /// The entry won't have it.
+    /// Another change was made first.
+    Conflict(ConflictingChange),
+    /// The entry refused the change.
     Refused(Failure),
-    /// Surely not accepted; another entry may do better.
-    Absent(Miss),
-    /// It may have been accepted.
-    Unsure(Miss),
+    /// The change was certainly not accepted; a call to another entry may succeed.
+    NotAccepted(EntryError),
+    /// The change may have been accepted.
+    Unknown(EntryError),
 }
 
-/// Sends a proposal until its outcome is certain or `limit` has passed; gives its version.
+/// Sends a proposal until its outcome is certain or `limit` has passed; returns the new version.
 pub async fn run(fleet: &Fleet, proposal: &Proposal, limit: Duration) -> Result<u64, Failure> {
     let start = Instant::now();
-    let mut unsure = false;
+    let mut uncertain = false;
     loop {
-        let mut misses = Vec::new();
-        for (place, entry) in fleet.order() {
+        let mut errors = Vec::new();
+        for (index, entry) in fleet.by_preference() {
             match call(fleet, entry, proposal).await {
-                Heard::Accepted(version) => {
-                    fleet.prefer(place);
+                Outcome::Accepted(version) => {
+                    fleet.prefer(index);
                     return Ok(version);
                 }
-                Heard::Conflict(w) if w.operation == proposal.operation => return Ok(w.version),
-                Heard::Conflict(w) => return Err(Failure::Conflict(w)),
-                Heard::Refused(f) if !unsure => return Err(f),
-                Heard::Refused(_) => {}
-                Heard::Absent(miss) => misses.push(miss),
-                Heard::Unsure(miss) => {
-                    unsure = true;
-                    misses.push(miss);
+                Outcome::Conflict(c) if c.operation == proposal.operation => return Ok(c.version),
+                Outcome::Conflict(c) => return Err(Failure::Conflict(c)),
+                Outcome::Refused(f) if !uncertain => return Err(f),
+                Outcome::Refused(_) => {}
+                Outcome::NotAccepted(error) => errors.push(error),
+                Outcome::Unknown(error) => {
+                    uncertain = true;
+                    errors.push(error);
                 }
             }
         }
-        let spent = start.elapsed();
-        match spent + PAUSE >= limit {
-            _ if !unsure => return Err(absent(misses)),
-            true => return Err(unknown(proposal, spent, misses)),
-            false => note("outcome uncertain; asking again under the same operation"),
+        let elapsed = start.elapsed();
+        match elapsed + RETRY_DELAY >= limit {
+            _ if !uncertain => return Err(not_accepted(errors)),
+            true => return Err(outcome_unknown(proposal, elapsed, errors)),
+            false => note("outcome unknown; repeating the call with the same operation id"),
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn call(fleet: &Fleet, entry: &str, proposal: &Proposal) -> Heard {
-    // A struct of texts and numbers always prints as JSON.
+async fn call(fleet: &Fleet, entry: &str, proposal: &Proposal) -> Outcome {
+    // Serializing a struct of strings and numbers can't fail.
     let body = serde_json::to_vec(proposal).unwrap_or_default();
     let answer = fleet
-        .send(entry, Method::PUT, CONFIGURATION, body, LIMIT)
+        .send(entry, Method::PUT, CONFIGURATION_PATH, body, CALL_TIMEOUT)
         .await;
     match answer {
-        Ok((status, body)) => heard(entry, status, &body),
-        Err(e @ (HttpError::Connect(_) | HttpError::Call(_))) => Heard::Absent(Miss::new(entry, e)),
-        Err(e) => Heard::Unsure(Miss::new(entry, e)),
+        Ok((status, body)) => outcome(entry, status, &body),
+        Err(e @ (HttpError::Connect(_) | HttpError::Call(_))) => {
+            Outcome::NotAccepted(EntryError::new(entry, e))
+        }
+        Err(e) => Outcome::Unknown(EntryError::new(entry, e)),
     }
 }
 
-fn heard(entry: &str, status: StatusCode, body: &[u8]) -> Heard {
+/// The outcome that an answer shows.
+fn outcome(entry: &str, status: StatusCode, body: &[u8]) -> Outcome {
     if status.is_success() {
         return match serde_json::from_slice::<Accepted>(body) {
-            Ok(a) => Heard::Accepted(a.version),
-            Err(e) => Heard::Unsure(Miss::new(entry, e)),
+            Ok(a) => Outcome::Accepted(a.version),
+            Err(e) => Outcome::Unknown(EntryError::new(entry, e)),
         };
     }
-    match problem(body) {
-        Problem::Conflict(winner) => Heard::Conflict(winner),
-        Problem::Faults { faults } => Heard::Refused(Failure::Rejected(faults)),
-        Problem::PlatformDown => Heard::Absent(Miss::new(entry, Cause::Platform)),
-        _ if status.is_client_error() => Heard::Refused(refused(entry, status, body)),
-        _ => Heard::Unsure(Miss::new(entry, strange(status, body))),
+    match decode_problem(body) {
+        Problem::Conflict(change) => Outcome::Conflict(change),
+        Problem::Faults { faults } => Outcome::Refused(Failure::Rejected(faults)),
+        Problem::PlatformDown => {
+            Outcome::NotAccepted(EntryError::new(entry, Cause::PlatformUnavailable))
+        }
+        _ if status.is_client_error() => Outcome::Refused(refusal(entry, status, body)),
+        _ => Outcome::Unknown(EntryError::new(entry, unexpected_status(status, body))),
     }
 }
 
-fn absent(misses: Vec<Miss>) -> Failure {
-    match misses.iter().any(|m| matches!(m.cause, Cause::Platform)) {
+/// The failure if every call certainly left the configuration unchanged.
+fn not_accepted(errors: Vec<EntryError>) -> Failure {
+    match errors
+        .iter()
+        .any(|e| matches!(e.cause, Cause::PlatformUnavailable))
+    {
         true => Failure::NotAccepted,
-        false => Failure::Away(misses),
+        false => Failure::FleetUnavailable(errors),
     }
 }
 
-fn unknown(proposal: &Proposal, spent: Duration, misses: Vec<Miss>) -> Failure {
-    Failure::Unknown {
+/// The failure if a call may have been accepted.
+fn outcome_unknown(proposal: &Proposal, elapsed: Duration, errors: Vec<EntryError>) -> Failure {
+    Failure::OutcomeUnknown {
         operation: proposal.operation.clone(),
         base: proposal.base,
-        spent,
-        misses,
+        elapsed,
+        errors,
     }
 }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -4,7 +4,7 @@
 
 use argh::FromArgs;
 
-use crate::admin::{InForce, CONFIGURATION};
+use crate::admin::{InForce, CONFIGURATION_PATH};
 use crate::exit::{note, Failure};
 use crate::fleet::Fleet;
 
@@ -24,15 +24,16 @@
     version: bool,
 }
 
-/// Shows. The text goes to standard output alone, so that a file made from it is the same text.
+/// Runs the command. Standard output gets the text alone, so that it can be redirected to a file;
+/// version and digest go to standard error.
 pub async fn run(s: &Show) -> Result<String, Failure> {
-    let fleet = Fleet::open(&s.entry, &s.operator_key_file)?;
-    let now: InForce = fleet.get(CONFIGURATION).await?;
+    let fleet = Fleet::from_options(&s.entry, &s.operator_key_file)?;
+    let current: InForce = fleet.get(CONFIGURATION_PATH).await?;
     let InForce {
         version,
         digest,
         text,
-    } = now;
+    } = current;
     let title = format!("version {version}, digest {digest}");
     if s.version {
         return Ok(title);
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -5,11 +5,11 @@
 
 use argh::FromArgs;
 
-use crate::admin::{Member, Members, STATUS};
+use crate::admin::{FleetStatus, Member, STATUS_PATH};
 use crate::exit::Failure;
 use crate::fleet::Fleet;
-use crate::page;
-use crate::spread::Spread;
+use crate::layout;
+use crate::propagation::Propagation;
 
 /// list the members of the fleet and their versions
 #[derive(FromArgs, Debug)]
@@ -22,50 +22,66 @@
     /// file with the operators' key (default: CLEMENTINESTEP_OPERATOR_KEY)
     #[argh(option)]
     operator_key_file: Option<PathBuf>,
-    /// print JSON in place of a table
+    /// print JSON instead of a table
     #[argh(switch)]
     json: bool,
 }
 
-/// Lists.
+/// Runs the command.
 pub async fn run(s: &Status) -> Result<String, Failure> {
-    let fleet = Fleet::open(&s.entry, &s.operator_key_file)?;
-    fleet.shown::<Members>(STATUS, s.json, page).await
+    let fleet = Fleet::from_options(&s.entry, &s.operator_key_file)?;
+    fleet
+        .get_output::<FleetStatus>(STATUS_PATH, s.json, render)
+        .await
 }
 
-/// The highest version that anybody reports; members below it lag.
-fn newest(m: &Members) -> u64 {
-    let all = m.members.iter().filter(|m| m.state.is_live());
-    all.map(|m| m.version).fold(m.version, u64::max)
+/// The highest version in force on the queried entry or a live member; members with an older
+/// version lag.
+fn newest_version(status: &FleetStatus) -> u64 {
+    let live = status.members.iter().filter(|m| m.state.is_live());
+    live.map(|m| m.version).fold(status.version, u64::max)
 }
 
-fn page(m: &Members) -> String {
-    let newest = newest(m);
-    let spread = Spread::of(m, newest);
-    let title = format!("version {}, digest {}\n", m.version, page::short(&m.digest));
-    let lag = match spread.behind.len() {
-        0 => format!("all {} live members have version {newest}\n", spread.live),
+/// Formats the status as text.
+fn render(status: &FleetStatus) -> String {
+    let newest = newest_version(status);
+    let propagation = Propagation::of(status, newest);
+    let title = format!(
+        "version {}, digest {}\n",
+        status.version,
+        layout::short_id(&status.digest)
+    );
+    let lag = match propagation.lagging.len() {
+        0 => format!(
+            "all {} live members have version {newest}\n",
+            propagation.live
+        ),
         n => format!(
             "{n} of {} live members lag behind version {newest}\n",
-            spread.live
+            propagation.live
         ),
     };
-    let rows: Vec<_> = m.members.iter().map(|m| row(m, newest)).collect();
-    let head = [
+    let rows: Vec<_> = status.members.iter().map(|m| row(m, newest)).collect();
+    let header = [
         "ROLE", "STATE", "VERSION", "HOST", "DOMAIN", "REGION", "POOL", "PEER", "ID",
     ];
-    format!("{title}{lag}{}\n{}", counts(m), page::table(head, &rows))
+    format!(
+        "{title}{lag}{}\n{}",
+        counts(status),
+        layout::table(header, &rows)
+    )
 }
 
-fn counts(m: &Members) -> String {
+/// Formats the number of members in each role and state.
+fn counts(status: &FleetStatus) -> String {
     let mut counts = BTreeMap::new();
-    for m in &m.members {
+    for m in &status.members {
         *counts.entry((m.role, m.state)).or_insert(0) += 1;
     }
     let rows = counts
         .iter()
         .map(|((role, state), n)| [role.to_string(), state.to_string(), n.to_string()]);
-    page::table(["ROLE", "STATE", "COUNT"], &rows.collect::<Vec<_>>())
+    layout::table(["ROLE", "STATE", "COUNT"], &rows.collect::<Vec<_>>())
 }
 
 fn row(m: &Member, newest: u64) -> [String; 9] {
@@ -82,6 +98,6 @@
         m.region.clone(),
         m.pool.clone().unwrap_or_default(),
         m.peer.clone(),
-        page::short(&m.id).to_owned(),
+        layout::short_id(&m.id).to_owned(),
     ]
 }
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,4 +1,4 @@
-//! `clementinestep trace`: one request's way, from the logs of many processes.
+//! `trace`: the path of one request, from the logs of many processes.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -8,14 +8,15 @@
 use crate::exit::{Failure, Usage};
 use crate::logs::{Line, Logs};
 
-/// Kinds of line that change what a process believes of everything.
-const BELIEFS: [&str; 3] = ["configured", "named", "lost"];
+/// Events that change the state by which a process decides all requests: the configuration, the
+/// announced weights, and dependencies that stop answering.
+const STATE_EVENTS: [&str; 3] = ["configured", "named", "lost"];
 
-/// Show one request's way through the processes, in order, with the reason of each step.
+/// show the path of one request through the processes, in order, with the reason of each step
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "trace")]
 pub struct Trace {
-    /// the request's id
+    /// id of the request
     #[argh(positional)]
     id: String,
     /// log files of the processes, - for standard input
@@ -29,73 +30,74 @@
         return Err(Usage::NoLogs.into());
     }
     let logs = Logs::read(&args.files)?;
-    let way: Vec<_> = logs
+    let steps: Vec<_> = logs
         .lines
         .iter()
         .filter(|l| l.text("request") == Some(args.id.as_str()))
         .collect();
-    let Some(first) = way.first() else {
-        return Err(Failure::NoRequest {
+    let Some(first) = steps.first() else {
+        return Err(Failure::RequestNotFound {
             id: args.id.clone(),
             lines: logs.lines.len(),
-            foreign: logs.foreign,
+            unrecognized: logs.unrecognized,
         });
     };
     let mut out = String::new();
-    believed(&mut out, &logs, first);
-    for line in &way {
+    write_state_before(&mut out, &logs, first);
+    for line in &steps {
         let _ = writeln!(
             out,
             "{}  {}  {:10} {}",
             line.at,
             line.host,
             line.event,
-            line.rest()
+            line.details()
         );
     }
-    targets(&mut out, &logs, &way);
-    out.push_str(&logs.passed_over());
+    write_target_events(&mut out, &logs, &steps);
+    out.push_str(&logs.skipped());
     Ok(out)
 }
 
-/// What the process that took the request believed when it came.
-fn believed(out: &mut String, logs: &Logs, first: &Line) {
+/// Writes the last state events before the request, from the host of its first line.
+fn write_state_before(out: &mut String, logs: &Logs, first: &Line) {
     let before = logs.lines.iter();
     let before = before.filter(|l| l.host == first.host && l.at <= first.at);
-    for kind in BELIEFS {
-        let last = before.clone().rfind(|l| l.event == kind);
+    for event in STATE_EVENTS {
+        let last = before.clone().rfind(|l| l.event == event);
         if let Some(line) = last {
             let _ = writeln!(
                 out,
                 "{}  {}  {:10} {}  (before)",
                 line.at,
                 line.host,
-                kind,
-                line.rest()
+                event,
+                line.details()
             );
         }
     }
 }
 
-/// What was told of the targets that the request was sent to, around that time.
-fn targets(out: &mut String, logs: &Logs, way: &[&Line]) {
-    let (Some(first), Some(last)) = (way.first(), way.last()) else {
+/// Writes the events that changed the targets of the request, up to the last line of the request,
+/// from the host of its first line.
+fn write_target_events(out: &mut String, logs: &Logs, steps: &[&Line]) {
+    let (Some(first), Some(last)) = (steps.first(), steps.last()) else {
         return;
     };
-    let sent: Vec<_> = way.iter().filter_map(|l| l.text("target")).collect();
-    let about = logs.lines.iter().filter(|l| {
-        let of_target = l.text("target").is_some_and(|t| sent.contains(&t));
+    let targets: Vec<_> = steps.iter().filter_map(|l| l.text("target")).collect();
+    let changes = logs.lines.iter().filter(|l| {
+        let of_target = l.text("target").is_some_and(|t| targets.contains(&t));
         let change = l.event == "target" || l.event == "left_out";
         of_target && change && l.host == first.host && l.at <= last.at
     });
-    for line in about {
+    for line in changes {
         let _ = writeln!(
             out,
             "{}  {}  {:10} {}  (target)",
             line.at,
             line.host,
             line.event,
-            line.rest()
+            line.details()
         );
     }
 }
--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -1,4 +1,4 @@
-//! `clementinestep why`: refusals and failures by cause.
+//! `why`: the number of refusals and failures by cause.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,17 +9,17 @@
 use crate::exit::{Failure, Usage};
 use crate::logs::{Line, Logs};
 
-/// Ids shown of each cause, so that one can be traced.
-const SHOWN: usize = 3;
+/// Maximum number of request ids shown for each cause, as input for `trace`.
+const IDS_PER_CAUSE: usize = 3;
 
-/// Count the requests that were refused, failed or cut, by cause.
+/// count refusals, failures and interrupted streams by cause
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "why")]
 pub struct Why {
-    /// only lines from this time on, as in the logs (2026-01-31T09:30)
+    /// only lines from this time on, in the format of the logs (2026-01-31T09:30)
     #[argh(option)]
     from: Option<String>,
-    /// only lines before this time
+    /// only lines before this time, in the format of the logs
     #[argh(option)]
     to: Option<String>,
     /// log files of the processes, - for standard input
@@ -27,11 +27,11 @@
     files: Vec<PathBuf>,
 }
 
-/// A cause and who met it.
+/// Occurrences of one cause.
 #[derive(Default)]
-struct Met {
+struct Occurrences {
     count: usize,
-    ids: Vec<String>,
+    request_ids: Vec<String>,
 }
 
 /// Runs the command.
@@ -45,30 +45,37 @@
         let at = l.at.as_str();
         at >= from && args.to.as_deref().is_none_or(|to| at < to)
     };
-    let mut causes: BTreeMap<String, Met> = BTreeMap::new();
+    let mut causes: BTreeMap<String, Occurrences> = BTreeMap::new();
     for line in logs.lines.iter().filter(within) {
         let Some(cause) = cause(line) else {
             continue;
         };
-        let met = causes.entry(cause).or_default();
-        met.count += line.number("lines").unwrap_or(1) as usize;
-        let id = line.text("request").filter(|_| met.ids.len() < SHOWN);
-        met.ids.extend(id.map(str::to_owned));
+        let occurrences = causes.entry(cause).or_default();
+        occurrences.count += line.number("lines").unwrap_or(1) as usize;
+        let id = line
+            .text("request")
+            .filter(|_| occurrences.request_ids.len() < IDS_PER_CAUSE);
+        occurrences.request_ids.extend(id.map(str::to_owned));
     }
     let mut causes: Vec<_> = causes.into_iter().collect();
-    causes.sort_by_key(|(_, met)| std::cmp::Reverse(met.count));
+    causes.sort_by_key(|(_, occurrences)| std::cmp::Reverse(occurrences.count));
     let mut out = String::new();
-    for (cause, met) in causes {
-        let _ = writeln!(out, "{:6}  {cause:44} {}", met.count, met.ids.join(" "));
+    for (cause, occurrences) in causes {
+        let _ = writeln!(
+            out,
+            "{:6}  {cause:44} {}",
+            occurrences.count,
+            occurrences.request_ids.join(" ")
+        );
     }
     if out.is_empty() {
         out.push_str("nothing was refused, failed or cut\n");
     }
-    out.push_str(&logs.passed_over());
+    out.push_str(&logs.skipped());
     Ok(out)
 }
 
-/// The cause that a line tells of, if it tells of a failure.
+/// The cause of the failure that a line reports; `None` if it reports no failure.
 fn cause(line: &Line) -> Option<String> {
     let text = |name: &str| line.text(name).unwrap_or("?").to_owned();
     match line.event.as_str() {
--- a/crates/cli/tests/client/fleet.rs
+++ b/crates/cli/tests/client/fleet.rs
@@ -245,7 +245,12 @@
         ("uncertain", &[put(&[UNSURE])], "status 504", 1),
         ("cut", &[put(&[Cut])], "connection lost", 1),
         ("broken", &[put(&[Say(500, "oops")])], "status 500: oops", 1),
-        ("uncertain, then refused", mixed, "the platform is away", 3),
+        (
+            "uncertain, then refused",
+            mixed,
+            "the platform is unavailable",
+            3,
+        ),
     ];
     for (name, entries, why, puts) in cases {
         let case = Case {
@@ -271,10 +276,10 @@
     // through it are decided by the old rules, so the operator is told which member it is.
     const NOW: &str = "apply FILE --wait 0s";
     const LATER: &str = "apply FILE --wait 90s";
-    const NAMED: &str = "1 of 2 live members lag, and the entry asked has version 8\n  \
+    const NAMED: &str = "1 of 2 live members lag, and the queried entry has version 8\n  \
         sidecar 51 on h2 in amd-b: version 7, suspect, 10.0.0.2:1\n";
-    const SEVEN: &str = "the entry asked has version 7";
-    const UNSEEN: &str = "version 8 is accepted, but its spread can't be seen";
+    const SEVEN: &str = "the queried entry has version 7";
+    const UNSEEN: &str = "version 8 was accepted, but it is unknown which members have it";
     const HALF: &str = "version 8: 1 of 2 members\n";
     let late = status(&[LAGGARD, LAGGARD, EVERYWHERE]);
     let cases: [(_, &[Entry], _, _); 5] = [
@@ -306,7 +311,13 @@
     let cases: [(_, &[Entry], _, _, _); 3] = [
         ("apply FILE", none, 8, "the change was not accepted", 2),
         ("apply FILE", one, 0, "", 2),
-        ("history", &[history(&[DOWN])], 8, "the platform is away", 0),
+        (
+            "history",
+            &[history(&[DOWN])],
+            8,
+            "the platform is unavailable",
+            0,
+        ),
     ];
     for (args, entries, code, says, puts) in cases {
         let case = Case {
@@ -335,7 +346,12 @@
             3,
         ),
         ("apply FILE --base 7", &[Away, Away], "can't connect", 3),
-        ("status", &[Away], "no entry answers\n  127.0.0.1:", 3),
+        (
+            "status",
+            &[Away],
+            "no entry gave a usable answer\n  127.0.0.1:",
+            3,
+        ),
         ("status", &[garbled, Away], "unreadable answer", 3),
         ("status", &[Away, garbled, Up(WELL)], "", 0),
     ];
@@ -362,7 +378,7 @@
 async fn fleet_refuses() {
     // The key isn't the fleet's, or the entries find faults that this client doesn't know of.
     // Another entry would say the same, so nothing is asked twice.
-    const KEYLESS: &str = "the operators' key is not the fleet's";
+    const KEYLESS: &str = "the operators' key does not match the key of the fleet";
     const FUTURE: &str = "3:1: error: a key of the future\n  a second fault";
     let shut = Up(Script {
         configuration: &[STRANGER],
--- a/crates/cli/tests/client/local.rs
+++ b/crates/cli/tests/client/local.rs
@@ -114,18 +114,30 @@
     let slips = [
         ("aply FILE", "--help"),
         ("apply FILE --wait 10", "`10` is no duration"),
-        ("digest", "standard input has no key"),
+        ("digest", "standard input contains no key"),
         ("explain FILE --team a --path v1", "`v1` doesn't begin"),
-        ("explain FILE --team a --path / --at x", "`x` is no time"),
-        ("explain FILE --team a --path / --header x", "is no header"),
-        ("status", "no entry is named"),
-        ("status --entry localhost", "`localhost` is no HOST:PORT"),
-        ("status --entry a:1 --operator-key-file EMPTY", "no operat"),
+        ("explain FILE --team a --path / --at x", "`x` is not a time"),
+        (
+            "explain FILE --team a --path / --header x",
+            "`x` is not a header",
+        ),
+        ("status", "no entry given"),
+        (
+            "status --entry localhost",
+            "`localhost` is not an address of the form HOST:PORT",
+        ),
+        (
+            "status --entry a:1 --operator-key-file EMPTY",
+            "no operators' key",
+        ),
         ("status --entry a:1 --operator-key-file none", "none: "),
-        ("apply FILE --entry a:1 --base 1 --force", "exclude one an"),
+        (
+            "apply FILE --entry a:1 --base 1 --force",
+            "mutually exclusive",
+        ),
         (
             "apply FILE --entry a:1 --force --operation 1",
-            "no operation",
+            "`1` is not an operation id",
         ),
     ];
     let env = [("CLEMENTINESTEP_OPERATOR_KEY", KEY)];
