--- a/crates/cli/tests/client/fake.rs
+++ b/crates/cli/tests/client/fake.rs
@@ -1,4 +1,4 @@
-//! A fake admin interface that answers from a script, and a way to run the real client on it.
+//! A fake admin interface that answers from a script, and functions that run the real client.
 
 use std::future::IntoFuture;
 use std::net::SocketAddr;
@@ -14,52 +14,53 @@
 
 /// The operators' key of all tests.
 pub(crate) const KEY: &str = "test-operator-key";
-/// No run takes nearly as long; one that does hangs.
-const LIMIT: Duration = Duration::from_secs(120);
+/// Timeout for a run of the client, far longer than any run takes.
+const RUN_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// One answer of a fake.
+/// One answer of a fake entry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Answer {
-    /// A status and a body.
-    Say(u16, &'static str),
-    /// The connection breaks after the call was read.
-    Cut,
+    /// Answers with a status and a body.
+    Respond(u16, &'static str),
+    /// Breaks the connection after the call was read.
+    Disconnect,
 }
 
-/// What a fake answers on each path; the last answer repeats, and none is a 404.
+/// The answers of a fake entry on each path, in order. The last answer is repeated; a path without
+/// answers responds with 404.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Script {
-    /// To changes.
+    /// Answers to changes.
     pub(crate) put: &'static [Answer],
-    /// To questions for the configuration.
+    /// Answers to reads of the configuration.
     pub(crate) configuration: &'static [Answer],
-    /// To questions for the history.
+    /// Answers to reads of the history.
     pub(crate) history: &'static [Answer],
-    /// To questions for the members.
+    /// Answers to reads of the members.
     pub(crate) status: &'static [Answer],
 }
 
 /// An entry of a test's fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Entry {
-    /// It answers.
+    /// The entry answers from a script.
     Up(Script),
-    /// Nobody listens at its address.
-    Away,
+    /// No process listens at the address of the entry.
+    Unreachable,
 }
 
-/// A call that a fake has read.
+/// A call that a fake entry received.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Heard {
+pub(crate) struct RecordedCall {
     /// HTTP method.
     pub(crate) method: Method,
-    /// Body, if it was JSON.
+    /// Body; null if it isn't JSON.
     pub(crate) body: Value,
-    /// Whether it bore the operators' key.
-    pub(crate) key: bool,
+    /// Whether the call had the operators' key.
+    pub(crate) has_key: bool,
 }
 
-/// What a run of the client came to.
+/// Result of a run of the client.
 #[derive(Debug)]
 pub(crate) struct Run {
     /// Exit code.
@@ -71,8 +72,8 @@
 }
 
 impl Run {
-    /// Holds what the client wrote to what it should.
-    pub(crate) fn says(&self, name: &str, out: &[&str], err: &[&str]) {
+    /// Asserts that the output and the errors contain the given parts, and not the operators' key.
+    pub(crate) fn assert_output(&self, name: &str, out: &[&str], err: &[&str]) {
         for part in out {
             assert!(self.out.contains(part), "{name}: no `{part}` in {self:?}");
         }
@@ -84,36 +85,37 @@
     }
 }
 
-/// Fakes that stand for a fleet.
+/// A fleet of fake entries.
 #[derive(Default)]
 pub(crate) struct Fleet {
-    /// Their addresses.
+    /// Addresses of the entries.
     pub(crate) entries: Vec<SocketAddr>,
-    heard: Arc<Mutex<Vec<Heard>>>,
-    // Bound but not listening, so that no other process takes the address meanwhile.
-    held: Vec<TcpSocket>,
+    calls: Arc<Mutex<Vec<RecordedCall>>>,
+    // Sockets that are bound but don't listen, so that no other process can take the addresses of
+    // unreachable entries.
+    reserved: Vec<TcpSocket>,
 }
 
 impl Fleet {
-    /// Starts fakes.
+    /// Starts the fake entries.
     pub(crate) async fn start(entries: &[Entry]) -> Self {
         let mut fleet = Self::default();
         for entry in entries {
             let at = match entry {
-                Entry::Up(script) => fleet.up(*script).await,
-                Entry::Away => fleet.away(),
+                Entry::Up(script) => fleet.start_entry(*script).await,
+                Entry::Unreachable => fleet.reserve_address(),
             };
             fleet.entries.push(at);
         }
         fleet
     }
 
-    /// All calls so far.
-    pub(crate) fn heard(&self) -> Vec<Heard> {
-        self.heard.lock().unwrap().clone()
+    /// All calls received until now, in order.
+    pub(crate) fn calls(&self) -> Vec<RecordedCall> {
+        self.calls.lock().unwrap().clone()
     }
 
-    async fn up(&self, script: Script) -> SocketAddr {
+    async fn start_entry(&self, script: Script) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
         let mut router = Router::new();
@@ -124,14 +126,14 @@
             (Method::GET, "/admin/status", script.status),
         ];
         for (method, path, answers) in paths {
-            let heard = Arc::clone(&self.heard);
-            let turn = Arc::new(Mutex::new(answers.iter()));
+            let calls = Arc::clone(&self.calls);
+            let remaining = Arc::new(Mutex::new(answers.iter()));
             let handler = move |r: Request| {
-                let (heard, turn) = (Arc::clone(&heard), Arc::clone(&turn));
+                let (calls, remaining) = (Arc::clone(&calls), Arc::clone(&remaining));
                 async move {
-                    let call = read(r).await;
-                    heard.lock().unwrap().push(call);
-                    let next = turn.lock().unwrap().next();
+                    let call = record(r).await;
+                    calls.lock().unwrap().push(call);
+                    let next = remaining.lock().unwrap().next();
                     Ok(answer(next.or(answers.last())))
                 }
             };
@@ -144,31 +146,31 @@
         at
     }
 
-    fn away(&mut self) -> SocketAddr {
+    fn reserve_address(&mut self) -> SocketAddr {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let at = socket.local_addr().unwrap();
-        self.held.push(socket);
+        self.reserved.push(socket);
         at
     }
 }
 
-async fn read(mut r: Request) -> Heard {
+async fn record(mut r: Request) -> RecordedCall {
     let bearer = format!("Bearer {KEY}");
     let key = r.headers().get("authorization");
-    let key = key.is_some_and(|v| v.as_bytes() == bearer.as_bytes());
+    let has_key = key.is_some_and(|v| v.as_bytes() == bearer.as_bytes());
     let body = r.bytes().await.unwrap_or_default();
-    Heard {
+    RecordedCall {
         method: r.method().clone(),
         body: serde_json::from_slice(&body).unwrap_or_default(),
-        key,
+        has_key,
     }
 }
 
 fn answer(next: Option<&Answer>) -> Response {
     let (status, body) = match next {
-        Some(Answer::Say(status, body)) => (*status, Body::Full((*body).into())),
-        Some(Answer::Cut) => {
+        Some(Answer::Respond(status, body)) => (*status, Body::Full((*body).into())),
+        Some(Answer::Disconnect) => {
             let cut = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
             let body = futures::stream::iter([Err::<Vec<u8>, _>(cut)]);
             (200, Body::from_stream(body))
@@ -178,14 +180,14 @@
     Response::builder().status(status).body(body).unwrap()
 }
 
-/// Writes a file of this test's own.
+/// Writes a file to the directory for temporary files of the tests.
 pub(crate) fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// Runs the client; names of files in the arguments stand for these files.
+/// Runs the client. An argument equal to a name in `files` is replaced by the path of that file.
 pub(crate) async fn run(
     args: &str,
     files: &[(&str, PathBuf)],
@@ -204,10 +206,10 @@
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
     let mut pipe = child.stdin.take().unwrap();
-    // A client that doesn't read its input may be gone already.
+    // A client that doesn't read its input may have exited already.
     let _ = pipe.write_all(stdin.as_bytes()).await;
     drop(pipe);
-    let done = tokio::time::timeout(LIMIT, child.wait_with_output()).await;
+    let done = tokio::time::timeout(RUN_TIMEOUT, child.wait_with_output()).await;
     let done = done.expect("the client hangs").unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
     Run {
--- a/crates/cli/tests/client/fleet.rs
+++ b/crates/cli/tests/client/fleet.rs
@@ -1,19 +1,19 @@
-//! The commands that ask the fleet, run as an operator runs them, against fake entries.
+//! The commands that call the fleet, run against fake entries.
 
-use crate::fake::Answer::{Cut, Say};
-use crate::fake::Entry::{Away, Up};
+use crate::fake::Answer::{Disconnect, Respond};
+use crate::fake::Entry::{Unreachable, Up};
 use crate::fake::{self, Answer, Entry, Fleet, Script, KEY};
 use serde_json::{json, Value};
 use viz::Method;
 
-/// Version 7, as the fakes have it in force.
+/// Configuration text of version 7, which the fake entries have in force.
 const OLD: &str = r#"
 pool.desk.model = "m"
 team.north.keys = ["blake3:69521577388302cd6d436d81fb0def866bed3c48f2d3210f215a300432c260c0"]
 rule = [{ name = "all", then.pool = "desk" }]
 "#;
 
-/// What the operator wants.
+/// Configuration that the operator applies.
 const NEW: &str = r#"
 pool.desk.model = "m"
 team.north.keys = ["blake3:69521577388302cd6d436d81fb0def866bed3c48f2d3210f215a300432c260c0"]
@@ -21,34 +21,37 @@
   { name = "all", then = { pool = "desk", class = "call" } }]
 "#;
 
-/// What no fleet takes.
+/// Configuration that the client itself finds faulty.
 const FAULTY: &str = "[pool.desk]\nkind = \"modle\"\n";
 
 const OPERATION: &str = "00112233445566778899aabbccddeeff";
 
-const SEVEN: &[Answer] = &[Say(200, r#"{"version":7,"digest":"d7d7","text":"TEXT"}"#)];
-const EIGHT: Answer = Say(200, r#"{"version":8}"#);
-const DOWN: Answer = Say(503, r#"{"error":{"code":"platform_down"}}"#);
-const UNSURE: Answer = Say(504, r#"{"error":{"code":"unknown_outcome"}}"#);
-const STRANGER: Answer = Say(401, r#"{"error":{"code":"unauthorized"}}"#);
-const BOB: Answer = Say(
+const VERSION_7: &[Answer] = &[Respond(
+    200,
+    r#"{"version":7,"digest":"d7d7","text":"TEXT"}"#,
+)];
+const ACCEPTED: Answer = Respond(200, r#"{"version":8}"#);
+const PLATFORM_DOWN: Answer = Respond(503, r#"{"error":{"code":"platform_down"}}"#);
+const UNKNOWN_OUTCOME: Answer = Respond(504, r#"{"error":{"code":"unknown_outcome"}}"#);
+const UNAUTHORIZED: Answer = Respond(401, r#"{"error":{"code":"unauthorized"}}"#);
+const CONFLICT: Answer = Respond(
     409,
     r#"{"error":{"code":"conflict","message":"m","version":9,"author":"bob","operation":"b0b"}}"#,
 );
-const OURS: Answer = Say(
+const OWN_CONFLICT: Answer = Respond(
     409,
     r#"{"error":{"code":"conflict","message":"m","version":8,"author":"eve",
         "operation":"00112233445566778899aabbccddeeff"}}"#,
 );
-const WRONG: Answer = Say(
+const REJECTED: Answer = Respond(
     400,
     r#"{"error":{"code":"faults","message":"m","faults":[
         "3:1: error: a key of the future",
         "a second fault"]}}"#,
 );
 
-/// One entry and one sidecar with version 8, and members that are gone with older ones.
-const EVERYWHERE: Answer = Say(
+/// An entry and a sidecar with version 8, and members that have left or died with older versions.
+const ALL_UP_TO_DATE: Answer = Respond(
     200,
     r#"{"version":8,"digest":"d8d8","members":[
     {"id":"e1","role":"entry","host":"h1","domain":"amd-a","region":"guj-west","pool":null,
@@ -61,8 +64,8 @@
      "state":"dead","version":2,"peer":"10.0.0.4:1"}]}"#,
 );
 
-/// The same, but that the sidecar has version 7.
-const LAGGARD: Answer = Say(
+/// An entry with version 8 and a suspect sidecar with version 7.
+const SIDECAR_LAGS: Answer = Respond(
     200,
     r#"{"version":8,"digest":"d8d8","members":[
     {"id":"e1","role":"entry","host":"h1","domain":"amd-a","region":"guj-west","pool":null,
@@ -71,47 +74,48 @@
      "state":"suspect","version":7,"peer":"10.0.0.2:1"}]}"#,
 );
 
-/// Everybody but the entry that is asked has version 8.
-const ASKED_LAGS: Answer = Say(200, r#"{"version":7,"digest":"d7d7","members":[]}"#);
+/// The queried entry has version 7, and no member lags behind version 8.
+const ENTRY_LAGS: Answer = Respond(200, r#"{"version":7,"digest":"d7d7","members":[]}"#);
 
-const HISTORY: Answer = Say(
+const HISTORY: Answer = Respond(
     200,
     r#"{"current":{"version":8,"digest":"d8d8","operation":"0a","author":"asha","at":1764710400},
     "past":[{"version":7,"digest":"d7d7","operation":"0b","author":"b\nob","at":0}]}"#,
 );
 
-/// A fleet that takes a change and has it in force at once.
-const WELL: Script = Script {
-    put: &[EIGHT],
-    configuration: SEVEN,
+/// A fleet that accepts a change and has it in force at once.
+const HEALTHY: Script = Script {
+    put: &[ACCEPTED],
+    configuration: VERSION_7,
     history: &[HISTORY],
-    status: &[EVERYWHERE],
+    status: &[ALL_UP_TO_DATE],
 };
 
 const fn put(put: &'static [Answer]) -> Entry {
-    Up(Script { put, ..WELL })
+    Up(Script { put, ..HEALTHY })
 }
 
 const fn status(status: &'static [Answer]) -> Entry {
-    Up(Script { status, ..WELL })
+    Up(Script { status, ..HEALTHY })
 }
 
 const fn history(history: &'static [Answer]) -> Entry {
-    Up(Script { history, ..WELL })
+    Up(Script { history, ..HEALTHY })
 }
 
-/// One run. `FILE` in the arguments stands for a file with the text.
+/// A run of the client and its expected result. `FILE` in the arguments stands for a file with
+/// `text`.
 struct Case<'a> {
     name: &'a str,
     args: &'a str,
     text: &'a str,
     entries: &'a [Entry],
     code: i32,
-    /// Parts of standard output.
+    /// Expected parts of standard output.
     out: &'a [&'a str],
-    /// Parts of standard error.
+    /// Expected parts of standard error.
     err: &'a [&'a str],
-    /// Calls that change something.
+    /// Expected number of calls that change the configuration.
     puts: usize,
 }
 
@@ -119,7 +123,7 @@
     name: "",
     args: "apply FILE",
     text: NEW,
-    entries: &[Up(WELL)],
+    entries: &[Up(HEALTHY)],
     code: 0,
     out: &[],
     err: &[],
@@ -128,7 +132,7 @@
 
 const READ: Case<'static> = Case { puts: 0, ..APPLY };
 
-/// Runs a case against its fakes; gives the changes that these were asked for.
+/// Runs a case and returns the changes that the fake entries received.
 async fn check(case: &Case<'_>) -> Vec<Value> {
     let name = case.name;
     let fleet = Fleet::start(case.entries).await;
@@ -141,17 +145,20 @@
     ];
     let run = fake::run(case.args, &[("FILE", file)], &env, "").await;
     assert_eq!(run.code, Some(case.code), "{name}: {run:?}");
-    run.says(name, case.out, case.err);
-    let heard = fleet.heard();
-    assert!(heard.iter().all(|h| h.key), "{name}: a call without key");
-    let puts = heard.into_iter().filter(|h| h.method == Method::PUT);
-    let puts: Vec<_> = puts.map(|h| h.body).collect();
+    run.assert_output(name, case.out, case.err);
+    let calls = fleet.calls();
+    assert!(
+        calls.iter().all(|c| c.has_key),
+        "{name}: a call lacks the key"
+    );
+    let puts = calls.into_iter().filter(|c| c.method == Method::PUT);
+    let puts: Vec<_> = puts.map(|c| c.body).collect();
     assert_eq!(puts.len(), case.puts, "{name}: {puts:?}");
     puts
 }
 
 #[tokio::test]
-async fn applies_what_the_operator_means() {
+async fn apply_sends_the_base_author_and_operation_of_its_options() {
     const REPEAT: &str = "apply FILE --base 7 --operation 00112233445566778899aabbccddeeff";
     let cases = [
         ("apply FILE", json!({"base": 7, "author": "asha"})),
@@ -167,7 +174,7 @@
     ];
     for (args, want) in cases {
         let case = Case {
-            name: "meant",
+            name: "options",
             args,
             out: &["version 8 is in force on 2 members after "],
             ..APPLY
@@ -183,12 +190,12 @@
 }
 
 #[tokio::test]
-async fn two_operators_race() {
-    // Two operators edit the same version. The second one's change would undo the first one's
-    // without anybody noticing; he has to learn who was first, and that nothing was changed.
+async fn later_of_two_changes_to_one_version_is_a_conflict() {
+    // Guards against a change that silently overwrites another operator's change to the same
+    // version. The error must name the first author and say that nothing was changed.
     for (name, entries, puts) in [
-        ("race", put(&[BOB]), 1),
-        ("race after a lost answer", put(&[Cut, BOB]), 2),
+        ("race", put(&[CONFLICT]), 1),
+        ("race after a lost answer", put(&[Disconnect, CONFLICT]), 2),
     ] {
         let case = Case {
             name,
@@ -204,21 +211,32 @@
 }
 
 #[tokio::test]
-async fn answer_is_lost() {
-    // The platform accepts a change, and the answer is lost on its way: a connection breaks, or
-    // the entry itself can't tell. The operator must not be told that it failed, and his client
-    // must not make a second change; it asks again under the same operation.
+async fn change_with_a_lost_answer_is_repeated_under_the_same_operation() {
+    // Guards against a reported failure, or a second change, when the platform accepted a change
+    // but the answer was lost: the connection broke, or the entry didn't learn the outcome.
     let cases: [(_, &[Entry], _); 6] = [
-        ("cut", &[put(&[Cut, EIGHT])], 2),
-        ("cut, known elsewhere", &[put(&[Cut]), put(&[EIGHT])], 2),
-        ("uncertain", &[put(&[UNSURE, UNSURE, EIGHT])], 3),
+        ("cut", &[put(&[Disconnect, ACCEPTED])], 2),
+        (
+            "cut, accepted by another entry",
+            &[put(&[Disconnect]), put(&[ACCEPTED])],
+            2,
+        ),
+        (
+            "uncertain",
+            &[put(&[UNKNOWN_OUTCOME, UNKNOWN_OUTCOME, ACCEPTED])],
+            3,
+        ),
         (
-            "uncertain, platform away",
-            &[put(&[UNSURE, DOWN, EIGHT])],
+            "uncertain, then platform down",
+            &[put(&[UNKNOWN_OUTCOME, PLATFORM_DOWN, ACCEPTED])],
             3,
         ),
-        ("unreadable", &[put(&[Say(200, "{}"), EIGHT])], 2),
-        ("our own conflict", &[put(&[UNSURE, OURS])], 2),
+        ("unreadable", &[put(&[Respond(200, "{}"), ACCEPTED])], 2),
+        (
+            "conflict with itself",
+            &[put(&[UNKNOWN_OUTCOME, OWN_CONFLICT])],
+            2,
+        ),
     ];
     for (name, entries, puts) in cases {
         let case = Case {
@@ -236,15 +254,24 @@
 }
 
 #[tokio::test]
-async fn outcome_stays_unknown() {
-    // No entry can tell whether a change was accepted before the client's time is up. Whoever is
-    // told "failed" or "refused" here may overwrite a colleague's change later; he is told that
-    // it's open, and how to find out.
-    let mixed = &[put(&[UNSURE]), put(&[STRANGER]), put(&[DOWN]), Away];
+async fn outcome_that_stays_unknown_is_not_reported_as_a_failure() {
+    // Guards against "failed" or "refused" for a change that may have been accepted; an operator
+    // could then overwrite a colleague's change. The message says how to find the outcome.
+    let mixed = &[
+        put(&[UNKNOWN_OUTCOME]),
+        put(&[UNAUTHORIZED]),
+        put(&[PLATFORM_DOWN]),
+        Unreachable,
+    ];
     let cases: [(_, &[Entry], _, _); 4] = [
-        ("uncertain", &[put(&[UNSURE])], "status 504", 1),
-        ("cut", &[put(&[Cut])], "connection lost", 1),
-        ("broken", &[put(&[Say(500, "oops")])], "status 500: oops", 1),
+        ("uncertain", &[put(&[UNKNOWN_OUTCOME])], "status 504", 1),
+        ("cut", &[put(&[Disconnect])], "connection lost", 1),
+        (
+            "broken",
+            &[put(&[Respond(500, "oops")])],
+            "status 500: oops",
+            1,
+        ),
         (
             "uncertain, then refused",
             mixed,
@@ -271,31 +298,31 @@
 }
 
 #[tokio::test]
-async fn member_lags() {
-    // A version is accepted, but a member doesn't take it: it is cut off or paused. Requests
-    // through it are decided by the old rules, so the operator is told which member it is.
+async fn member_with_an_older_version_is_named() {
+    // Guards against a change reported as in force while a member that is cut off or paused still
+    // decides requests by the old rules. The message must name the member.
     const NOW: &str = "apply FILE --wait 0s";
     const LATER: &str = "apply FILE --wait 90s";
-    const NAMED: &str = "1 of 2 live members lag, and the queried entry has version 8\n  \
+    const SIDECAR: &str = "1 of 2 live members lag, and the queried entry has version 8\n  \
         sidecar 51 on h2 in amd-b: version 7, suspect, 10.0.0.2:1\n";
-    const SEVEN: &str = "the queried entry has version 7";
+    const ENTRY: &str = "the queried entry has version 7";
     const UNSEEN: &str = "version 8 was accepted, but it is unknown which members have it";
     const HALF: &str = "version 8: 1 of 2 members\n";
-    let late = status(&[LAGGARD, LAGGARD, EVERYWHERE]);
+    let late = status(&[SIDECAR_LAGS, SIDECAR_LAGS, ALL_UP_TO_DATE]);
     let cases: [(_, &[Entry], _, _); 5] = [
-        (NOW, &[status(&[LAGGARD])], 6, NAMED),
-        (NOW, &[status(&[ASKED_LAGS])], 6, SEVEN),
-        (NOW, &[status(&[Cut])], 6, UNSEEN),
-        (NOW, &[status(&[Cut]), Up(WELL)], 0, ""),
+        (NOW, &[status(&[SIDECAR_LAGS])], 6, SIDECAR),
+        (NOW, &[status(&[ENTRY_LAGS])], 6, ENTRY),
+        (NOW, &[status(&[Disconnect])], 6, UNSEEN),
+        (NOW, &[status(&[Disconnect]), Up(HEALTHY)], 0, ""),
         (LATER, &[late], 0, HALF),
     ];
-    for (args, entries, code, says) in cases {
+    for (args, entries, code, message) in cases {
         let case = Case {
-            name: "spread",
+            name: "propagation",
             args,
             entries,
             code,
-            err: &[says],
+            err: &[message],
             ..APPLY
         };
         check(&case).await;
@@ -303,29 +330,29 @@
 }
 
 #[tokio::test]
-async fn platform_is_away() {
-    // The platform's table is down. Changes can't be accepted and the history can't be read; the
-    // operator is told so, and that the fleet goes on with what it has.
-    let none = &[put(&[DOWN]), put(&[DOWN]), Away];
-    let one = &[put(&[DOWN]), put(&[EIGHT])];
+async fn platform_outage_is_reported() {
+    // The platform's table is unavailable: no change can be accepted and the history can't be read.
+    // Guards against a change whose rejection isn't reported, or is reported as another failure.
+    let none = &[put(&[PLATFORM_DOWN]), put(&[PLATFORM_DOWN]), Unreachable];
+    let one = &[put(&[PLATFORM_DOWN]), put(&[ACCEPTED])];
     let cases: [(_, &[Entry], _, _, _); 3] = [
         ("apply FILE", none, 8, "the change was not accepted", 2),
         ("apply FILE", one, 0, "", 2),
         (
             "history",
-            &[history(&[DOWN])],
+            &[history(&[PLATFORM_DOWN])],
             8,
             "the platform is unavailable",
             0,
         ),
     ];
-    for (args, entries, code, says, puts) in cases {
+    for (args, entries, code, message, puts) in cases {
         let case = Case {
             name: "platform",
             args,
             entries,
             code,
-            err: &[says],
+            err: &[message],
             puts,
             ..APPLY
         };
@@ -334,30 +361,35 @@
 }
 
 #[tokio::test]
-async fn fleet_is_away() {
-    // No entry can be reached: a wrong address, or all are down. Each address is named with its
-    // reason, so that the operator sees which of both it is; one that answers is enough.
-    let garbled = status(&[Say(200, "[]")]);
+async fn unreachable_entries_are_listed_with_their_errors() {
+    // Guards against an error that doesn't show whether an address is wrong or all entries are down:
+    // each address is listed with its error. One entry that answers is enough for success.
+    let garbled = status(&[Respond(200, "[]")]);
     let cases: [(_, &[Entry], _, _); 5] = [
         (
             "apply FILE",
-            &[Away],
+            &[Unreachable],
             "can't connect: Connection refused",
             3,
         ),
-        ("apply FILE --base 7", &[Away, Away], "can't connect", 3),
+        (
+            "apply FILE --base 7",
+            &[Unreachable, Unreachable],
+            "can't connect",
+            3,
+        ),
         (
             "status",
-            &[Away],
+            &[Unreachable],
             "no entry gave a usable answer\n  127.0.0.1:",
             3,
         ),
-        ("status", &[garbled, Away], "unreadable answer", 3),
-        ("status", &[Away, garbled, Up(WELL)], "", 0),
+        ("status", &[garbled, Unreachable], "unreadable answer", 3),
+        ("status", &[Unreachable, garbled, Up(HEALTHY)], "", 0),
     ];
     for (args, entries, why, code) in cases {
         let case = Case {
-            name: "away",
+            name: "unreachable",
             args,
             entries,
             code,
@@ -367,34 +399,34 @@
         check(&case).await;
     }
     let first = Case {
-        name: "first away",
-        entries: &[Away, Up(WELL)],
+        name: "first unreachable",
+        entries: &[Unreachable, Up(HEALTHY)],
         ..APPLY
     };
     check(&first).await;
 }
 
 #[tokio::test]
-async fn fleet_refuses() {
-    // The key isn't the fleet's, or the entries find faults that this client doesn't know of.
-    // Another entry would say the same, so nothing is asked twice.
-    const KEYLESS: &str = "the operators' key does not match the key of the fleet";
+async fn refusal_is_reported_without_a_second_call() {
+    // The operators' key is wrong, or the entries find faults that this client doesn't check for.
+    // Guards against calls to further entries, which would refuse too.
+    const WRONG_KEY: &str = "the operators' key does not match the key of the fleet";
     const FUTURE: &str = "3:1: error: a key of the future\n  a second fault";
     let shut = Up(Script {
-        configuration: &[STRANGER],
-        ..WELL
+        configuration: &[UNAUTHORIZED],
+        ..HEALTHY
     });
     let cases: [(_, &[Entry], _, _, _); 4] = [
         (
             "apply FILE --base 7",
-            &[put(&[STRANGER]), put(&[EIGHT])],
-            KEYLESS,
+            &[put(&[UNAUTHORIZED]), put(&[ACCEPTED])],
+            WRONG_KEY,
             4,
             1,
         ),
-        ("show", &[shut], KEYLESS, 4, 0),
+        ("show", &[shut], WRONG_KEY, 4, 0),
         ("history", &[history(&[])], "status 404", 4, 0),
-        ("apply FILE", &[put(&[WRONG])], FUTURE, 1, 1),
+        ("apply FILE", &[put(&[REJECTED])], FUTURE, 1, 1),
     ];
     for (args, entries, why, code, puts) in cases {
         let case = Case {
@@ -419,15 +451,15 @@
 }
 
 #[tokio::test]
-async fn reads() {
+async fn read_commands_print_the_answer_of_the_entry() {
     const CHANGES: &str = "VERSION  AT                    AUTHOR  DIGEST  OPERATION\n\
         8        2025-12-02 21:20:00Z  asha    d8d8    0a\n\
         7        1970-01-01 00:00:00Z  b\u{fffd}ob    d7d7    0b\n";
     const LAGS: &str = "version 8, digest d8d8\n1 of 2 live members lag behind version 8\n";
     const DEAD: &str = "sidecar  dead     2        h4";
     const LINE: &str = "sidecar  suspect  7 lags   h2    amd-b   guj-west  desk  10.0.0.2:1  51\n";
-    let lag: &[Entry] = &[status(&[LAGGARD])];
-    let well: &[Entry] = &[Up(WELL)];
+    let lag: &[Entry] = &[status(&[SIDECAR_LAGS])];
+    let well: &[Entry] = &[Up(HEALTHY)];
     let cases: [(_, _, &[&str]); 7] = [
         ("show", well, &["TEXT\n"]),
         ("show --version", well, &["version 7, digest d7d7\n"]),
@@ -454,13 +486,13 @@
 }
 
 #[tokio::test]
-async fn compares_and_explains_what_is_in_force() {
-    // The texts of the fakes are constants, so this one is put together here.
+async fn diff_and_explain_use_the_configuration_in_force() {
+    // Answers of fake entries are static, so the body built from `OLD` is leaked.
     let body = json!({"version": 7, "digest": "d7d7", "text": OLD}).to_string();
-    let answers: &'static [Answer] = vec![Say(200, body.leak())].leak();
+    let answers: &'static [Answer] = vec![Respond(200, body.leak())].leak();
     let entries: &[Entry] = &[Up(Script {
         configuration: answers,
-        ..WELL
+        ..HEALTHY
     })];
     let explained = "explain --team north --path /quota/surat";
     let cases: [(_, _, &[&str]); 3] = [
@@ -474,7 +506,7 @@
     ];
     for (args, text, out) in cases {
         let case = Case {
-            name: "compared",
+            name: "in force",
             args,
             text,
             entries,
--- a/crates/cli/tests/client/local.rs
+++ b/crates/cli/tests/client/local.rs
@@ -1,4 +1,4 @@
-//! The commands that ask nobody, and command lines that can't be followed.
+//! The commands that don't call the fleet, and invalid command lines.
 
 use crate::fake::{self, KEY};
 
@@ -14,13 +14,14 @@
   { name = "rest", then.pool = "desk" }]
 "#;
 
-/// One run; `FILE` and `FAULTY` in the arguments stand for files.
+/// A run of the client and its expected result. `FILE`, `FAULTY` and `EMPTY` in the arguments
+/// stand for files.
 struct Case<'a> {
     args: &'a str,
     code: i32,
-    /// Parts of standard output.
+    /// Expected parts of standard output.
     out: &'a [&'a str],
-    /// Parts of standard error.
+    /// Expected parts of standard error.
     err: &'a [&'a str],
 }
 
@@ -31,7 +32,7 @@
     err: &[],
 };
 
-/// Runs cases with an environment and standard input.
+/// Runs cases with the given environment and standard input.
 async fn check(name: &str, env: &[(&str, &str)], stdin: &str, cases: &[Case<'_>]) {
     let file = fake::file(&format!("{name}.toml"), TEXT);
     let faulty = fake::file(&format!("{name}-faulty.toml"), "rule = 1\npoll = 2\n");
@@ -40,12 +41,12 @@
     for case in cases {
         let run = fake::run(case.args, &files, env, stdin).await;
         assert_eq!(run.code, Some(case.code), "{}: {run:?}", case.args);
-        run.says(case.args, case.out, case.err);
+        run.assert_output(case.args, case.out, case.err);
     }
 }
 
 #[tokio::test]
-async fn checks() {
+async fn check_reports_warnings_and_faults() {
     let cases = [
         Case {
             args: "check FILE",
@@ -70,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn explains() {
+async fn explain_shows_the_deciding_rule_and_why_earlier_ones_do_not_match() {
     let cases = [
         Case {
             args: "explain FILE --team north --path /v1/completions?x=1 --at 2026-03-02T23:10:00Z",
@@ -98,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn digests() {
+async fn digest_of_a_key_from_standard_input() {
     let case = Case {
         args: "digest",
         out: &["blake3:69521577388302cd6d436d81fb0def866bed3c48f2d3210f215a300432c260c0\n"],
@@ -108,10 +109,10 @@
 }
 
 #[tokio::test]
-async fn command_line_cannot_be_followed() {
-    // A slip on the command line. It must never look like a fault of the configuration, whose
-    // exit code a script may take for the file's verdict, and nobody is asked anything.
-    let slips = [
+async fn invalid_command_line_has_its_own_exit_code() {
+    // Guards against the exit code of a faulty configuration for an invalid command line, since
+    // scripts decide by that code whether the file is valid. No call may be sent.
+    let invalid = [
         ("aply FILE", "--help"),
         ("apply FILE --wait 10", "`10` is no duration"),
         ("digest", "standard input contains no key"),
@@ -141,14 +142,14 @@
         ),
     ];
     let env = [("CLEMENTINESTEP_OPERATOR_KEY", KEY)];
-    for (args, err) in slips {
+    for (args, err) in invalid {
         let case = Case {
             args,
             code: 2,
             err: &[err],
             ..CASE
         };
-        check("slips", &env, "", &[case]).await;
+        check("invalid", &env, "", &[case]).await;
     }
     let keyless = Case {
         args: "status --entry a:1",
--- a/crates/cli/tests/client/logs.rs
+++ b/crates/cli/tests/client/logs.rs
@@ -1,8 +1,8 @@
-//! Reading logs after a failure: `trace` and `why`.
+//! The commands that read logs: `trace` and `why`.
 
 use crate::fake;
 
-const FRONT: &str = r#"{"at":"2026-03-23T09:46:14.100","host":"front-1","up_ms":1,"event":"configured","version":4,"source":"store","routes":48}
+const LOG: &str = r#"{"at":"2026-03-23T09:46:14.100","host":"front-1","up_ms":1,"event":"configured","version":4,"source":"store","routes":48}
 {"at":"2026-03-23T09:46:15.000","host":"front-1","up_ms":2,"event":"target","target":"i-1","addr":"10.0.0.1:80","state":"ready"}
  12.5 front-1 {"at":"2026-03-23T09:46:16.000","host":"front-1","up_ms":3,"event":"sent","request":"abc","target":"i-1","attempt":1,"estimate_ms":20.5,"fetch":null}
 {"at":"2026-03-23T09:46:16.200","host":"front-1","up_ms":4,"event":"tried","request":"abc","target":"i-1","attempt":1,"reason":"connection broken","ran":true}
@@ -11,7 +11,8 @@
 {"at":"2026-03-23T09:46:18.000","host":"front-1","up_ms":6,"event":"dropped","kind":"sent","lines":17}
 {"at":"2026-03-23T09:46:19.000","host":"front-1","up_m"#;
 
-/// One run on the log; `LOG`, `BINARY` and `EMPTY` in the arguments stand for files.
+/// A run of the client and its expected result. `LOG`, `BINARY` and `EMPTY` in the arguments stand
+/// for files.
 struct Case<'a> {
     args: &'a str,
     code: i32,
@@ -20,10 +21,10 @@
 }
 
 #[tokio::test]
-async fn a_requests_way_and_the_causes_of_failures_are_told() {
-    // A caller complains about a request. Its log is torn at the end, another writer's lines and
-    // whatever a collector puts before a line stand in it too, and some files are no logs at all.
-    let log = fake::file("front.log", FRONT);
+async fn trace_and_why_read_truncated_and_mixed_logs() {
+    // Guards against logs that can't be read after a failure: truncated at the end, mixed with the
+    // lines of other programs or a collector's prefixes, or files that are no logs at all.
+    let log = fake::file("front.log", LOG);
     let empty = fake::file("empty.log", "");
     let binary = fake::file(
         "binary.log",
@@ -96,6 +97,6 @@
     for case in cases {
         let run = fake::run(case.args, &files, &[], "").await;
         assert_eq!(run.code, Some(case.code), "{}: {run:?}", case.args);
-        run.says(case.args, case.out, case.err);
+        run.assert_output(case.args, case.out, case.err);
     }
 }
--- a/crates/cli/tests/client/main.rs
+++ b/crates/cli/tests/client/main.rs
@@ -1,4 +1,4 @@
-//! The real client, run as an operator runs it.
+//! Tests that run the real client as an operator does.
 
 mod fake;
 mod fleet;
