--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -24,7 +24,7 @@
     version: bool,
 }
 
-/// Runs the command. Standard output gets the text alone, so that it can be redirected to a file;
+/// Runs the command. Standard output gets the text alone, so that a redirected file has the same text;
 /// version and digest go to standard error.
 pub async fn run(s: &Show) -> Result<String, Failure> {
     let fleet = Fleet::from_options(&s.entry, &s.operator_key_file)?;
