--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request is decided as it is: the rule that decides and what kept each earlier one from it.
+//! Explains a decision: the rule that matches a request and why each earlier rule doesn't.
 
 use std::fmt;
 
@@ -6,30 +6,31 @@
 use crate::config::Then;
 use crate::decide::{Decision, Facts, RuleSet};
 
-/// What the rules make of a request, and why.
+/// The decision on a request and the rules that were skipped before it. `Display` gives one line
+/// for each rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation<'a> {
-    /// The earlier rules, each with the first condition that failed.
+    /// Earlier rules, which don't match; all rules if none matches.
     pub skipped: Vec<SkippedRule<'a>>,
-    /// The rule's position and its consequences; absent if no rule matches.
+    /// Position of the matching rule, from 0, and its consequences; absent if no rule matches.
     pub decision: Option<(usize, Decision<'a>)>,
 }
 
-/// A rule that doesn't match.
+/// A rule that doesn't match, and the first reason for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SkippedRule<'a> {
-    /// Its position.
+    /// Position of the rule, from 0.
     pub index: usize,
-    /// Its name.
+    /// Name of the rule.
     pub rule: &'a str,
-    /// The first of its conditions that fails.
+    /// First condition of the rule that the request fails.
     pub failed: &'a Condition,
-    /// What the request has instead.
+    /// The request's value of the property that the condition tests.
     pub found: String,
 }
 
 impl RuleSet {
-    /// Which rule decides a request, and why each earlier one doesn't.
+    /// Explains which rule decides a request and why each earlier rule doesn't.
     pub fn explain(&self, facts: &Facts) -> Explanation<'_> {
         let decision = self.first_match(facts).zip(self.decide(facts));
         let end = decision
@@ -42,7 +43,7 @@
                 index,
                 rule: &self.config().rule[index].name,
                 failed,
-                found: found(failed, facts),
+                found: found_value(failed, facts),
             })
         });
         Explanation {
@@ -52,10 +53,10 @@
     }
 }
 
-/// What a request has where a condition asks for something.
-fn found(cond: &Condition, facts: &Facts) -> String {
+/// The request's value of the property that a condition tests; "none" if the request lacks it.
+fn found_value(condition: &Condition, facts: &Facts) -> String {
     let none = || "none".to_owned();
-    match cond {
+    match condition {
         Condition::Team(_) => facts.team.clone(),
         Condition::Path(_) => facts.path.clone(),
         Condition::Method(_) => facts.method.clone(),
@@ -65,7 +66,7 @@
         Condition::Days(_) => facts.weekday.to_string(),
         Condition::Prompt(_) => format!("{}B", facts.prompt_bytes),
         Condition::Header(name, _) => facts.headers.get(name).cloned().unwrap_or_else(none),
-        Condition::Not(inner) => found(inner, facts),
+        Condition::Not(inner) => found_value(inner, facts),
     }
 }
 
@@ -93,7 +94,7 @@
     }
 }
 
-/// A decision in one line.
+/// Displays a decision in one line.
 struct Outcome<'a>(&'a Decision<'a>);
 
 impl fmt::Display for Outcome<'_> {
@@ -106,20 +107,20 @@
             ..
         } = &d.rule.then;
         match (refuse, d.pool) {
-            (Some(why), _) => write!(f, "refused: {why}")?,
+            (Some(reason), _) => write!(f, "refused: {reason}")?,
             (None, Some((pool, _))) => write!(f, "pool `{pool}`, class `{}`", d.class)?,
             (None, None) => f.write_str("no pool")?,
         }
         match (refuse, retry_after, deadline) {
             (Some(_), Some(after), _) => write!(f, ", retry after {after}"),
             (Some(_), None, _) => Ok(()),
-            (None, _, Some(span)) => write!(f, ", deadline {span}{}", once(d)),
-            (None, _, None) => f.write_str(once(d)),
+            (None, _, Some(deadline)) => write!(f, ", deadline {deadline}{}", repeatability(d)),
+            (None, _, None) => f.write_str(repeatability(d)),
         }
     }
 }
 
-fn once(d: &Decision<'_>) -> &'static str {
+fn repeatability(d: &Decision<'_>) -> &'static str {
     match d.idempotent {
         true => ", idempotent",
         false => ", at most once",
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,9 +1,9 @@
-//! The fleet's configuration: what it says, whether it holds together, and what it decides.
+//! The fleet's configuration: parsing, checks, comparison and decisions on requests.
 //!
-//! A configuration is one TOML text: places, pools, teams and ordered when-then rules. It is
-//! parsed and checked as a whole ([`RuleSet::compile`]), and a [`RuleSet`] answers the two
-//! questions that each request raises: which team sent it, and which rule matches it first.
-//! `docs/RULES.md` is the operators' page of all this.
+//! A configuration is one TOML text with regions, pools, teams, settings of features and ordered
+//! when-then rules. [`RuleSet::compile`] parses and checks the whole text. The resulting
+//! [`RuleSet`] finds the team that an API key belongs to ([`RuleSet::team`]) and the first rule
+//! that matches a request ([`RuleSet::decide`]). The operators' documentation is `docs/RULES.md`.
 
 pub mod condition;
 pub mod config;
