--- a/crates/rules/examples/digest.rs
+++ b/crates/rules/examples/digest.rs
@@ -1,4 +1,4 @@
-//! Prints the digests of the API keys given as arguments, as a configuration holds them.
+//! Prints the digest of each API key given as an argument, in the form used in configurations.
 
 fn main() {
     std::env::args()
--- a/crates/rules/examples/options.rs
+++ b/crates/rules/examples/options.rs
@@ -1,10 +1,10 @@
-//! Prints the options tables of `docs/RULES.md`.
+//! Prints the tables of options in `docs/RULES.md`.
 
 fn main() {
-    let fields = rules::Config::options();
-    for table in fields.chunk_by(|a, b| a.table == b.table) {
+    let options = rules::Config::options();
+    for table in options.chunk_by(|a, b| a.table == b.table) {
         println!("\n### `[{}]`\n", table[0].table);
         println!("| key | type | default | meaning |\n| --- | --- | --- | --- |");
-        table.iter().for_each(|field| println!("{field}"));
+        table.iter().for_each(|option| println!("{option}"));
     }
 }
--- a/crates/rules/tests/docs.rs
+++ b/crates/rules/tests/docs.rs
@@ -1,31 +1,31 @@
-//! The operators' page says what the code does.
+//! The operators' documentation lists the options that the code has.
 
 use rules::{Config, RuleSet};
 
 const PAGE: &str = include_str!("../../../docs/RULES.md");
 
 #[test]
-fn every_option_is_on_the_page() {
-    let rows: Vec<_> = PAGE.lines().collect();
-    for field in Config::options() {
-        let heading = rows
+fn every_option_is_documented() {
+    let lines: Vec<_> = PAGE.lines().collect();
+    for option in Config::options() {
+        let heading = lines
             .iter()
-            .position(|l| *l == format!("### `[{}]`", field.table))
-            .unwrap_or_else(|| panic!("no section on {}", field.table));
-        let section = rows[heading + 1..]
+            .position(|l| *l == format!("### `[{}]`", option.table))
+            .unwrap_or_else(|| panic!("no section on {}", option.table));
+        let section = lines[heading + 1..]
             .iter()
             .take_while(|l| !l.starts_with('#'));
-        let row = field.to_string();
+        let row = option.to_string();
         assert!(section.into_iter().any(|l| *l == row), "missing: {row}");
     }
 }
 
 #[test]
 fn every_option_is_read() {
-    // A date fits no option, so that each known key in its own table is a fault of type.
-    for field in Config::options() {
-        let line = format!("{} = 1979-05-27", field.key);
-        let text = match field.table {
+    // No option takes a date, so each key that is read is reported as a fault of type.
+    for option in Config::options() {
+        let line = format!("{} = 1979-05-27", option.key);
+        let text = match option.table {
             "rule" => format!("[[rule]]\n{line}"),
             t => match t.strip_prefix("rule.") {
                 Some(inner) => format!("[[rule]]\n[rule.{inner}]\n{line}"),
@@ -33,10 +33,10 @@
             },
         };
         let faults = RuleSet::compile(&text).unwrap_err();
-        let read = faults
+        let type_fault = faults
             .0
             .iter()
             .any(|f| f.to_string().contains("found datetime"));
-        assert!(read, "{text}: {faults}");
+        assert!(type_fault, "{text}: {faults}");
     }
 }
--- a/crates/rules/tests/faults.rs
+++ b/crates/rules/tests/faults.rs
@@ -1,10 +1,10 @@
-//! Every kind of fault, with the place, key and words that an operator sees.
+//! Every kind of fault, with the position, key and message that an operator sees.
 
 use assert_matches::assert_matches;
 use rules::{Fault, FaultKind, NameKind, RuleSet, Severity};
 
-/// Follows each case's text, so that nothing else is wrong with it.
-const REST: &str = r#"
+/// Appended to the text of each case, which then has no faults other than those that are listed.
+const VALID_REST: &str = r#"
 [pool.desk]
 model = "m"
 [team.north]
@@ -365,9 +365,9 @@
 ];
 
 #[test]
-fn every_fault_names_its_place() {
+fn every_fault_has_its_position_key_and_message() {
     for case in CASES {
-        let found = match RuleSet::compile(format!("{}\n{REST}", case.text)) {
+        let found = match RuleSet::compile(format!("{}\n{VALID_REST}", case.text)) {
             Ok(rules) => rules.warnings().to_vec(),
             Err(faults) => faults.0,
         };
@@ -377,12 +377,12 @@
 }
 
 #[test]
-fn nothing_is_wrong_with_the_rest() {
-    assert_matches!(RuleSet::compile(REST), Ok(rules) if rules.warnings().is_empty());
+fn the_valid_rest_has_no_faults() {
+    assert_matches!(RuleSet::compile(VALID_REST), Ok(rules) if rules.warnings().is_empty());
 }
 
 #[test]
-fn faults_are_typed_and_name_their_file() {
+fn faults_have_kinds_and_name_their_file() {
     let text = "[team.a]\n[pool.b]\nkind = 'plain'\n[[rule]]\nname = 'c'\nthen.pool = 'bb'";
     let faults = RuleSet::compile_file("rules.toml", text).unwrap_err();
     assert_matches!(
@@ -393,7 +393,7 @@
             Fault { kind: FaultKind::UnknownName { kind: NameKind::Pool, hint: Some(hint), .. }, .. },
         ] if team == "a" && hint == "b"
     );
-    let shown =
+    let message =
         "rules.toml:6:13: error: rule[0].then.pool: no pool is named `bb`  (did you mean `b`?)";
-    assert_eq!(faults.0[2].to_string(), shown);
+    assert_eq!(faults.0[2].to_string(), message);
 }
--- a/crates/rules/tests/properties.rs
+++ b/crates/rules/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for any configuration, any request and any text.
+//! Properties that hold for any configuration, any request and any text.
 
 use std::collections::BTreeMap;
 
@@ -28,15 +28,15 @@
     }
 }
 
-fn words(of: &'static [&'static str]) -> impl Strategy<Value = Vec<String>> {
+fn words(known: &'static [&'static str]) -> impl Strategy<Value = Vec<String>> {
     let none = Just(Vec::new());
-    let some = subsequence(of, 1..=of.len());
+    let some = subsequence(known, 1..=known.len());
     prop_oneof![none, some].prop_map(|w| w.into_iter().map(str::to_owned).collect())
 }
 
-fn glob(of: &'static [&'static str]) -> impl Strategy<Value = Glob> {
-    (select(of), any::<bool>()).prop_map(|(text, rest)| {
-        let star = if rest { "*" } else { "" };
+fn glob(texts: &'static [&'static str]) -> impl Strategy<Value = Glob> {
+    (select(texts), any::<bool>()).prop_map(|(text, is_prefix)| {
+        let star = if is_prefix { "*" } else { "" };
         format!("{text}{star}").parse().unwrap()
     })
 }
@@ -86,10 +86,11 @@
     )
 }
 
-/// Most rules of use have few conditions; with all at once hardly any would match.
-fn sparse() -> impl Strategy<Value = When> {
-    (when(), vec(0u8..4, 9)).prop_map(|(mut w, chance)| {
-        let drop = |i: usize| chance[i] > 0;
+/// Conditions of which each is kept with a chance of one in four. Practical rules have few
+/// conditions, and with all of them hardly any rule would match.
+fn sparse_when() -> impl Strategy<Value = When> {
+    (when(), vec(0u8..4, 9)).prop_map(|(mut w, draws)| {
+        let drop = |i: usize| draws[i] > 0;
         let d = When::default();
         if drop(0) {
             w.team = d.team
@@ -135,14 +136,14 @@
 fn then() -> impl Strategy<Value = Then> {
     let text = || option::of(".{0,12}");
     let span = || option::of(any::<u64>().prop_map(|us| Duration(model::Micros(us))));
-    let who = (
+    let forwarding = (
         text(),
         select(&Class::ALL[..]),
         span(),
         option::of(any::<bool>()),
     );
     let set = btree_map(".{0,6}", ".{0,6}", 0..3);
-    (who, (text(), text(), span(), limits(), set)).prop_map(
+    (forwarding, (text(), text(), span(), limits(), set)).prop_map(
         |((pool, class, deadline, idempotent), (scope, refuse, retry_after, limits, set))| Then {
             pool,
             class,
@@ -208,7 +209,7 @@
     );
     let features = (limits(), any::<u32>(), any::<u64>(), 0u16..=1000);
     (tables, features, vec(rule(), 0..4)).prop_map(
-        |((region, pool, team), (limits, probes, span, part), rule)| {
+        |((region, pool, team), (limits, probes, notice, share), rule)| {
             let mut c = Config {
                 region,
                 pool,
@@ -218,8 +219,8 @@
                 ..Config::default()
             };
             c.place.probes = probes;
-            c.drain.notice = Duration(model::Micros(span));
-            c.retry.share = Percent::from_permille(part);
+            c.drain.notice = Duration(model::Micros(notice));
+            c.retry.share = Percent::from_permille(share);
             c
         },
     )
@@ -252,9 +253,9 @@
     )
 }
 
-/// A configuration of these rules, with all that they name.
-fn around(rules: Vec<(When, When, Then)>) -> Config {
-    let named = |(i, (when, not, then))| Rule {
+/// A configuration with these rules and every pool and team that they name.
+fn config_with(rules: Vec<(When, When, Then)>) -> Config {
+    let rule = |(i, (when, not, then))| Rule {
         name: format!("r{i}"),
         when,
         not,
@@ -267,12 +268,12 @@
     Config {
         pool: BTreeMap::from([("p".into(), pool)]),
         team: TEAMS.map(|t| (t.to_owned(), Team::default())).into(),
-        rule: rules.into_iter().enumerate().map(named).collect(),
+        rule: rules.into_iter().enumerate().map(rule).collect(),
         ..Config::default()
     }
 }
 
-/// Rules that compile: those that the check finds fault with are left out.
+/// Rule sets that compile: rules that the check reports an error for are removed.
 fn ruleset() -> impl Strategy<Value = RuleSet> {
     let then = prop_oneof![
         Just(Then {
@@ -284,91 +285,98 @@
             ..Then::default()
         }),
     ];
-    let rule = (sparse(), sparse(), then);
+    let rule = (sparse_when(), sparse_when(), then);
     vec(rule, 1..90).prop_map(|rules| {
-        let mut config = around(rules);
+        let mut config = config_with(rules);
         match RuleSet::compile(config.to_toml().unwrap()) {
             Ok(rules) => rules,
             Err(faults) => {
-                let bad = |i| format!("rule[{i}]");
-                let clean = |i| {
-                    !faults
-                        .0
-                        .iter()
-                        .any(|f| f.severity == rules::Severity::Error && f.key.starts_with(&bad(i)))
+                let path = |i| format!("rule[{i}]");
+                let has_no_error = |i| {
+                    !faults.0.iter().any(|f| {
+                        f.severity == rules::Severity::Error && f.key.starts_with(&path(i))
+                    })
                 };
-                let kept = config.rule.drain(..).enumerate().filter(|(i, _)| clean(*i));
-                config.rule = kept.map(|(_, r)| r).collect();
+                let valid = config
+                    .rule
+                    .drain(..)
+                    .enumerate()
+                    .filter(|(i, _)| has_no_error(*i));
+                config.rule = valid.map(|(_, r)| r).collect();
                 RuleSet::compile(config.to_toml().unwrap()).unwrap_or_else(|e| panic!("{e}"))
             }
         }
     })
 }
 
-/// The rules' meaning, written down a second time without any index.
+/// Position of the first rule that matches: a second implementation, as a scan without index.
 fn oracle(config: &Config, f: &Facts) -> Option<usize> {
     config.rule.iter().position(|r| {
-        let none = answers(&r.not, f).into_iter().all(|a| a != Some(true));
-        answers(&r.when, f).into_iter().all(|a| a != Some(false)) && none
+        let no_exception = results(&r.not, f).into_iter().all(|a| a != Some(true));
+        results(&r.when, f).into_iter().all(|a| a != Some(false)) && no_exception
     })
 }
 
-/// Each condition that is there, and whether it holds.
-fn answers(w: &When, f: &Facts) -> Vec<Option<bool>> {
-    let like = |g: &Glob, text: &str| match g.as_str().split_once('*') {
-        Some((head, _)) => text.get(..head.len()) == Some(head),
+/// For each condition whether it holds; nothing for those that aren't set.
+fn results(w: &When, f: &Facts) -> Vec<Option<bool>> {
+    let matches = |g: &Glob, text: &str| match g.as_str().split_once('*') {
+        Some((prefix, _)) => text.get(..prefix.len()) == Some(prefix),
         None => text == g.as_str(),
     };
-    let of = |there: bool, holds: bool| there.then_some(holds);
+    let result = |is_set: bool, holds: bool| is_set.then_some(holds);
     let model = f.model.as_deref();
-    let asked = f.headers.get("x-class").map(String::as_str);
+    let class = f.headers.get("x-class").map(String::as_str);
     let min = w.prompt.min.map(|s| f.prompt_bytes as u64 >= s.0);
     let max = w.prompt.max.map(|s| f.prompt_bytes as u64 <= s.0);
     let mut all = vec![
-        of(!w.team.is_empty(), w.team.contains(&f.team)),
-        of(!w.path.is_empty(), w.path.iter().any(|g| like(g, &f.path))),
-        of(!w.method.is_empty(), w.method.contains(&f.method)),
-        of(
+        result(!w.team.is_empty(), w.team.contains(&f.team)),
+        result(
+            !w.path.is_empty(),
+            w.path.iter().any(|g| matches(g, &f.path)),
+        ),
+        result(!w.method.is_empty(), w.method.contains(&f.method)),
+        result(
             !w.model.is_empty(),
-            w.model.iter().any(|g| model.is_some_and(|m| like(g, m))),
+            w.model.iter().any(|g| model.is_some_and(|m| matches(g, m))),
         ),
-        of(
+        result(
             !w.class.is_empty(),
-            w.class.iter().any(|c| asked == Some(c.as_str())),
+            w.class.iter().any(|c| class == Some(c.as_str())),
         ),
-        of(
+        result(
             !w.hours.is_empty(),
-            w.hours.iter().any(|x| inside(x, f.minute)),
+            w.hours.iter().any(|x| window_contains(x, f.minute)),
         ),
-        of(!w.days.is_empty(), w.days.contains(&f.weekday)),
-        of(
+        result(!w.days.is_empty(), w.days.contains(&f.weekday)),
+        result(
             min.or(max).is_some(),
             min != Some(false) && max != Some(false),
         ),
     ];
-    let header = |(k, g)| f.headers.get(k).is_some_and(|v| like(g, v));
+    let header = |(k, g)| f.headers.get(k).is_some_and(|v| matches(g, v));
     all.extend(w.header.iter().map(|h| Some(header(h))));
     all
 }
 
-/// Walks a window from its first minute to its last.
-fn inside(window: &TimeWindow, minute: u16) -> bool {
+/// Whether a minute lies in a window, found by walking the window from its first minute to its
+/// last.
+fn window_contains(window: &TimeWindow, minute: u16) -> bool {
     let text = window.to_string();
-    let number = |at: std::ops::Range<usize>| text[at].parse::<u16>().unwrap();
+    let number = |digits: std::ops::Range<usize>| text[digits].parse::<u16>().unwrap();
     let (from, to) = (
         number(0..2) * 60 + number(3..5),
         number(6..8) * 60 + number(9..11),
     );
-    let mut at = from;
+    let mut current = from;
     loop {
-        if at == minute {
+        if current == minute {
             return true;
         }
-        at += 1;
-        if at == to || at % 1440 == to {
+        current += 1;
+        if current == to || current % 1440 == to {
             return false;
         }
-        at %= 1440;
+        current %= 1440;
     }
 }
 
@@ -376,15 +384,15 @@
     #![proptest_config(seeded(256))]
 
     #[test]
-    fn printing_and_parsing_is_the_identity(config in config()) {
+    fn serialized_configuration_parses_to_the_same_configuration(config in config()) {
         let text = config.to_toml().unwrap();
-        let (again, _) = rules::parse("", &text);
-        prop_assert_eq!(&again, &config);
-        prop_assert_eq!(again.to_toml().unwrap(), text);
+        let (parsed, _) = rules::parse("", &text);
+        prop_assert_eq!(&parsed, &config);
+        prop_assert_eq!(parsed.to_toml().unwrap(), text);
     }
 
     #[test]
-    fn index_decides_as_the_oracle(rules in ruleset(), facts in vec(facts(), 64)) {
+    fn index_finds_the_same_rule_as_a_scan(rules in ruleset(), facts in vec(facts(), 64)) {
         let unreachable: Vec<_> = rules
             .warnings()
             .iter()
@@ -398,44 +406,47 @@
             prop_assert_eq!(first, oracle(rules.config(), f));
             let name = first.map(|i| rules.config().rule[i].name.as_str());
             prop_assert!(name.is_none_or(|n| !unreachable.contains(&n)));
-            let why = rules.explain(f);
-            prop_assert_eq!(why.decision.as_ref().map(|(i, _)| *i), first);
-            prop_assert_eq!(why.skipped.len(), first.unwrap_or(rules.config().rule.len()));
-            prop_assert!(why.skipped.iter().all(|p| !p.failed.holds(f)));
+            let explanation = rules.explain(f);
+            prop_assert_eq!(explanation.decision.as_ref().map(|(i, _)| *i), first);
+            prop_assert_eq!(
+                explanation.skipped.len(),
+                first.unwrap_or(rules.config().rule.len())
+            );
+            prop_assert!(explanation.skipped.iter().all(|s| !s.failed.holds(f)));
         }
     }
 
     #[test]
-    fn what_the_check_says_of_reach_holds(
-        pairs in vec((sparse(), sparse()), 40),
+    fn rules_reported_as_unreachable_match_no_request(
+        pairs in vec((sparse_when(), sparse_when()), 40),
         facts in vec(facts(), 64),
     ) {
         let rules = pairs.into_iter().map(|(when, not)| (when, not, Then::default()));
-        let (config, faults) = rules::parse("", &around(rules.collect()).to_toml().unwrap());
+        let (config, faults) = rules::parse("", &config_with(rules.collect()).to_toml().unwrap());
         let matches = |name: &str, f: &Facts| {
             let rule = config.rule.iter().filter(|r| r.name == name).cloned().collect();
             oracle(&Config { rule, ..Config::default() }, f).is_some()
         };
         for fault in faults.0 {
-            let wrong = match &fault.kind {
+            let counterexample = match &fault.kind {
                 FaultKind::NeverMatches(rule) => facts.iter().find(|f| matches(rule, f)),
                 FaultKind::Unreachable { rule, by } => {
                     facts.iter().find(|f| matches(rule, f) && !matches(by, f))
                 }
                 _ => None,
             };
-            prop_assert_eq!(wrong, None, "{}", fault);
+            prop_assert_eq!(counterexample, None, "{}", fault);
         }
     }
 
     #[test]
-    fn any_text_is_read_or_faulted(bytes in vec(any::<u8>(), 0..200), text in "\\PC{0,200}") {
+    fn arbitrary_text_never_panics(bytes in vec(any::<u8>(), 0..200), text in "\\PC{0,200}") {
         let _ = RuleSet::compile(String::from_utf8_lossy(&bytes));
         let _ = RuleSet::compile(text);
     }
 
     #[test]
-    fn any_pieces_of_rules_are_read_or_faulted(
+    fn arbitrary_fragments_of_rules_never_panic(
         pieces in vec(select(&[
             "[[rule]]", "[rule.when]", "[team.a]", "[pool.p]", "[", "]", "{", "}", "=", ",", "\n",
             "\n", "\n", "'", "\"", "name", "when", "then", "keys", "path", "pool", ".", "hours",
@@ -446,7 +457,7 @@
     }
 
     #[test]
-    fn units_print_and_parse(us in any::<u64>(), bytes in any::<u64>(), w in window()) {
+    fn displayed_units_parse_to_the_same_value(us in any::<u64>(), bytes in any::<u64>(), w in window()) {
         let (span, size) = (Duration(model::Micros(us)), Size(bytes));
         prop_assert_eq!(span.to_string().parse(), Ok(span));
         prop_assert_eq!(size.to_string().parse(), Ok(size));
@@ -455,7 +466,7 @@
 }
 
 #[test]
-fn deep_nesting_is_faulted() {
+fn deep_nesting_is_reported_as_an_error() {
     for open in ["[", "{a=", "a."] {
         let faults = RuleSet::compile(format!("a = {}", open.repeat(100_000))).unwrap_err();
         assert!(faults.has_errors());
@@ -463,7 +474,7 @@
 }
 
 #[test]
-fn truncated_samples_are_read_or_faulted() {
+fn faults_of_truncated_samples_lie_within_the_text() {
     let samples = [
         (include_str!("../../../examples/quickstart.toml"), 1),
         (include_str!("../../../examples/association.toml"), 13),
--- a/crates/rules/tests/samples.rs
+++ b/crates/rules/tests/samples.rs
@@ -1,14 +1,15 @@
-//! The sample configurations are taken without a fault and decide as their comments say.
+//! The sample configurations compile without faults and decide as their comments say.
 
 use rules::{Facts, RuleSet};
 
 struct Case {
     file: &'static str,
     text: &'static str,
-    /// Keys and the teams that hold them.
+    /// API keys and the teams that they belong to.
     keys: &'static [(&'static str, &'static str)],
-    /// Team, method, path and class asked for; rule, pool and whether it may run twice.
-    decided: &'static [(&'static str, &'static str)],
+    /// Requests as team, method, path and requested class; decisions as rule, pool and whether the
+    /// request may be executed more than once.
+    decisions: &'static [(&'static str, &'static str)],
 }
 
 const CASES: &[Case] = &[
@@ -19,7 +20,7 @@
             ("sample-key-agency-1", "agency-1"),
             ("sample-key-agency-8", "agency-8"),
         ],
-        decided: &[
+        decisions: &[
             (
                 "agency-1 POST /v1/completions call",
                 "coding-on-call lekha-llm repeatable",
@@ -55,7 +56,7 @@
             ("sample-key-linz", "haulier-linz"),
             ("sample-key-inspectors", "inspectors"),
         ],
-        decided: &[
+        decisions: &[
             (
                 "inspectors POST /v1/completions batch",
                 "roadside-check modell-fleet repeatable",
@@ -95,7 +96,7 @@
             ("sample-key-one", "team-one"),
             ("sample-key-two", "team-two"),
         ],
-        decided: &[
+        decisions: &[
             (
                 "team-one POST /v1/completions -",
                 "completions lekha-llm repeatable",
@@ -129,8 +130,8 @@
 fn decide(rules: &RuleSet, facts: &Facts) -> String {
     let d = rules.decide(facts).unwrap();
     let pool = d.pool.map_or("refused", |(name, _)| name);
-    let again = if d.idempotent { "repeatable" } else { "once" };
-    format!("{} {pool} {again}", d.rule.name)
+    let executions = if d.idempotent { "repeatable" } else { "once" };
+    format!("{} {pool} {executions}", d.rule.name)
 }
 
 #[test]
@@ -142,7 +143,7 @@
             assert_eq!(rules.team(key).map(|(n, _)| n), Some(*team), "{key}");
         }
         assert_eq!(rules.team("sample-key-none"), None);
-        for (request, decision) in case.decided {
+        for (request, decision) in case.decisions {
             let found = decide(&rules, &facts(request));
             assert_eq!(found, *decision, "{}: {request}", case.file);
         }
--- a/crates/rules/tests/tables.rs
+++ b/crates/rules/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Units, consequences, explanations and differences, as tables of cases.
+//! Tables of cases for units, decisions, explanations and differences.
 
 use assert_matches::assert_matches;
 use model::{Class, Micros};
@@ -58,13 +58,17 @@
 }
 
 #[test]
-fn durations() {
+fn durations_parse_and_display() {
     struct Case {
         text: &'static str,
-        value: Option<u64>,
-        shown: &'static str,
+        micros: Option<u64>,
+        displayed: &'static str,
     }
-    let case = |text, value, shown| Case { text, value, shown };
+    let case = |text, micros, displayed| Case {
+        text,
+        micros,
+        displayed,
+    };
     for c in [
         case("1500ms", Some(1_500_000), "1500ms"),
         case("8s", Some(8_000_000), "8s"),
@@ -81,14 +85,14 @@
         case("8S", None, ""),
         case("213503982335d", None, ""),
     ] {
-        let read: Option<Duration> = c.text.parse().ok();
-        assert_eq!(read.map(|d| d.0 .0), c.value, "{}", c.text);
-        assert_eq!(read.map_or(String::new(), |d| d.to_string()), c.shown);
+        let parsed: Option<Duration> = c.text.parse().ok();
+        assert_eq!(parsed.map(|d| d.0 .0), c.micros, "{}", c.text);
+        assert_eq!(parsed.map_or(String::new(), |d| d.to_string()), c.displayed);
     }
 }
 
 #[test]
-fn sizes_parts_and_windows() {
+fn sizes_percentages_and_windows_parse_and_display() {
     assert_eq!("4MiB".parse(), Ok(Size(4 << 20)));
     assert_eq!(Size(1536).to_string(), "1536B");
     assert_eq!(Size(1 << 40).to_string(), "1024GiB");
@@ -119,7 +123,7 @@
 }
 
 #[test]
-fn times_become_days_and_minutes() {
+fn unix_time_gives_minute_and_weekday() {
     struct Case {
         unix: u64,
         minute: u16,
@@ -148,7 +152,7 @@
 }
 
 #[test]
-fn a_decision_has_all_consequences() {
+fn decision_has_all_consequences() {
     let rules = compile(BASE);
     let call = with(
         facts("north", "POST", "/v1/completions"),
@@ -168,12 +172,12 @@
     );
     assert_eq!(d.max_body, Some(Size(1 << 20)));
 
-    let old = with(facts("south", "GET", "/files/1"), &[("x-kind", "older")]);
-    let d = rules.decide(&old).unwrap();
+    let on_monday = with(facts("south", "GET", "/files/1"), &[("x-kind", "older")]);
+    let d = rules.decide(&on_monday).unwrap();
     assert_eq!((d.rule.name.as_str(), d.pool), ("no-south", None));
-    let mut late = old.clone();
-    late.weekday = Weekday::Sun;
-    let d = rules.decide(&late).unwrap();
+    let mut on_sunday = on_monday.clone();
+    on_sunday.weekday = Weekday::Sun;
+    let d = rules.decide(&on_sunday).unwrap();
     assert_eq!((d.rule.name.as_str(), d.scope), ("files", Some("south")));
     assert!(d.idempotent);
     assert_eq!(d.limits.requests, Some(10));
@@ -186,54 +190,55 @@
 }
 
 #[test]
-fn an_explanation_names_what_failed() {
+fn explanation_names_the_failed_conditions() {
     let rules = compile(BASE);
     let mut f = with(facts("south", "POST", "/v1/chat"), &[("x-class", "call")]);
     f.minute = 12 * 60;
     f.model = Some("m2".to_owned());
-    let why = rules.explain(&f);
-    assert_eq!(why.decision, None);
-    assert_matches!(why.skipped[0].failed, Condition::Hours(_));
-    assert_matches!(why.skipped[1].failed, Condition::Header(name, _) if name == "x-kind");
-    let shown = [
+    let explanation = rules.explain(&f);
+    assert_eq!(explanation.decision, None);
+    assert_matches!(explanation.skipped[0].failed, Condition::Hours(_));
+    assert_matches!(explanation.skipped[1].failed, Condition::Header(name, _) if name == "x-kind");
+    let lines = [
         "1. on-call: wants hours `22:00-06:00`, found `12:00`",
         "2. no-south: wants header `x-kind` `old*`, found `none`",
         "3. desk: wants model `m`, found `m2`",
         "4. files: wants path `/files/*`, found `/v1/chat`",
         "no rule matches",
     ];
-    assert_eq!(why.to_string(), shown.join("\n"));
+    assert_eq!(explanation.to_string(), lines.join("\n"));
 
     let mut f = with(facts("south", "GET", "/files/1"), &[("x-kind", "old")]);
     f.weekday = Weekday::Sat;
-    let shown = [
+    let lines = [
         "1. on-call: wants path `/v1/*`, found `/files/1`",
         "2. no-south: wants not days `sat` or `sun`, found `sat`",
         "3. desk: wants path `/v1/*`, found `/files/1`",
         "4. files: matches; pool `files`, class `normal`, idempotent",
     ];
-    assert_eq!(rules.explain(&f).to_string(), shown.join("\n"));
+    assert_eq!(rules.explain(&f).to_string(), lines.join("\n"));
 }
 
 #[test]
-fn a_difference_is_told_by_objects() {
+fn differences_are_reported_by_object() {
     struct Case {
+        /// Texts of `BASE` and their replacements.
         edits: &'static [(&'static str, &'static str)],
-        shown: &'static [&'static str],
+        lines: &'static [&'static str],
     }
     let cases = [
         Case {
             edits: &[],
-            shown: &[],
+            lines: &[],
         },
-        // Lines move and lists are reordered, but nothing changes.
+        // Moved tables and reordered lists are no change.
         Case {
             edits: &[
                 ("days = [\"sat\", \"sun\"]", "days = [\"sun\", \"sat\"]"),
                 ("[pool.files]\nkind = \"plain\"\n", ""),
                 ("\n[limits]", "\n[pool.files]\nkind = \"plain\"\n[limits]"),
             ],
-            shown: &[],
+            lines: &[],
         },
         Case {
             edits: &[
@@ -242,7 +247,7 @@
                 ("deadline = \"1500ms\"", "deadline = \"2s\""),
                 ("scope = \"both\"\n", ""),
             ],
-            shown: &[
+            lines: &[
                 "~ limits: requests: 10 -> unset",
                 "~ limits: tokens: unset -> 5",
                 "~ team `north`: scope: \"both\" -> unset",
@@ -260,7 +265,7 @@
                     "name = \"files\"\nwhen = { path = [\"/v1/*\"]",
                 ),
             ],
-            shown: &[
+            lines: &[
                 "- team `south`",
                 "+ team `west`",
                 "~ rule `files`: then.class: unset -> \"call\"",
@@ -290,8 +295,8 @@
         let edit = |text: String, (from, to): &(&str, &str)| text.replacen(from, to, 1);
         let new = compile(case.edits.iter().fold(BASE.to_owned(), edit));
         let changes = diff(&old, &new);
-        let shown: Vec<_> = changes.0.iter().map(ToString::to_string).collect();
-        assert_eq!(shown, case.shown, "{:?}", case.edits);
-        assert_eq!(changes.is_empty(), case.shown.is_empty());
+        let lines: Vec<_> = changes.0.iter().map(ToString::to_string).collect();
+        assert_eq!(lines, case.lines, "{:?}", case.edits);
+        assert_eq!(changes.is_empty(), case.lines.is_empty());
     }
 }
