--- a/crates/rules/examples/rules_bench.rs
+++ b/crates/rules/examples/rules_bench.rs
@@ -1,7 +1,9 @@
-//! Measures what a request costs the rules at the size that is expected within two years.
+//! Measures the cost of a request in the rules, at the size of configuration expected within two
+//! years.
 //!
-//! `cargo run --release -p rules --example rules_bench` prints, for 1,100 teams and 300 rules, the time
-//! to compile, to find a team by its key and to decide, each beside a plain scan of the same data.
+//! `cargo run --release -p rules --example rules_bench` prints, for 1,100 teams and 300 rules, the
+//! time to compile the configuration, to find a team by its API key and to decide a request. The
+//! last two are printed together with the time of a linear scan of the same data.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -12,26 +14,28 @@
 
 const TEAMS: usize = 1_100;
 const RULES: usize = 300;
-/// Requests that are cycled through; enough that no branch predictor learns them.
+/// Number of different requests, which are used in turn; enough that no branch predictor learns
+/// the sequence.
 const REQUESTS: usize = 4_099;
 const ROUNDS: usize = 400_000;
 
 fn main() {
-    let text = text();
+    let text = config_text();
     let start = Instant::now();
     let rules = RuleSet::compile(&text).unwrap_or_else(|e| panic!("{e}"));
-    let spent = start.elapsed().as_secs_f64() * 1e3;
+    let elapsed_ms = start.elapsed().as_secs_f64() * 1e3;
     println!(
         "{TEAMS} teams, {RULES} rules, {} KiB of text",
         text.len() / 1024
     );
-    println!("compile       {spent:8.1} ms");
-    decisions(&rules);
-    keys(&rules);
+    println!("compile       {elapsed_ms:8.1} ms");
+    measure_decisions(&rules);
+    measure_keys(&rules);
 }
 
-/// A third of the rules name teams, a third paths of their own, a third headers and models.
-fn text() -> String {
+/// A configuration in which a third of the rules name teams, a third have paths of their own and
+/// a third have headers and models.
+fn config_text() -> String {
     let mut out = String::from("[pool.desk]\nmodel = \"m\"\n");
     for i in 0..TEAMS {
         let digest = rules::key_digest(key(i));
@@ -57,8 +61,8 @@
     format!("bench-key-{team}")
 }
 
-/// One request in ten meets a rule for its team, one a path, one a model and header; the others go
-/// past all rules to the last.
+/// Requests of which one in ten matches a rule by its team, one by its path and one by its model
+/// and header. The others match the last rule only.
 fn requests() -> Vec<Facts> {
     let request = |n: usize| {
         let rule = n * 7 % (RULES - 3) / 3 * 3;
@@ -86,7 +90,7 @@
     (0..REQUESTS).map(request).collect()
 }
 
-fn decisions(rules: &RuleSet) {
+fn measure_decisions(rules: &RuleSet) {
     let requests = requests();
     let scan = |f: &Facts| rules.config().rule.iter().position(|r| matches(&r.when, f));
     for f in &requests {
@@ -97,7 +101,7 @@
     report("decide, scan", ROUNDS / 20, |i| scan(next(i)).is_some());
 }
 
-/// The plain scan: every condition of every rule in turn.
+/// Whether a rule's conditions hold, tested one by one for the linear scan.
 fn matches(when: &When, f: &Facts) -> bool {
     (when.team.is_empty() || when.team.contains(&f.team))
         && (when.path.is_empty() || when.path.iter().any(|g| g.matches(&f.path)))
@@ -111,15 +115,15 @@
             .all(|(k, g)| f.headers.get(k).is_some_and(|v| g.matches(v)))
 }
 
-fn keys(rules: &RuleSet) {
-    let held: Vec<_> = (0..TEAMS).map(key).collect();
-    let digests: Vec<_> = held.iter().map(|k| blake3::hash(k.as_bytes())).collect();
+fn measure_keys(rules: &RuleSet) {
+    let keys: Vec<_> = (0..TEAMS).map(key).collect();
+    let digests: Vec<_> = keys.iter().map(|k| blake3::hash(k.as_bytes())).collect();
     let scan = |key: &str| {
-        let want = blake3::hash(key.as_bytes());
-        let equal = |d: &blake3::Hash| bool::from(d.as_bytes().ct_eq(want.as_bytes()));
+        let digest = blake3::hash(key.as_bytes());
+        let equal = |d: &blake3::Hash| bool::from(d.as_bytes().ct_eq(digest.as_bytes()));
         digests.iter().filter(|d| equal(d)).count()
     };
-    let next = |i: usize| held[i * 31 % TEAMS].as_str();
+    let next = |i: usize| keys[i * 31 % TEAMS].as_str();
     report("team", ROUNDS, |i| rules.team(next(i)).is_some());
     report("team, unknown", ROUNDS, |i| {
         rules.team(&next(i)[1..]).is_none()
@@ -127,10 +131,11 @@
     report("team, scan", ROUNDS / 20, |i| scan(next(i)) == 1);
 }
 
+/// Prints the mean time of a step, which must succeed in every round.
 fn report(name: &str, rounds: usize, mut step: impl FnMut(usize) -> bool) {
     let start = Instant::now();
-    let all = (0..rounds).all(|i| black_box(step(i)));
-    let spent = start.elapsed().as_nanos() as f64 / rounds as f64;
-    assert!(all, "{name} found nothing");
-    println!("{name:<14}{spent:8.0} ns");
+    let all_succeeded = (0..rounds).all(|i| black_box(step(i)));
+    let mean_ns = start.elapsed().as_nanos() as f64 / rounds as f64;
+    assert!(all_succeeded, "{name} found nothing");
+    println!("{name:<14}{mean_ns:8.0} ns");
 }
