--- a/crates/rules/src/fault.rs
+++ b/crates/rules/src/fault.rs
@@ -72,7 +72,7 @@
     #[error("`{0}` is not a whole number from 0 to 4294967295")]
     BadNumber(String),
     /// A word that isn't among a fixed set of words.
-    #[error("`{word}` is none of {known}")]
+    #[error("`{word}` is not one of {known}")]
     UnknownWord {
         /// The unknown word.
         word: String,
@@ -96,7 +96,7 @@
     #[error("`{0}` is no window; write two different times of day as `06:00-18:30`")]
     BadWindow(String),
     /// A pattern with a `*` elsewhere than at the end.
-    #[error("`{0}` is no pattern; a `*` stands only at the end")]
+    #[error("`{0}` is no pattern; `*` is allowed only at the end")]
     BadGlob(String),
     /// A path pattern that no path can match.
     #[error("path `{0}` doesn't begin with `/`")]
@@ -108,7 +108,7 @@
     #[error("`{0}` is no header name; names are written in lower case")]
     BadHeaderName(String),
     /// A header value with characters that can't be sent.
-    #[error("the value of header `{0}` holds characters that can't be sent")]
+    #[error("the value of header `{0}` contains characters that can't be sent")]
     BadHeaderValue(String),
     /// A header that the router itself sets.
     #[error("header `{0}` is set by the router itself")]
@@ -164,7 +164,7 @@
     #[error("model pool `{0}` names no model")]
     MissingModel(String),
     /// A `kept` key that names a pool of engines instead of a plain one.
-    #[error("kept KV cache is held by a pool of kind `plain`, and `{0}` is one of engines")]
+    #[error("kept KV cache needs a pool of kind `plain`, but `{0}` is of kind `model`")]
     KvStoreNotPlain(String),
     /// A key that has no effect in combination with other settings.
     #[error("`{key}` has no effect {context}")]
@@ -175,7 +175,7 @@
         context: &'static str,
     },
     /// A team without API keys, as which no caller can authenticate.
-    #[error("team `{0}` has no key, so nobody can call as it")]
+    #[error("team `{0}` has no key, so no caller can authenticate as it")]
     TeamWithoutKey(String),
     /// An API key that another team has already; the field names that team.
     #[error("team `{0}` has the same key")]
@@ -184,7 +184,7 @@
     #[error("region `{0}` has no failure domain")]
     EmptyRegion(String),
     /// A failure domain that is listed twice.
-    #[error("failure domain `{domain}` stands in region `{region}` already")]
+    #[error("failure domain `{domain}` is already in region `{region}`")]
     DuplicateDomain {
         /// Name of the failure domain.
         domain: String,
@@ -195,11 +195,11 @@
     #[error("`{0}` can't be zero")]
     Zero(&'static str),
     /// A limit of a rule that has no effect, as every team that the rule matches has a lower one.
-    #[error("limit `{0}` never binds: each team that the rule matches has a tighter one")]
+    #[error("limit `{0}` has no effect: each team that the rule matches has a lower one")]
     IneffectiveLimit(&'static str),
     /// A rule whose body limit is below the smallest prompt that it matches, so that it refuses
     /// every request.
-    #[error("the largest body allowed is smaller than the least prompt matched")]
+    #[error("the largest body allowed is smaller than the smallest prompt matched")]
     BodyBelowPrompt,
     /// A cache scope of another team that doesn't share it.
     #[error("scope `{scope}` is that of team `{owner}`, which doesn't share it with `{team}`")]
