--- a/crates/rules/src/config.rs
+++ b/crates/rules/src/config.rs
@@ -258,15 +258,15 @@
     /// Documentation of every key of every table.
     pub fn options() -> Vec<OptionDoc> {
         [
-            Region::fields(),
-            Pool::fields(),
-            Team::fields(),
-            Limits::fields(),
-            Rule::fields(),
-            When::fields(),
-            SizeRange::fields(),
-            Then::fields(),
-            features::fields(),
+            Region::option_docs(),
+            Pool::option_docs(),
+            Team::option_docs(),
+            Limits::option_docs(),
+            Rule::option_docs(),
+            When::option_docs(),
+            SizeRange::option_docs(),
+            Then::option_docs(),
+            features::option_docs(),
         ]
         .concat()
     }
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -72,8 +72,8 @@
 
 impl fmt::Display for Explanation<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for p in &self.skipped {
-            writeln!(f, "{p}")?;
+        for rule in &self.skipped {
+            writeln!(f, "{rule}")?;
         }
         match &self.decision {
             Some((i, d)) => write!(f, "{}. {}: matches; {}", i + 1, d.rule.name, Outcome(d)),
--- a/crates/rules/src/features.rs
+++ b/crates/rules/src/features.rs
@@ -116,17 +116,17 @@
 }
 
 /// Documentation of every key of these tables.
-pub(crate) fn fields() -> Vec<OptionDoc> {
+pub(crate) fn option_docs() -> Vec<OptionDoc> {
     [
-        Placement::fields(),
-        Reserve::fields(),
-        Admit::fields(),
-        Queue::fields(),
-        Concurrency::fields(),
-        Retry::fields(),
-        Health::fields(),
-        Quarantine::fields(),
-        Drain::fields(),
+        Placement::option_docs(),
+        Reserve::option_docs(),
+        Admit::option_docs(),
+        Queue::option_docs(),
+        Concurrency::option_docs(),
+        Retry::option_docs(),
+        Health::option_docs(),
+        Quarantine::option_docs(),
+        Drain::option_docs(),
     ]
     .concat()
 }
--- a/crates/rules/src/read.rs
+++ b/crates/rules/src/read.rs
@@ -54,8 +54,8 @@
         }
         let span = table.span();
         let value = Spanned::new(span, DeValue::Table(table.into_inner()));
-        let read = T::read(&mut reader, "", &value).unwrap_or_default();
-        (reader, read)
+        let parsed = T::read(&mut reader, "", &value).unwrap_or_default();
+        (reader, parsed)
     }
 
     /// Reports a fault at a key, or at the nearest enclosing key that the text contains.
@@ -344,13 +344,13 @@
         let DeValue::Array(items) = value.get_ref() else {
             return T::read(r, path, value).map(|one| vec![one]);
         };
-        let mut read = Self::with_capacity(items.len());
+        let mut values = Self::with_capacity(items.len());
         for item in items {
-            let path = format!("{path}[{}]", read.len());
+            let path = format!("{path}[{}]", values.len());
             r.offsets.insert(path.clone(), item.span().start);
-            read.extend(T::read(r, &path, item));
+            values.extend(T::read(r, &path, item));
         }
-        Some(read)
+        Some(values)
     }
 }
 
@@ -364,13 +364,13 @@
             r.report_type(path, "table", value.get_ref());
             return None;
         };
-        let mut read = Self::new();
+        let mut values = Self::new();
         for (key, value) in table {
             let path = r.enter(path, key, value);
             if let Some(v) = T::read(r, &path, value) {
-                read.insert(key.get_ref().to_string(), v);
+                values.insert(key.get_ref().to_string(), v);
             }
         }
-        Some(read)
+        Some(values)
     }
 }
--- a/crates/rules/src/table.rs
+++ b/crates/rules/src/table.rs
@@ -67,7 +67,7 @@
             const KEYS: &'static [&'static str] = &[$($key,)*];
 
             /// Documentation of the table's keys.
-            pub fn fields() -> Vec<$crate::table::OptionDoc> {
+            pub fn option_docs() -> Vec<$crate::table::OptionDoc> {
                 let d = Self::default();
                 vec![$($crate::table::OptionDoc {
                     table: $table,
@@ -90,12 +90,12 @@
                 value: &toml::Spanned<toml::de::DeValue<'_>>,
             ) -> Option<Self> {
                 let mut table = $crate::read::TableReader::open(r, path, value)?;
-                let mut read = Self::default();
+                let mut values = Self::default();
                 $(if let Some(v) = table.get($key) {
-                    read.$field = v;
+                    values.$field = v;
                 })*
                 table.finish(Self::KEYS);
-                Some(read)
+                Some(values)
             }
         }
 
