--- a/crates/rules/src/check_rules.rs
+++ b/crates/rules/src/check_rules.rs
@@ -247,12 +247,12 @@
             reader.report(path, FaultKind::NeverMatches(rule.name.clone()));
             continue;
         }
-        let shadows = |earlier: &Vec<Condition>| {
-            earlier
+        let is_covered_by = |other: &Vec<Condition>| {
+            other
                 .iter()
-                .all(|e| conditions.iter().any(|c| c.implies(e)))
+                .all(|o| conditions.iter().any(|c| c.implies(o)))
         };
-        if let Some((by, _)) = earlier.iter().find(|(_, conditions)| shadows(conditions)) {
+        if let Some((by, _)) = earlier.iter().find(|(_, other)| is_covered_by(other)) {
             let kind = FaultKind::Unreachable {
                 rule: rule.name.clone(),
                 by: (*by).to_owned(),
--- a/crates/rules/src/config.rs
+++ b/crates/rules/src/config.rs
@@ -24,27 +24,27 @@
         "pool" pool: BTreeMap<String, Pool> = BTreeMap::new();
         /// Teams by name.
         "team" team: BTreeMap<String, Team> = BTreeMap::new();
-        /// Limits of each team that sets none of its own.
+        /// Default limits of a team, each used where the team sets none of its own.
         "limits" limits: Limits = Limits::default();
-        /// Which replicas are asked for a request.
+        /// How many replicas are probed to place a request.
         "place" place: features::Placement = features::Placement::default();
-        /// Places held at replicas for requests that may come.
+        /// Reservation of places at replicas for requests that may arrive.
         "reserve" reserve: features::Reserve = features::Reserve::default();
-        /// What is turned away before it waits.
+        /// Admission control: which requests are refused before they wait.
         "admit" admit: features::Admit = features::Admit::default();
-        /// In which order requests leave a target's queue.
+        /// Order in which requests leave a target's queue.
         "queue" queue: features::Queue = features::Queue::default();
-        /// How many requests a target runs at once.
+        /// Limit on the number of requests that a target runs at once.
         "concurrency" concurrency: features::Concurrency = features::Concurrency::default();
-        /// How often a request is tried again.
+        /// Retries of a request and the budget for them.
         "retry" retry: features::Retry = features::Retry::default();
-        /// When a target is taken out for a while.
+        /// Ejection of slow or failing targets and the trials that readmit them.
         "health" health: features::Health = features::Health::default();
-        /// What becomes of a request that crashes its targets.
+        /// Refusal of requests that repeatedly crash their targets.
         "quarantine" quarantine: features::Quarantine = features::Quarantine::default();
-        /// How a planned stop goes.
+        /// Planned shutdown.
         "drain" drain: features::Drain = features::Drain::default();
-        /// Rules; the first that matches decides.
+        /// Rules in order; the first that matches decides.
         "rule" rule: Vec<Rule> = Vec::new();
     }
 }
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Limits on all requests of a team: its own, with the general ones where it sets none.
+    /// Limits on all requests of a team: its own, with the default limits where it sets none.
     pub fn limits(&self, team: &str) -> Limits {
         match self.team.get(team) {
             Some(t) => t.limits.or(self.limits),
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -1,12 +1,13 @@
 //! Index from a request's team, path, method and model to the rules that can match it.
 //!
 //! A fleet has hundreds of rules and evaluates them thousands of times a second. A linear scan
-//! costs more the later the matching rule stands in the list. This index instead keeps, for each
-//! value of the four properties, a bit set of the rules whose condition on that property accepts
-//! the value. A lookup intersects four bit sets one machine word at a time and tests the remaining
-//! conditions of only those rules that are left, in order. The method is bit-vector
-//! classification: Lakshman and Stiliadis, "High-speed policy-based packet forwarding using
-//! efficient multi-dimensional range matching", 1998.
+//! costs more the later the matching rule is in the list. This index instead keeps, for each value
+//! of each of the four properties, a bit set of the rules that accept the value, which includes
+//! those without a condition on the property. A lookup intersects four bit sets one machine word at
+//! a time and tests the remaining conditions of only those rules that are in all four, in order.
+//!
+//! The method is bit-vector classification: Lakshman and Stiliadis, "High-speed policy-based packet
+//! forwarding using efficient multi-dimensional range matching", 1998.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -31,7 +32,7 @@
 struct PropertyIndex {
     /// Rules without a condition on the property.
     unconstrained: RuleBits,
-    /// Rules by the values that conditions spell out whole.
+    /// Rules by the values that conditions name in full, without a trailing `*`.
     exact: HashMap<Box<str>, RuleBits>,
     /// Rules by the prefixes of patterns with a trailing `*`, sorted by prefix.
     prefixes: Vec<Prefix>,
@@ -41,7 +42,7 @@
 #[derive(Clone, Debug)]
 struct Prefix {
     text: Box<str>,
-    /// Position of the longest other prefix that `text` begins with.
+    /// Position in `prefixes` of the longest other prefix that `text` begins with.
     parent: Option<usize>,
     rules: RuleBits,
 }
@@ -143,8 +144,8 @@
         prefixes
             .into_iter()
             .for_each(|(t, rules)| index.push_prefix(t, rules));
-        // An exact value is also accepted by the rules of its longest prefix, so the prefixes have
-        // to be complete before.
+        // An exact value is also accepted by the rules of its longest prefix. Exact values are
+        // therefore added after all prefixes.
         for (text, rule) in exact {
             if !index.exact.contains_key(text) {
                 let set = index.of_longest_prefix(text).clone();
@@ -157,8 +158,8 @@
         index
     }
 
-    /// Adds a prefix. Prefixes are added in sorted order, so that all shorter prefixes of `text`
-    /// are present already.
+    /// Adds a prefix. Prefixes have to be added in sorted order, so that all shorter prefixes of
+    /// `text` are present already.
     fn push_prefix(&mut self, text: &str, rules: Vec<usize>) {
         let parent = self.ancestor(text, self.prefixes.len().checked_sub(1));
         let mut set = self.of_prefix(parent).clone();
@@ -188,12 +189,13 @@
         self.of_prefix(self.ancestor(text, after.checked_sub(1)))
     }
 
-    /// The first prefix of the text among an entry and its ancestors.
+    /// The longest prefix of a text among an entry of `prefixes` and its ancestors.
     fn ancestor(&self, text: &str, from: Option<usize>) -> Option<usize> {
         std::iter::successors(from, |i| self.prefixes[*i].parent)
             .find(|i| text.starts_with(&*self.prefixes[*i].text))
     }
 
+    /// The rules of an entry of `prefixes`, or the unconstrained rules if there is none.
     fn of_prefix(&self, prefix: Option<usize>) -> &RuleBits {
         prefix.map_or(&self.unconstrained, |i| &self.prefixes[i].rules)
     }
