--- a/crates/gate/src/entry/tries.rs
+++ b/crates/gate/src/entry/attempts.rs
@@ -223,7 +223,7 @@
         },
         Sent::NotRun(reason) => {
             if reason == "full" {
-                ctx.fleet.borrow_mut().bad(now, pick.key, reason);
+                ctx.fleet.borrow_mut().record_failure(now, pick.key, reason);
             }
             if has_newer(ctx, job, pick) {
                 job.tried.retain(|k| *k != pick.key);
@@ -231,7 +231,7 @@
             Tried::NotRun { seen: true, reason }
         }
         Sent::Unknown(reason) => {
-            ctx.fleet.borrow_mut().bad(now, pick.key, reason);
+            ctx.fleet.borrow_mut().record_failure(now, pick.key, reason);
             suspects::broke(ctx, job, &pick.boot, began);
             Tried::Ran {
                 reason,
@@ -259,7 +259,9 @@
     let good = status.is_success();
     let key = live.place.key();
     if good && (!live.told.signed || live.told.encoded) {
-        ctx.fleet.borrow_mut().bad(ctx.now(), key, "spoiled answer");
+        ctx.fleet
+            .borrow_mut()
+            .record_failure(ctx.now(), key, "spoiled answer");
         return Tried::Ran {
             reason: "spoiled answer",
             answer: None,
@@ -274,7 +276,9 @@
     let whole = match timeout(left, collect(ctx, live)).await {
         Ok(Some(w)) => w,
         _ => {
-            ctx.fleet.borrow_mut().bad(ctx.now(), key, "cut answer");
+            ctx.fleet
+                .borrow_mut()
+                .record_failure(ctx.now(), key, "cut answer");
             suspects::broke(ctx, job, &boot, sent);
             return Tried::Ran {
                 reason: "cut answer",
@@ -284,10 +288,13 @@
     };
     match good || status.is_client_error() {
         true => {
-            ctx.fleet.borrow_mut().good(key);
+            ctx.fleet.borrow_mut().record_success(key);
             suspects::served(ctx, job);
         }
-        false => ctx.fleet.borrow_mut().bad(ctx.now(), key, "error answer"),
+        false => ctx
+            .fleet
+            .borrow_mut()
+            .record_failure(ctx.now(), key, "error answer"),
     }
     match status {
         // These promise that nothing ran, which only the target can know.
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/candidates.rs
@@ -12,7 +12,7 @@
 use site::{Engine, Plan, Prompt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::fleet::{Fleet, Key};
+use super::fleet::{Fleet, ReplicaKey};
 use super::replica::{holds, Replica};
 use super::request::Job;
 use super::usable::{doubt, surely_answers, turn, HEARD};
@@ -43,7 +43,12 @@
 }
 
 impl View<'_> {
-    pub(super) fn candidate(&self, key: Key, r: &Replica, held: u32) -> Candidate<Key, SocketAddr> {
+    pub(super) fn candidate(
+        &self,
+        key: ReplicaKey,
+        r: &Replica,
+        held: u32,
+    ) -> Candidate<ReplicaKey, SocketAddr> {
         let near = r.target.domain == self.domain;
         let far = if near { 0.0 } else { FAR };
         let apart = self.long.as_ref().map_or(0.0, |long| {
@@ -74,7 +79,7 @@
 
     /// What waits at an engine for a prompt of which it has to read some tokens.
     fn load(&self, r: &Replica, tokens: u32) -> Load {
-        let Some(h) = r.heard.filter(|h| self.now.since(h.at) < HEARD) else {
+        let Some(h) = r.agent_report.filter(|h| self.now.since(h.at) < HEARD) else {
             return Load {
                 tokens_ahead: f64::from(r.unread),
                 ..Load::default()
--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -143,7 +143,9 @@
     let mut d = ctx.delegates.borrow_mut();
     let engine = |r: &&Replica| {
         let pool = plan.pool(&r.target.pool);
-        r.target.state == State::Ready && r.there(now) && pool.is_some_and(|p| p.engine.is_some())
+        r.target.state == State::Ready
+            && r.is_present(now)
+            && pool.is_some_and(|p| p.engine.is_some())
     };
     let mut listed = HashMap::new();
     for r in fleet.replicas.values().filter(engine) {
--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -8,8 +8,8 @@
 use site::{Boot, Part, PartId, State, Target};
 use slotmap::{new_key_type, SlotMap};
 
-use super::copy::Copy;
-use super::replica::{take_over, Heard, KeptStore, Replica};
+use super::replica::{take_over, AgentReport, KvStoreContents, Replica};
+use super::restored_list::RestoredList;
 use super::usable::HEARD;
 use crate::agent::AgentId;
 use crate::log::{self, Event};
@@ -17,7 +17,7 @@
 
 new_key_type! {
     /// A target.
-    pub struct Key;
+    pub struct ReplicaKey;
 }
 
 /// Weight of a new answer in what is usual for a pool.
@@ -27,40 +27,40 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// The targets.
-    pub replicas: SlotMap<Key, Replica>,
-    boots: HashMap<Boot, Key>,
+    pub replicas: SlotMap<ReplicaKey, Replica>,
+    boots: HashMap<Boot, ReplicaKey>,
     /// When the list was last read, or told to be as it was.
     pub(super) listed: Micros,
     /// When reading it last failed.
     failed: Micros,
     /// Stores of kept KV cache, by address.
-    pub kept: HashMap<SocketAddr, KeptStore>,
+    pub kept: HashMap<SocketAddr, KvStoreContents>,
     /// Lives of targets that have ended and haven't been looked at yet.
     pub(super) ended: Vec<Boot>,
     /// Part of answers that usually fail, by pool.
     usual: HashMap<String, f64>,
     /// What a restore of the store has made of the list.
-    copy: Copy,
+    restored_list: RestoredList,
 }
 
 impl Fleet {
     /// Takes over the platform's list as it was at some time and position.
-    pub fn list(
+    pub fn apply_list(
         &mut self,
         at: Micros,
         position: Position,
         targets: Vec<Target>,
         config: &row_expiry::Config,
     ) {
-        self.copy.read(at, position);
-        let targets = targets.into_iter().map(|t| self.copy.place(t));
-        let listed = targets.filter(|t| !self.copy.has_left(t));
+        self.restored_list.read(at, position);
+        let targets = targets.into_iter().map(|t| self.restored_list.place(t));
+        let listed = targets.filter(|t| !self.restored_list.has_left(t));
         let listed: HashMap<_, _> = listed.map(|t| (t.boot.clone(), t)).collect();
         let gap = row_expiry::Gap {
             known: self.listed,
             read: at,
             failed: self.failed > self.listed,
-            restored: self.copy.restored(),
+            restored: self.restored_list.restored(),
         };
         // Kept only where its row may have lapsed, and until a time: kept for any absence soon after the
         // store's return, a target that had left got requests until the next read, and they were lost.
@@ -89,7 +89,7 @@
     }
 
     /// Keeps a target until a time though the list lacks it.
-    fn miss(&mut self, key: Key, until: Micros) {
+    fn miss(&mut self, key: ReplicaKey, until: Micros) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
@@ -137,7 +137,7 @@
     }
 
     fn enter(&mut self, now: Micros, target: Target) {
-        self.copy.entered(&target.boot);
+        self.restored_list.entered(&target.boot);
         let Some(key) = self.boots.get(&target.boot).copied() else {
             tell(&target, "ready");
             let boot = target.boot.clone();
@@ -148,7 +148,7 @@
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        if self.copy.is_older(&target, &replica.target) {
+        if self.restored_list.is_older(&target, &replica.target) {
             // A copy's row is older than what is known, but one that drains may have been written since.
             replica.missing = None;
             if target.state == State::Draining {
@@ -174,41 +174,41 @@
     }
 
     /// Notes that the list is as it was last read.
-    pub fn confirm(&mut self, now: Micros) {
+    pub fn confirm_list(&mut self, now: Micros) {
         self.listed = now;
     }
 
     /// Notes that the list couldn't be read.
-    pub fn fail(&mut self, now: Micros) {
+    pub fn record_list_failure(&mut self, now: Micros) {
         self.failed = now;
     }
 
     /// Targets that are kept though the list lacks them.
-    pub(super) fn missing(&self) -> usize {
+    pub(super) fn missing_count(&self) -> usize {
         self.replicas
             .values()
             .filter(|r| r.missing.is_some())
             .count()
     }
 
-    fn remove(&mut self, boot: &Boot, key: Key) {
+    fn remove(&mut self, boot: &Boot, key: ReplicaKey) {
         self.boots.remove(boot);
         if let Some(replica) = self.replicas.remove(key) {
-            self.copy.left(self.listed, &replica.target);
+            self.restored_list.left(self.listed, &replica.target);
             tell(&replica.target, "gone");
             self.ended.push(boot.clone());
         }
     }
 
     /// Takes over what a sidecar told.
-    pub fn hear(&mut self, now: Micros, update: &Update, from: SocketAddr) {
+    pub fn apply_update(&mut self, now: Micros, update: &Update, from: SocketAddr) {
         let Ok(addr) = update.engine.parse::<SocketAddr>() else {
             return;
         };
         if update.kept {
-            return self.kept.entry(addr).or_default().hear(update);
+            return self.kept.entry(addr).or_default().apply_update(update);
         }
-        let there = |r: &&mut Replica| r.target.addr == addr && r.there(now);
+        let there = |r: &&mut Replica| r.target.addr == addr && r.is_present(now);
         let Some(replica) = self.replicas.values_mut().find(there) else {
             return;
         };
@@ -233,26 +233,27 @@
             let scope = update.expected.first().map_or(0, |h| h.scope);
             return replica.expect(now, scope, &parts);
         }
-        let sidecar = |h: &Heard| h.agent.delegate == 0 && now.since(h.at) < HEARD;
-        if update.delegate != 0 && replica.heard.as_ref().is_some_and(sidecar) {
+        let sidecar = |h: &AgentReport| h.agent.delegate == 0 && now.since(h.at) < HEARD;
+        if update.delegate != 0 && replica.agent_report.as_ref().is_some_and(sidecar) {
             return;
         }
-        replica.heard = Some(Heard::new(now, update, from));
+        replica.agent_report = Some(AgentReport::new(now, update, from));
     }
 
     /// The life of the engine beside a sidecar.
-    pub fn life(&self, now: Micros, sidecar: SocketAddr) -> Option<&Boot> {
+    pub fn incarnation(&self, now: Micros, sidecar: SocketAddr) -> Option<&Boot> {
         let agent = AgentId {
             addr: sidecar,
             delegate: 0,
         };
-        let beside = |r: &&Replica| r.there(now) && r.heard.is_some_and(|h| h.agent == agent);
+        let beside =
+            |r: &&Replica| r.is_present(now) && r.agent_report.is_some_and(|h| h.agent == agent);
         let replica = self.replicas.values().find(beside)?;
         Some(&replica.target.boot)
     }
 
     /// Notes a target's good answer.
-    pub fn good(&mut self, key: Key) {
+    pub fn record_success(&mut self, key: ReplicaKey) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
@@ -262,7 +263,7 @@
     }
 
     /// Notes a target's failure.
-    pub fn bad(&mut self, now: Micros, key: Key, reason: &str) {
+    pub fn record_failure(&mut self, now: Micros, key: ReplicaKey, reason: &str) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
@@ -279,7 +280,7 @@
 
     /// Notes that another target has a target's address. The list names the old one for some seconds
     /// more; each request sent there would be refused and cost a retry.
-    pub fn replaced(&mut self, now: Micros, key: Key) {
+    pub fn record_misdirected(&mut self, now: Micros, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.misdirected.exclude(now);
             replica.idle.clear();
@@ -289,7 +290,7 @@
     }
 
     /// Notes that a target can't be reached.
-    pub fn unreachable(&mut self, now: Micros, key: Key, reason: &str) {
+    pub fn record_unreachable(&mut self, now: Micros, key: ReplicaKey, reason: &str) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -108,7 +108,7 @@
                 wait(&ctx, rank, &mut era).await;
             }
             Err(_) => {
-                ctx.fleet.borrow_mut().fail(now);
+                ctx.fleet.borrow_mut().record_list_failure(now);
                 let entries: Vec<_> = ctx.node.world.borrow().entries().collect();
                 if let Some(list) = peer::targets(&ctx.node, entries).await {
                     adopt(&ctx, list);
@@ -187,9 +187,11 @@
     let listed = targets.len();
     let known = ctx.list.own.replace(hash(&targets));
     let config = lapse_config(ctx);
-    ctx.fleet.borrow_mut().list(at, position, targets, &config);
+    ctx.fleet
+        .borrow_mut()
+        .apply_list(at, position, targets, &config);
     suspects::ended(ctx);
-    let missing = ctx.fleet.borrow().missing() > 0;
+    let missing = ctx.fleet.borrow().missing_count() > 0;
     if missing || ctx.list.own.get() != known {
         note(ctx, source, listed, at, true);
     }
@@ -200,7 +202,7 @@
     log::event(&Event::Listed {
         source,
         targets,
-        missing: ctx.fleet.borrow().missing(),
+        missing: ctx.fleet.borrow().missing_count(),
         list_ms: ctx.now().since(at).as_millis(),
         taken,
     });
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -1,9 +1,10 @@
 //! The process that takes callers' requests and goes to targets directly.
 
-mod copy;
+mod attempts;
+mod candidates;
+mod connection_pool;
 mod delegate;
 mod fleet;
-mod idle;
 mod list;
 mod listen;
 mod pick;
@@ -12,12 +13,11 @@
 mod relay;
 mod replica;
 mod request;
+mod restored_list;
 mod send;
 mod serve;
 mod suspects;
-mod tries;
 mod usable;
-mod view;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -217,10 +217,14 @@
         }
         let mut all_confirmed = true;
         for sidecar in wanted {
-            let life = ctx.fleet.borrow().life(ctx.now(), sidecar).map(|b| Life {
-                id: b.id.clone(),
-                born: b.born,
-            });
+            let life = ctx
+                .fleet
+                .borrow()
+                .incarnation(ctx.now(), sidecar)
+                .map(|b| Life {
+                    id: b.id.clone(),
+                    born: b.born,
+                });
             all_confirmed &= life.is_some();
             let update = Update {
                 entry: true,
@@ -263,7 +267,7 @@
             }
             ctx.node.raise_era(listed.era, Source::Peer);
             if ctx.list.hear(now, listed, from) {
-                ctx.fleet.borrow_mut().confirm(now);
+                ctx.fleet.borrow_mut().confirm_list(now);
             }
             continue;
         }
@@ -275,7 +279,7 @@
             delegate::prompt(&ctx, update.delegate, note);
             continue;
         }
-        ctx.fleet.borrow_mut().hear(now, &update, from);
+        ctx.fleet.borrow_mut().apply_update(now, &update, from);
         if !update.entry && !update.kept {
             delegate::receive(&ctx, &update, from);
         }
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -12,13 +12,13 @@
 use site::{Boot, Engine, Plan, Prompt, Scope};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::fleet::{Fleet, Key};
+use super::candidates::View;
+use super::fleet::{Fleet, ReplicaKey};
 use super::plain::pick_plain;
 use super::refuse::Reason;
 use super::replica::{holds, Replica};
 use super::request::Job;
 use super::usable::{all_load, heard, open};
-use super::view::View;
 use super::{suspects, Ctx};
 
 /// Milliseconds between the first and the last engine in a subject's own order; entries that know
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Pick {
     /// The target.
-    pub(super) key: Key,
+    pub(super) key: ReplicaKey,
     /// Where it listens.
     pub(super) addr: SocketAddr,
     /// Which life of it.
@@ -182,7 +182,7 @@
         read: choice.prefill_tokens,
         idle: choice.fetch.is_none() && choice.wait <= IDLE,
         estimate: choice.ttft,
-        age: r.heard.map(|h| now.since(h.at)),
+        age: r.agent_report.map(|h| now.since(h.at)),
     })
 }
 
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -18,11 +18,11 @@
 use policy::retry_budget::{Budget, RetryReason};
 use tokio::time::timeout;
 
+use super::attempts::{self, LAST_WORD};
 use super::listen::Watch;
 use super::pick;
 use super::request::{Answer, Cut, Job};
 use super::send::{self, Live, Sent};
-use super::tries::{self, LAST_WORD};
 use super::{suspects, Ctx};
 use crate::log::{self, Event};
 use crate::meter;
@@ -231,7 +231,7 @@
             self.ctx
                 .prefill_rate(&self.job.pool, |p| p.record(tokens, time));
         }
-        self.ctx.fleet.borrow_mut().good(live.place.key());
+        self.ctx.fleet.borrow_mut().record_success(live.place.key());
     }
 
     /// The replica's stream ended in order; its connection is kept.
@@ -260,7 +260,7 @@
         let spend = |b: &mut Budget| b.spend(self.ctx.now(), RetryReason::HasRun);
         let convicted = suspects::verdict(&self.ctx, &self.job) == Verdict::Convicted;
         if convicted || !self.ctx.budget(&self.job.pool, spend) {
-            tries::stuck(&self.job, "silent, and no retry left");
+            attempts::stuck(&self.job, "silent, and no retry left");
             return Came::Silent;
         }
         let Some(mut old) = self.live.take() else {
@@ -278,12 +278,12 @@
         };
         match resumed {
             Resumed::Yes => {
-                tries::failed(&self.job, &old.place.boot, "silent", None, true);
+                attempts::failed(&self.job, &old.place.boot, "silent", None, true);
                 let key = old.place.key();
                 self.ctx
                     .fleet
                     .borrow_mut()
-                    .bad(self.ctx.now(), key, "silent");
+                    .record_failure(self.ctx.now(), key, "silent");
                 self.rest.clear();
                 self.job.runs += 1;
                 return Came::Silent;
@@ -299,8 +299,11 @@
     async fn go_on(&mut self, reason: &'static str) -> bool {
         if let Some(live) = self.live.take() {
             let key = live.place.key();
-            tries::failed(&self.job, &live.place.boot, reason, None, true);
-            self.ctx.fleet.borrow_mut().bad(self.ctx.now(), key, reason);
+            attempts::failed(&self.job, &live.place.boot, reason, None, true);
+            self.ctx
+                .fleet
+                .borrow_mut()
+                .record_failure(self.ctx.now(), key, reason);
             if self.first.is_none() {
                 suspects::broke(&self.ctx, &self.job, &live.place.boot, live.place.sent);
             }
@@ -311,17 +314,17 @@
             return false;
         }
         if !self.job.may_run() {
-            tries::stuck(&self.job, "no try left");
+            attempts::stuck(&self.job, "no try left");
         }
         while self.job.may_run() && !self.job.left(self.ctx.now()).is_zero() {
             if suspects::verdict(&self.ctx, &self.job) == Verdict::Convicted {
-                tries::stuck(&self.job, "quarantined");
+                attempts::stuck(&self.job, "quarantined");
                 return false;
             }
             let spend = |b: &mut Budget| b.spend(self.ctx.now(), RetryReason::HasRun);
             let spent = self.ctx.budget(&self.job.pool, spend);
             if !spent {
-                tries::stuck(&self.job, "no retry left");
+                attempts::stuck(&self.job, "no retry left");
                 return false;
             }
             match self.resume().await {
@@ -329,7 +332,7 @@
                 Resumed::NotRun => {}
                 Resumed::Ran => self.job.runs += 1,
                 Resumed::Nowhere => {
-                    tries::stuck(&self.job, "no other replica");
+                    attempts::stuck(&self.job, "no other replica");
                     return false;
                 }
             }
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -12,7 +12,7 @@
 use policy::prefill_priority;
 use site::{Part, PartId, Target};
 
-use super::idle::Idle;
+use super::connection_pool::Idle;
 use crate::agent::AgentId;
 use crate::update::{Held, Update};
 
@@ -26,7 +26,7 @@
 
 /// What a sidecar last told of its engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard {
+pub struct AgentReport {
     /// The agent that sent it.
     pub(crate) agent: AgentId,
     /// When it was heard.
@@ -51,7 +51,7 @@
     pub unread_tokens: UnreadTokens,
 }
 
-impl Heard {
+impl AgentReport {
     /// For how long it continues to load weights, if it is loading.
     pub(super) fn load_left(&self, now: Micros) -> Option<RemainingLoad> {
         let load = self.load?;
@@ -104,7 +104,7 @@
     /// Its own count, and when it came.
     pub load: Option<(Load, Micros)>,
     /// What its sidecar told.
-    pub heard: Option<Heard>,
+    pub agent_report: Option<AgentReport>,
     /// Versions of its weights.
     pub weights: HashMap<String, u64>,
     /// Tokens of parts that it holds, by scope and part.
@@ -138,7 +138,7 @@
             unread: 0,
             recent: VecDeque::new(),
             load: None,
-            heard: None,
+            agent_report: None,
             held: HashMap::new(),
             expected: HashMap::new(),
             breaker: CircuitBreaker::default(),
@@ -152,7 +152,7 @@
     }
 
     /// Whether it is, as far as known, what listens at its address.
-    pub fn there(&self, now: Micros) -> bool {
+    pub fn is_present(&self, now: Micros) -> bool {
         let kept = self.missing.is_none_or(|until| now < until);
         kept && !self.misdirected.is_excluded() && !self.superseded && self.over.is_none()
     }
@@ -255,15 +255,15 @@
 
 /// A store of kept KV cache.
 #[derive(Debug, Default)]
-pub struct KeptStore {
+pub struct KvStoreContents {
     /// Tokens of parts that it holds, by scope and part.
     pub held: HashMap<(u64, PartId), u32>,
     epoch: u64,
 }
 
-impl KeptStore {
+impl KvStoreContents {
     /// Takes over what a follower of the store tells.
-    pub(super) fn hear(&mut self, update: &Update) {
+    pub(super) fn apply_update(&mut self, update: &Update) {
         if !update.alive || update.epoch != self.epoch {
             self.held.clear();
         }
--- a/crates/gate/src/entry/request.rs
+++ b/crates/gate/src/entry/request.rs
@@ -14,7 +14,7 @@
 use site::{Prompt, Route};
 use thiserror::Error;
 
-use super::fleet::Key;
+use super::fleet::ReplicaKey;
 use super::listen::Watch;
 
 /// An answer that ends before it is whole. The connection to the caller ends with it, so that it
@@ -110,9 +110,9 @@
     /// When the caller or the route gives up on it.
     pub(super) deadline: Micros,
     /// Targets that it was sent to.
-    pub(super) tried: Vec<Key>,
+    pub(super) tried: Vec<ReplicaKey>,
     /// Those of them that refused it.
-    pub(super) refused: Vec<Key>,
+    pub(super) refused: Vec<ReplicaKey>,
     /// Times it was sent.
     pub(super) sends: u32,
     /// Times it was sent and may have run.
--- a/crates/gate/src/entry/copy.rs
+++ b/crates/gate/src/entry/restored_list.rs
@@ -14,7 +14,7 @@
 
 /// The list before and after a restore.
 #[derive(Debug, Default)]
-pub(super) struct Copy {
+pub(super) struct RestoredList {
     /// Position of the first list of the era.
     first: Option<Position>,
     /// When it was read, if the era began with a restore.
@@ -23,7 +23,7 @@
     left: HashMap<Boot, (Position, Micros)>,
 }
 
-impl Copy {
+impl RestoredList {
     /// Takes over that a list was read.
     pub(super) fn read(&mut self, at: Micros, position: Position) {
         self.left.retain(|_, (_, l)| at.since(*l) < REMEMBERED);
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -17,8 +17,8 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::fleet::Key;
-use super::idle::Upstream;
+use super::connection_pool::Upstream;
+use super::fleet::ReplicaKey;
 use super::pick::Pick;
 use super::request::Job;
 use super::{suspects, Ctx};
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub(super) struct Place {
     ctx: Ctx,
-    key: Key,
+    key: ReplicaKey,
     /// The target's agent, if it has been received, and the key of the request that was reported to it.
     told: Option<(AgentId, u64)>,
     /// Tokens that the target has yet to read; none once it has.
@@ -62,7 +62,7 @@
             r.send(now, pick.read);
             r.suspects += u32::from(suspect);
             let request = xxh3_64(job.id.as_bytes());
-            let agent = r.heard.map(|h| (h.agent, request));
+            let agent = r.agent_report.map(|h| (h.agent, request));
             told = agent.filter(|_| expected.is_some());
             if let Some((scope, parts)) = &expected {
                 r.expect(now, *scope, parts);
@@ -99,7 +99,7 @@
     }
 
     /// The target.
-    pub(super) fn key(&self) -> Key {
+    pub(super) fn key(&self) -> ReplicaKey {
         self.key
     }
 
@@ -184,7 +184,7 @@
                 let now = ctx.now();
                 ctx.fleet
                     .borrow_mut()
-                    .unreachable(now, pick.key, "unreachable");
+                    .record_unreachable(now, pick.key, "unreachable");
                 return Sent::Unseen("unreachable");
             }
         },
@@ -270,7 +270,7 @@
 /// Keeps the connection of an answer that isn't passed on, once its short body is in.
 async fn keep(
     ctx: &Ctx,
-    key: Key,
+    key: ReplicaKey,
     upstream: Upstream,
     told: &AnswerHead,
     response: Response<Incoming>,
@@ -288,7 +288,9 @@
 fn misdirected(ctx: &Ctx, pick: &Pick, job: &Job, told: &AnswerHead) -> Sent {
     let same = told.target_id.as_ref().is_none_or(|t| *t == pick.boot.id);
     let (Some(prompt), true) = (&job.prompt, same) else {
-        ctx.fleet.borrow_mut().replaced(ctx.now(), pick.key);
+        ctx.fleet
+            .borrow_mut()
+            .record_misdirected(ctx.now(), pick.key);
         return Sent::NotRun("another target has its address");
     };
     // It doesn't say which weights it has; the newest ones are what it is ordered to load.
--- a/crates/gate/src/entry/serve.rs
+++ b/crates/gate/src/entry/serve.rs
@@ -18,11 +18,11 @@
 use thiserror::Error;
 use tokio::time::sleep;
 
+use super::attempts::{self, Found};
 use super::listen::Watch;
 use super::refuse::{self, Reason};
 use super::relay;
 use super::request::{Answer, Job};
-use super::tries::{self, Found};
 use super::{suspects, Ctx};
 use crate::log::{self, Event};
 use crate::meter;
@@ -158,7 +158,7 @@
 async fn answer(ctx: &Ctx, watch: &Rc<Watch>, mut job: Job) -> Response<Answer> {
     ctx.budget(&job.pool, |b| b.record_request(ctx.now()));
     meter::span(meter::WAITING, ctx.now().since(job.came).into());
-    match tries::first_answer(ctx, &mut job).await {
+    match attempts::first_answer(ctx, &mut job).await {
         Ok(Found::Stream(live)) => {
             told(ctx, &job, live.response.status());
             relay::relay(ctx, watch, job, *live)
--- a/crates/gate/src/entry/usable.rs
+++ b/crates/gate/src/entry/usable.rs
@@ -6,7 +6,7 @@
 use site::State;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::fleet::{Fleet, Key};
+use super::fleet::{Fleet, ReplicaKey};
 use super::replica::Replica;
 use super::request::Job;
 
@@ -27,21 +27,21 @@
     now: Micros,
     suspect: bool,
     takes: impl Fn(&Replica) -> bool,
-) -> Vec<(Key, &'a Replica)> {
+) -> Vec<(ReplicaKey, &'a Replica)> {
     let ready: Vec<_> = fleet
         .replicas
         .iter()
         .filter(|(_, r)| r.target.pool == job.pool && r.target.state == State::Ready)
-        .filter(|(_, r)| r.there(now) && takes(r))
+        .filter(|(_, r)| r.is_present(now) && takes(r))
         .collect();
-    let some = |test: &dyn Fn(&(Key, &Replica)) -> bool| {
+    let some = |test: &dyn Fn(&(ReplicaKey, &Replica)) -> bool| {
         let passed: Vec<_> = ready.iter().copied().filter(|c| test(c)).collect();
         (!passed.is_empty()).then_some(passed)
     };
-    let fresh = |c: &(Key, &Replica)| !job.tried.contains(&c.0);
-    let usable = |c: &(Key, &Replica)| c.1.breaker.usable(now) && answers(c.1, now);
-    let apart = |c: &(Key, &Replica)| !suspect || c.1.suspects == 0;
-    let stays = |c: &(Key, &Replica)| !leaves(c.1, now);
+    let fresh = |c: &(ReplicaKey, &Replica)| !job.tried.contains(&c.0);
+    let usable = |c: &(ReplicaKey, &Replica)| c.1.breaker.usable(now) && answers(c.1, now);
+    let apart = |c: &(ReplicaKey, &Replica)| !suspect || c.1.suspects == 0;
+    let stays = |c: &(ReplicaKey, &Replica)| !leaves(c.1, now);
     some(&|c| fresh(c) && usable(c) && stays(c) && apart(c))
         .or_else(|| some(&|c| fresh(c) && usable(c) && stays(c)))
         .or_else(|| some(&|c| fresh(c) && usable(c)))
@@ -53,25 +53,27 @@
 /// Whether the sidecar, if it has been heard lately, says that the engine answers and isn't loading
 /// weights; while it loads it refuses all that is new.
 pub(super) fn answers(replica: &Replica, now: Micros) -> bool {
-    let heard = replica.heard.filter(|h| now.since(h.at) < HEARD);
+    let heard = replica.agent_report.filter(|h| now.since(h.at) < HEARD);
     heard.is_none_or(|h| h.alive && !h.busy)
 }
 
 /// Whether its turn to load weights has come, so that what is sent there now is refused.
 fn leaves(replica: &Replica, now: Micros) -> bool {
-    let heard = replica.heard.filter(|h| now.since(h.at) < HEARD);
+    let heard = replica.agent_report.filter(|h| now.since(h.at) < HEARD);
     heard.is_some_and(|h| h.due)
 }
 
 /// How long all of some engines continue to load weights, if they do; they refuse what is new until then.
-pub(super) fn all_load(open: &[(Key, &Replica)], now: Micros) -> Option<RemainingLoad> {
+pub(super) fn all_load(open: &[(ReplicaKey, &Replica)], now: Micros) -> Option<RemainingLoad> {
     let all: Option<Vec<_>> = open.iter().map(|(_, r)| load_left(r, now)).collect();
     all?.into_iter().min_by_key(|left| left.time)
 }
 
 /// How long an engine continues to load weights, if it does.
 fn load_left(r: &Replica, now: Micros) -> Option<RemainingLoad> {
-    let heard = r.heard.filter(|h| h.busy && now.since(h.at) < HEARD)?;
+    let heard = r
+        .agent_report
+        .filter(|h| h.busy && now.since(h.at) < HEARD)?;
     let over = RemainingLoad {
         time: Micros::ZERO,
         known: true,
@@ -81,11 +83,11 @@
 
 /// Those of a pool's engines that are heard of. Up to some number all are, or the words of those that
 /// aren't are lost; beyond it the others look idle, since nothing is known of what they have to do.
-pub(super) fn heard(open: Vec<(Key, &Replica)>, now: Micros) -> Vec<(Key, &Replica)> {
+pub(super) fn heard(open: Vec<(ReplicaKey, &Replica)>, now: Micros) -> Vec<(ReplicaKey, &Replica)> {
     if open.len() <= subscription::MAX_ENGINES {
         return open;
     }
-    let fresh = |r: &Replica| r.heard.is_some_and(|h| now.since(h.at) < HEARD);
+    let fresh = |r: &Replica| r.agent_report.is_some_and(|h| now.since(h.at) < HEARD);
     let some: Vec<_> = open.iter().copied().filter(|(_, r)| fresh(r)).collect();
     if some.is_empty() {
         return open;
@@ -97,7 +99,7 @@
 /// one that doesn't answer costs some hundred milliseconds; one that loads weights or is about to drops
 /// all that it holds.
 pub(super) fn surely_answers(replica: &Replica, now: Micros) -> bool {
-    let heard = replica.heard.filter(|h| now.since(h.at) < FRESH);
+    let heard = replica.agent_report.filter(|h| now.since(h.at) < FRESH);
     heard.is_some_and(|h| h.alive && !h.busy && !h.due)
 }
 
--- a/crates/gate/tests/fleet.rs
+++ b/crates/gate/tests/fleet.rs
@@ -32,7 +32,7 @@
 
 /// Takes over a list of the store's first era.
 fn list(fleet: &mut Fleet, at: Micros, targets: Vec<Target>) {
-    fleet.list(at, Position::new(1, 1_000), targets, &CONFIG);
+    fleet.apply_list(at, Position::new(1, 1_000), targets, &CONFIG);
 }
 
 /// A target at another address.
@@ -53,7 +53,7 @@
 }
 
 fn there(fleet: &Fleet, now: Micros) -> Vec<&str> {
-    let there = fleet.replicas.values().filter(|r| r.there(now));
+    let there = fleet.replicas.values().filter(|r| r.is_present(now));
     there.map(|r| r.target.boot.id.as_str()).collect()
 }
 
@@ -78,7 +78,7 @@
         }],
         ..Update::default()
     };
-    fleet.hear(now, &update, ADDR.parse().expect("an address"));
+    fleet.apply_update(now, &update, ADDR.parse().expect("an address"));
     assert_eq!(holds(&fleet, "new"), 30);
     assert_eq!(holds(&fleet, "old"), 0);
 }
@@ -97,7 +97,7 @@
         .iter()
         .find(|(_, r)| r.target.boot.id == "false");
     let key = found.map(|(k, _)| k).expect("the false one");
-    fleet.replaced(now, key);
+    fleet.record_misdirected(now, key);
     list(&mut fleet, now, listed());
     assert_eq!(there(&fleet, now), ["good"]);
 }
@@ -117,18 +117,18 @@
         ended,
         ..Update::default()
     };
-    fleet.hear(now, &update(false), addr);
+    fleet.apply_update(now, &update(false), addr);
     assert_eq!(there(&fleet, now), ["old"]);
-    fleet.hear(now, &update(true), addr);
+    fleet.apply_update(now, &update(true), addr);
     assert!(there(&fleet, now).is_empty());
     // The successor answers its sidecar before it is in the list.
-    fleet.hear(now, &update(false), addr);
+    fleet.apply_update(now, &update(false), addr);
     list(&mut fleet, now, vec![target("old", 5)]);
     assert!(there(&fleet, now).is_empty());
     list(&mut fleet, now, vec![target("old", 5), target("new", 9)]);
     assert_eq!(there(&fleet, now), ["new"]);
     // Nobody listened for a moment, but the engine's own heartbeats go on.
-    fleet.hear(now, &update(true), addr);
+    fleet.apply_update(now, &update(true), addr);
     list(&mut fleet, now, vec![target("new", 12)]);
     assert_eq!(there(&fleet, now), ["new"]);
 }
@@ -152,7 +152,7 @@
             }],
             ..Update::default()
         };
-        fleet.hear(at(ms), &update, addr);
+        fleet.apply_update(at(ms), &update, addr);
         let first = fleet.replicas.values().next().expect("the engine");
         first.weights["m"]
     };
@@ -174,8 +174,8 @@
     let mut fleet = Fleet::default();
     let all = || vec![target("stays", 5), other("leaves", 6)];
     list(&mut fleet, at(0), all());
-    fleet.fail(at(700));
-    fleet.fail(at(5_900));
+    fleet.record_list_failure(at(700));
+    fleet.record_list_failure(at(5_900));
     list(&mut fleet, at(6_000), all());
     assert_eq!(there(&fleet, at(6_000)).len(), 2);
     list(&mut fleet, at(7_300), vec![target("stays", 5)]);
@@ -195,10 +195,10 @@
         at(0),
         vec![target("stays", 5), other("lapsed", 6)],
     );
-    fleet.fail(at(700));
+    fleet.record_list_failure(at(700));
     list(&mut fleet, at(6_000), vec![target("stays", 5)]);
     // Other entries go on telling that the list is as it was.
-    fleet.confirm(at(7_000));
+    fleet.confirm_list(at(7_000));
     list(&mut fleet, at(8_000), vec![target("stays", 5)]);
     assert_eq!(there(&fleet, at(8_100)).len(), 2);
     assert_eq!(there(&fleet, at(8_200)), ["stays"]);
@@ -229,7 +229,7 @@
         list(&mut fleet, now, vec![target("one", 5)]);
         let key = fleet.replicas.keys().next().expect("one");
         for mark in 0..c.marks {
-            fleet.replaced(now, key);
+            fleet.record_misdirected(now, key);
             let between: &[u64] = if mark + 1 < c.marks { &[1, 2] } else { c.rows };
             for row in between {
                 now = now + Micros::from_secs(1);
@@ -303,9 +303,9 @@
         let at = Micros::from_millis;
         list(&mut fleet, at(1_000), vec![target("a", 40)]);
         list(&mut fleet, at(2_000), vec![other("b", 60)]);
-        fleet.list(at(3_000), Position::new(2, 50), c.copy, &CONFIG);
+        fleet.apply_list(at(3_000), Position::new(2, 50), c.copy, &CONFIG);
         assert_eq!(usable(&fleet, at(3_000)), c.then, "{}", c.name);
-        fleet.list(at(5_500), Position::new(2, 100), c.later, &CONFIG);
+        fleet.apply_list(at(5_500), Position::new(2, 100), c.later, &CONFIG);
         assert_eq!(usable(&fleet, at(5_500)), c.last, "{}", c.name);
     }
 }
@@ -322,7 +322,7 @@
     );
     let mut old = target("old", 0);
     old.renewed = Position::new(2, 5);
-    fleet.list(at(3_000), Position::new(2, 7), vec![old], &CONFIG);
+    fleet.apply_list(at(3_000), Position::new(2, 7), vec![old], &CONFIG);
     assert_eq!(there(&fleet, at(3_000)), ["new"]);
 }
 
