--- a/crates/gate/src/entry/attempts.rs
+++ b/crates/gate/src/entry/attempts.rs
@@ -18,42 +18,42 @@
 use super::pick::{self, Pick};
 use super::refuse::Reason;
 use super::request::Job;
-use super::send::{self, Live, Sent};
+use super::send::{self, LiveAnswer, SendOutcome};
 use super::{suspects, Ctx};
 use crate::log::{self, Event};
 use crate::meter;
 
 /// How long past the time of its route a request waits for a replica's own last word.
-pub(super) const LAST_WORD: Duration = Duration::from_millis(100);
+pub(super) const ANSWER_GRACE: Duration = Duration::from_millis(100);
 /// Largest answer that is collected before it is passed on; plain services answer with kilobytes.
-const LARGEST: usize = 4 << 20;
+const MAX_ANSWER: usize = 4 << 20;
 /// Part of the aim after which an idempotent request is sent to another target; usual work takes a
 /// fifth of the aim, and the second target needs time too.
-const PATIENCE: f64 = 0.6;
+const IDEMPOTENT_SHARE: f64 = 0.6;
 /// Time beyond twice its estimate after which a resumable stream without an event goes to another
 /// replica. A replica that is only slow must keep it: at 0.6 s in all, four in ten of the streams of
 /// a fleet with a quarter of its engines dark were begun twice, which doubled the load of the rest.
-const STREAM_PATIENCE: Duration = Duration::from_millis(1_200);
+const STREAM_SLACK: Duration = Duration::from_millis(1_200);
 /// Shortest time in which a target can answer anything.
-const LEAST: Duration = Duration::from_millis(5);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
 /// Pause between two looks whether one has loaded; sidecars look as often.
-const LOOK: Duration = Duration::from_millis(50);
+const LOADING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An answer to pass on.
-pub(super) enum Found {
+pub(super) enum FirstAnswer {
     /// A stream, event by event.
-    Stream(Box<Live>),
+    Stream(Box<LiveAnswer>),
     /// A whole answer.
     Whole(Response<Bytes>),
 }
 
 /// How one try ended.
-enum Tried {
-    Found(Found),
+enum AttemptOutcome {
+    Answered(FirstAnswer),
     /// It did not run, and the target may not even have seen it.
     NotRun {
-        seen: bool,
+        delivered: bool,
         reason: &'static str,
     },
     /// It may have run; what the target answered, if it did.
@@ -64,80 +64,80 @@
 }
 
 /// Sends a job to one target after the other until one answers it or nothing more can be done.
-pub(super) async fn first_answer(ctx: &Ctx, job: &mut Job) -> Result<Found, Reason> {
+pub(super) async fn first_answer(ctx: &Ctx, job: &mut Job) -> Result<FirstAnswer, Reason> {
     let mut last: Option<Response<Bytes>> = None;
     loop {
         let plan = ctx.node.plan().ok_or(Reason::Unconfigured)?;
-        if job.left(ctx.now()) < LEAST {
-            return last.map(Found::Whole).ok_or(over(job));
+        if job.time_left(ctx.now()) < MIN_TIME_LEFT {
+            return last.map(FirstAnswer::Whole).ok_or(timed_out(job));
         }
         if !suspects::may_run(ctx, job) {
-            return Err(convicted(ctx, job));
+            return Err(quarantined(ctx, job));
         }
         let pick = match pick::pick(ctx, &plan, job) {
             Ok(p) => p,
-            Err(Reason::Loading { left }) if worth_waiting(job, ctx.now(), left) => {
+            Err(Reason::Loading { remaining }) if worth_waiting(job, ctx.now(), remaining) => {
                 // Not shorter where the load should be over already: until the sidecar's next word each
                 // look finds the same.
-                sleep(LOOK).await;
+                sleep(LOADING_POLL_INTERVAL).await;
                 job.forget_refusals();
                 continue;
             }
-            Err(reason) if job.runs == 0 => return Err(reason),
-            Err(_) => return last.map(Found::Whole).ok_or(Reason::Unknown),
+            Err(reason) if job.run_count == 0 => return Err(reason),
+            Err(_) => return last.map(FirstAnswer::Whole).ok_or(Reason::Unknown),
         };
-        let tried = once(ctx, job, &pick).await;
+        let outcome = attempt(ctx, job, &pick).await;
         let mut status = None;
-        let (seen, ran, reason) = match tried {
-            Tried::Found(found) => return Ok(found),
-            Tried::NotRun { seen, reason } => {
-                job.refused.push(pick.key);
-                (seen, false, reason)
+        let (delivered, ran, reason) = match outcome {
+            AttemptOutcome::Answered(found) => return Ok(found),
+            AttemptOutcome::NotRun { delivered, reason } => {
+                job.refused_by.push(pick.key);
+                (delivered, false, reason)
             }
-            Tried::Ran { reason, answer } => {
-                job.runs += 1;
+            AttemptOutcome::Ran { reason, answer } => {
+                job.run_count += 1;
                 status = answer.as_ref().map(Response::status);
                 last = answer.or(last);
                 (true, true, reason)
             }
         };
-        failed(job, &pick.boot, reason, status, ran);
-        if !again(ctx, job, seen, ran) {
-            let reason = match job.runs {
+        log_failed(job, &pick.boot, reason, status, ran);
+        if !may_retry(ctx, job, delivered, ran) {
+            let reason = match job.run_count {
                 0 => Reason::NotRun,
-                _ if job.left(ctx.now()) < LEAST => Reason::Overdue,
+                _ if job.time_left(ctx.now()) < MIN_TIME_LEFT => Reason::Overdue,
                 _ => Reason::Unknown,
             };
-            return last.map(Found::Whole).ok_or(reason);
+            return last.map(FirstAnswer::Whole).ok_or(reason);
         }
     }
 }
 
 /// Whether a job waits for engines that load. What is sent to them meanwhile is refused, and each such try
 /// costs the pool a retry.
-fn worth_waiting(job: &Job, now: Micros, left: RemainingLoad) -> bool {
-    let rest = job.left(now).into();
-    left.is_worth_waiting(rest, job.left(job.came).into())
+fn worth_waiting(job: &Job, now: Micros, remaining: RemainingLoad) -> bool {
+    let rest = job.time_left(now).into();
+    remaining.is_worth_waiting(rest, job.time_left(job.received_at).into())
 }
 
-fn convicted(ctx: &Ctx, job: &Job) -> Reason {
-    match job.runs {
+fn quarantined(ctx: &Ctx, job: &Job) -> Reason {
+    match job.run_count {
         0 => Reason::Quarantined {
-            left: suspects::left(ctx, job),
+            remaining: suspects::time_to_retry(ctx, job),
         },
         _ => Reason::Unknown,
     }
 }
 
-fn over(job: &Job) -> Reason {
-    match job.runs {
+fn timed_out(job: &Job) -> Reason {
+    match job.run_count {
         0 => Reason::Expired,
         _ => Reason::Overdue,
     }
 }
 
 /// Tells that a try came to nothing.
-pub(super) fn failed(
+pub(super) fn log_failed(
     job: &Job,
     boot: &Boot,
     reason: &'static str,
@@ -148,7 +148,7 @@
     log::event(&Event::Tried {
         request: &job.id,
         target: &boot.id,
-        attempt: job.sends,
+        attempt: job.send_count,
         reason,
         status: status.map(|s| s.as_u16()),
         ran,
@@ -156,84 +156,87 @@
 }
 
 /// Tells why a job isn't tried once more, where its answer doesn't.
-pub(super) fn stuck(job: &Job, reason: &str) {
+pub(super) fn log_no_retry(job: &Job, reason: &str) {
     log::event(&Event::Tried {
         request: &job.id,
         target: "",
-        attempt: job.sends,
+        attempt: job.send_count,
         reason,
         status: None,
-        ran: job.runs > 0,
+        ran: job.run_count > 0,
     });
 }
 
 /// Whether a job may be sent once more.
-fn again(ctx: &Ctx, job: &Job, seen: bool, ran: bool) -> bool {
+fn may_retry(ctx: &Ctx, job: &Job, delivered: bool, ran: bool) -> bool {
     let harmless = !ran || matches!(job.route.mode, Mode::Idempotent | Mode::Resumable);
     if !harmless {
         return false;
     }
-    if !job.may_run() {
-        stuck(job, "no try left");
+    if !job.may_run_again() {
+        log_no_retry(job, "no try left");
         return false;
     }
-    if job.left(ctx.now()) < LEAST {
+    if job.time_left(ctx.now()) < MIN_TIME_LEFT {
         return false;
     }
     // What no target has seen costs the pool nothing.
-    let need = match job.runs {
+    let retry_reason = match job.run_count {
         0 => RetryReason::NotRun,
         _ => RetryReason::HasRun,
     };
-    let spent = !seen || ctx.budget(&job.pool, |b| b.spend(ctx.now(), need));
+    let spent = !delivered || ctx.retry_budget(&job.pool, |b| b.spend(ctx.now(), retry_reason));
     if !spent {
-        stuck(job, "no retry left");
+        log_no_retry(job, "no retry left");
     }
     spent
 }
 
 /// How long a try may go without an answer's head.
-fn patience(ctx: &Ctx, job: &Job, pick: &Pick) -> Duration {
-    let end = job.left(ctx.now()) + LAST_WORD;
+fn head_timeout(ctx: &Ctx, job: &Job, pick: &Pick) -> Duration {
+    let end = job.time_left(ctx.now()) + ANSWER_GRACE;
     // Given up on with no retry left, its answer would be lost however soon it came.
-    let room = ctx.budget(&job.pool, |b| b.remaining() >= 1.0);
-    let more = room && job.runs + 1 < job.route.max_attempts;
+    let has_retry = ctx.retry_budget(&job.pool, |b| b.remaining() >= 1.0);
+    let may_retry = has_retry && job.run_count + 1 < job.route.max_attempts;
     match job.route.mode {
-        Mode::Idempotent if more => job.route.latency_goal.mul_f64(PATIENCE).min(end),
-        Mode::Resumable if more => {
+        Mode::Idempotent if may_retry => job.route.latency_goal.mul_f64(IDEMPOTENT_SHARE).min(end),
+        Mode::Resumable if may_retry => {
             let estimate = Duration::from_secs_f64(pick.estimate.clamp(0.0, 60_000.0) / 1e3);
-            (STREAM_PATIENCE + estimate * 2).min(end)
+            (STREAM_SLACK + estimate * 2).min(end)
         }
         _ => end,
     }
 }
 
-async fn once(ctx: &Ctx, job: &mut Job, pick: &Pick) -> Tried {
-    job.tried.push(pick.key);
-    job.sends += 1;
-    let began = ctx.now();
-    send::tell(ctx, job, pick, job.left(began));
-    let sent = send::send(ctx, job, pick, patience(ctx, job, pick)).await;
+async fn attempt(ctx: &Ctx, job: &mut Job, pick: &Pick) -> AttemptOutcome {
+    job.attempted.push(pick.key);
+    job.send_count += 1;
+    let sent_at = ctx.now();
+    send::log_send(ctx, job, pick, job.time_left(sent_at));
+    let sent = send::send(ctx, job, pick, head_timeout(ctx, job, pick)).await;
     let now = ctx.now();
     match sent {
-        Sent::Answer(live) => take(ctx, job, *live).await,
-        Sent::Unseen(reason) => Tried::NotRun {
-            seen: false,
+        SendOutcome::Answer(live) => handle_answer(ctx, job, *live).await,
+        SendOutcome::NotDelivered(reason) => AttemptOutcome::NotRun {
+            delivered: false,
             reason,
         },
-        Sent::NotRun(reason) => {
+        SendOutcome::NotRun(reason) => {
             if reason == "full" {
                 ctx.fleet.borrow_mut().record_failure(now, pick.key, reason);
             }
-            if has_newer(ctx, job, pick) {
-                job.tried.retain(|k| *k != pick.key);
+            if has_newer_weights(ctx, job, pick) {
+                job.attempted.retain(|k| *k != pick.key);
+            }
+            AttemptOutcome::NotRun {
+                delivered: true,
+                reason,
             }
-            Tried::NotRun { seen: true, reason }
         }
-        Sent::Unknown(reason) => {
+        SendOutcome::Unknown(reason) => {
             ctx.fleet.borrow_mut().record_failure(now, pick.key, reason);
-            suspects::broke(ctx, job, &pick.boot, began);
-            Tried::Ran {
+            suspects::record_broken_answer(ctx, job, &pick.boot, sent_at);
+            AttemptOutcome::Ran {
                 reason,
                 answer: None,
             }
@@ -243,7 +246,7 @@
 
 /// Whether a target is known by now to have newer weights than it was asked for. It may be the only one, and
 /// takes the job with those.
-fn has_newer(ctx: &Ctx, job: &Job, pick: &Pick) -> bool {
+fn has_newer_weights(ctx: &Ctx, job: &Job, pick: &Pick) -> bool {
     let (Some(prompt), Some(asked)) = (&job.prompt, pick.weights) else {
         return false;
     };
@@ -254,33 +257,33 @@
 }
 
 /// Takes an answer whose head is there.
-async fn take(ctx: &Ctx, job: &Job, live: Live) -> Tried {
+async fn handle_answer(ctx: &Ctx, job: &Job, live: LiveAnswer) -> AttemptOutcome {
     let status = live.response.status();
     let good = status.is_success();
-    let key = live.place.key();
-    if good && (!live.told.signed || live.told.encoded) {
+    let key = live.in_flight.key();
+    if good && (!live.head.signed || live.head.encoded) {
         ctx.fleet
             .borrow_mut()
             .record_failure(ctx.now(), key, "spoiled answer");
-        return Tried::Ran {
+        return AttemptOutcome::Ran {
             reason: "spoiled answer",
             answer: None,
         };
     }
     if good && job.route.mode.is_stream() {
-        return Tried::Found(Found::Stream(Box::new(live)));
+        return AttemptOutcome::Answered(FirstAnswer::Stream(Box::new(live)));
     }
-    let left = job.left(ctx.now()) + LAST_WORD;
-    let unrun = live.told.not_run;
-    let (boot, sent) = (live.place.boot.clone(), live.place.sent);
+    let left = job.time_left(ctx.now()) + ANSWER_GRACE;
+    let not_run = live.head.not_run;
+    let (boot, sent_at) = (live.in_flight.boot.clone(), live.in_flight.sent_at);
     let whole = match timeout(left, collect(ctx, live)).await {
         Ok(Some(w)) => w,
         _ => {
             ctx.fleet
                 .borrow_mut()
                 .record_failure(ctx.now(), key, "cut answer");
-            suspects::broke(ctx, job, &boot, sent);
-            return Tried::Ran {
+            suspects::record_broken_answer(ctx, job, &boot, sent_at);
+            return AttemptOutcome::Ran {
                 reason: "cut answer",
                 answer: None,
             };
@@ -289,7 +292,7 @@
     match good || status.is_client_error() {
         true => {
             ctx.fleet.borrow_mut().record_success(key);
-            suspects::served(ctx, job);
+            suspects::record_success(ctx, job);
         }
         false => ctx
             .fleet
@@ -301,34 +304,38 @@
         StatusCode::SERVICE_UNAVAILABLE
         | StatusCode::TOO_MANY_REQUESTS
         | StatusCode::REQUEST_TIMEOUT
-            if !unrun =>
+            if !not_run =>
         {
-            Tried::Ran {
+            AttemptOutcome::Ran {
                 reason: "refusal without a promise",
                 answer: None,
             }
         }
-        s if s.is_server_error() => Tried::Ran {
+        s if s.is_server_error() => AttemptOutcome::Ran {
             reason: "error answer",
             answer: Some(whole),
         },
-        _ => Tried::Found(Found::Whole(whole)),
+        _ => AttemptOutcome::Answered(FirstAnswer::Whole(whole)),
     }
 }
 
 /// Collects a whole answer and keeps its connection.
-async fn collect(ctx: &Ctx, live: Live) -> Option<Response<Bytes>> {
-    let Live {
+async fn collect(ctx: &Ctx, live: LiveAnswer) -> Option<Response<Bytes>> {
+    let LiveAnswer {
         response,
-        told,
-        upstream,
-        place,
+        head,
+        connection,
+        in_flight,
     } = live;
     let (mut parts, body) = response.into_parts();
-    let body = Limited::new(body, LARGEST).collect().await.ok()?.to_bytes();
-    if !told.closes {
-        if let Some(r) = ctx.fleet.borrow_mut().replicas.get_mut(place.key()) {
-            r.idle.keep(upstream);
+    let body = Limited::new(body, MAX_ANSWER)
+        .collect()
+        .await
+        .ok()?
+        .to_bytes();
+    if !head.closes {
+        if let Some(r) = ctx.fleet.borrow_mut().replicas.get_mut(in_flight.key()) {
+            r.connections.keep(connection);
         }
     }
     parts.headers = replica::answer_headers(&parts.headers);
--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -27,11 +27,11 @@
 use crate::world::{domain_key, World};
 
 /// Pause between two looks at which engines lack an agent.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two looks after which this process was paused itself.
-const PAUSED: Micros = Micros::from_millis(1_000);
+const PAUSE_THRESHOLD: Micros = Micros::from_millis(1_000);
 /// Time without any datagram after which this process counts as cut off from the others.
-const ALONE: Micros = Micros::from_millis(2_000);
+const ISOLATION_TIMEOUT: Micros = Micros::from_millis(2_000);
 
 /// An engine that this entry acts for.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
 
 /// The process that last reported on an engine.
 #[derive(Clone, Copy, Debug)]
-struct Report {
+struct LastReport {
     from: SocketAddr,
     delegate: bool,
     at: Micros,
@@ -57,7 +57,7 @@
 
 /// The last order of an engine that this entry has given.
 #[derive(Clone, Copy, Debug)]
-struct Order {
+struct LastOrder {
     at: Micros,
     fence: u64,
 }
@@ -66,36 +66,36 @@
 #[derive(Debug, Default)]
 pub(super) struct Delegates {
     own: HashMap<u64, Delegate>,
-    reports: HashMap<u64, Report>,
-    orders: HashMap<u64, Order>,
+    last_reports: HashMap<u64, LastReport>,
+    last_orders: HashMap<u64, LastOrder>,
     /// When each incarnation was first seen in the list.
-    listed: HashMap<Boot, Micros>,
+    first_listed: HashMap<Boot, Micros>,
     /// When the last datagram of another process was received.
-    received: Micros,
-    looked: Micros,
+    last_datagram: Micros,
+    last_check: Micros,
     /// Since when this process has been running without a pause.
-    running: Micros,
+    running_since: Micros,
 }
 
 /// Takes engines on and gives them back for as long as the process lives.
 pub(super) async fn run(ctx: Ctx) {
     loop {
-        look(&ctx);
-        sleep(LOOK).await;
+        update_delegates(&ctx);
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-fn look(ctx: &Ctx) {
+fn update_delegates(ctx: &Ctx) {
     let now = ctx.now();
     {
         let mut d = ctx.delegates.borrow_mut();
-        if now.since(d.looked) > PAUSED {
+        if now.since(d.last_check) > PAUSE_THRESHOLD {
             // What others sent meanwhile hasn't been read yet.
-            d.running = now;
+            d.running_since = now;
         }
-        d.looked = now;
+        d.last_check = now;
     }
-    let engines = engines(ctx, now);
+    let engines = listed_engines(ctx, now);
     let unattended: BTreeSet<_> = {
         let world = ctx.node.world.borrow();
         let all = engines.values().map(|e| e.addr);
@@ -114,10 +114,10 @@
         let own = d.own.iter().filter(|(k, d)| gone(k, d));
         own.map(|(k, _)| *k).collect()
     };
-    ended.into_iter().for_each(|key| give_back(ctx, key));
+    ended.into_iter().for_each(|key| stop_delegate(ctx, key));
     for (key, e) in engines.into_iter().filter(|(_, e)| e.acts) {
         if !ctx.delegates.borrow().own.contains_key(&key) {
-            take_on(ctx, key, e);
+            start_delegate(ctx, key, e);
         }
     }
     let own = ctx.delegates.borrow().own.len();
@@ -126,7 +126,7 @@
 
 /// An engine in the list.
 #[derive(Debug)]
-struct Listed {
+struct ListedEngine {
     addr: SocketAddr,
     boot: Boot,
     /// Whether this entry acts for it.
@@ -134,7 +134,7 @@
 }
 
 /// All engines that take new work.
-fn engines(ctx: &Ctx, now: Micros) -> HashMap<u64, Listed> {
+fn listed_engines(ctx: &Ctx, now: Micros) -> HashMap<u64, ListedEngine> {
     let Some(plan) = ctx.node.plan() else {
         return HashMap::new();
     };
@@ -151,18 +151,18 @@
     for r in fleet.replicas.values().filter(engine) {
         let key = engine_key(r.target.addr);
         let boot = r.target.boot.clone();
-        let since = *d.listed.entry(boot.clone()).or_insert(now);
-        let acts = acts(ctx, &world, &d, r, since.max(d.running));
-        let engine = Listed {
+        let since = *d.first_listed.entry(boot.clone()).or_insert(now);
+        let acts = acts(ctx, &world, &d, r, since.max(d.running_since));
+        let engine = ListedEngine {
             addr: r.target.addr,
             boot,
             acts,
         };
         listed.insert(key, engine);
     }
-    let there = |b: &Boot| listed.values().any(|l| l.boot == *b);
-    d.listed.retain(|b, _| there(b));
-    d.reports.retain(|k, _| listed.contains_key(k));
+    let is_listed = |b: &Boot| listed.values().any(|l| l.boot == *b);
+    d.first_listed.retain(|b, _| is_listed(b));
+    d.last_reports.retain(|k, _| listed.contains_key(k));
     listed
 }
 
@@ -171,21 +171,22 @@
     let now = ctx.now();
     let key = engine_key(r.target.addr);
     let acting = d.own.get(&key).is_some_and(|o| o.boot == r.target.boot);
-    let alone = world.entries().next().is_some() && now.since(d.received) > ALONE;
-    if alone && !acting {
+    let isolated =
+        world.entries().next().is_some() && now.since(d.last_datagram) > ISOLATION_TIMEOUT;
+    if isolated && !acting {
         return false;
     }
-    let report = d.reports.get(&key);
-    let heard = report.map_or(since, |r| r.at.max(since));
+    let report = d.last_reports.get(&key);
+    let last_report = report.map_or(since, |r| r.at.max(since));
     let domain = domain_key(&r.target.domain);
     let rank = |own: delegate::Entry| {
-        let others = entries(ctx, world).filter(|e| *e != own);
+        let others = all_entries(ctx, world).filter(|e| *e != own);
         delegate::rank(key, domain, own, others)
     };
     let reporter = match report {
         None => Reporter::None,
         Some(r) if !r.delegate => Reporter::Sidecar,
-        Some(r) => match entry(world, r.from) {
+        Some(r) => match entry_at(world, r.from) {
             Some(other) => Reporter::Delegate(rank(other)),
             // An entry that isn't a member yet has no place before this one.
             None => Reporter::Delegate(usize::MAX),
@@ -194,13 +195,13 @@
     let engine = Engine {
         sidecar: world.attended(r.target.addr),
         reporter,
-        silence: now.since(heard),
+        silence: now.since(last_report),
     };
-    delegate::acts(&Config::default(), &engine, rank(own(ctx)), acting)
+    delegate::acts(&Config::default(), &engine, rank(own_entry(ctx)), acting)
 }
 
 /// This entry, as places are given.
-fn own(ctx: &Ctx) -> delegate::Entry {
+fn own_entry(ctx: &Ctx) -> delegate::Entry {
     let s = ctx.node.settings.borrow();
     delegate::Entry {
         host: xxh3_64(s.host.as_bytes()),
@@ -209,17 +210,17 @@
 }
 
 /// All entries, this one included.
-fn entries<'a>(ctx: &Ctx, world: &'a World) -> impl Iterator<Item = delegate::Entry> + 'a {
+fn all_entries<'a>(ctx: &Ctx, world: &'a World) -> impl Iterator<Item = delegate::Entry> + 'a {
     let others = world.members.iter().filter(|(_, m)| m.role == Role::Entry);
     let others = others.map(|(host, m)| delegate::Entry {
         host: xxh3_64(host.as_bytes()),
         domain: m.domain,
     });
-    others.chain([own(ctx)])
+    others.chain([own_entry(ctx)])
 }
 
 /// The entry at an address.
-fn entry(world: &World, addr: SocketAddr) -> Option<delegate::Entry> {
+fn entry_at(world: &World, addr: SocketAddr) -> Option<delegate::Entry> {
     let (host, member) = world.members.iter().find(|(_, m)| m.addr == addr)?;
     Some(delegate::Entry {
         host: xxh3_64(host.as_bytes()),
@@ -227,7 +228,7 @@
     })
 }
 
-fn take_on(ctx: &Ctx, key: u64, engine: Listed) {
+fn start_delegate(ctx: &Ctx, key: u64, engine: ListedEngine) {
     let lease = ctx.node.settings.borrow().bounds.lease;
     let agent = Agent::delegate(engine.addr, engine.boot.clone(), lease.into());
     let agent = Rc::new(RefCell::new(agent));
@@ -236,7 +237,7 @@
         addr: engine.addr.to_string(),
         acts: true,
     });
-    let task = tokio::task::spawn_local(act(Rc::clone(ctx), Rc::clone(&agent), engine.addr));
+    let task = tokio::task::spawn_local(run_agent(Rc::clone(ctx), Rc::clone(&agent), engine.addr));
     let delegate = Delegate {
         boot: engine.boot,
         agent,
@@ -245,7 +246,7 @@
     ctx.delegates.borrow_mut().own.insert(key, delegate);
 }
 
-async fn act(ctx: Ctx, agent: Own, addr: SocketAddr) {
+async fn run_agent(ctx: Ctx, agent: Own, addr: SocketAddr) {
     let env = Env {
         node: &ctx.node,
         agent: &agent,
@@ -257,7 +258,7 @@
     );
 }
 
-fn give_back(ctx: &Ctx, key: u64) {
+fn stop_delegate(ctx: &Ctx, key: u64) {
     let mut d = ctx.delegates.borrow_mut();
     let Some(delegate) = d.own.remove(&key) else {
         return;
@@ -269,19 +270,19 @@
         acts: false,
     });
     if let Some((at, fence)) = agent.ordered() {
-        d.orders.insert(key, Order { at, fence });
+        d.last_orders.insert(key, LastOrder { at, fence });
     }
 }
 
 /// Takes over a note on a prompt at an engine that this entry acts for.
-pub(super) fn prompt(ctx: &Ctx, engine: u64, note: Note) {
+pub(super) fn receive_note(ctx: &Ctx, engine: u64, note: Note) {
     if let Some(d) = ctx.delegates.borrow().own.get(&engine) {
         d.agent.borrow_mut().prompt(ctx.now(), note);
     }
 }
 
 /// Takes over an agent's update.
-pub(super) fn receive(ctx: &Ctx, update: &Update, from: SocketAddr) {
+pub(super) fn receive_update(ctx: &Ctx, update: &Update, from: SocketAddr) {
     let now = ctx.now();
     let Ok(addr) = update.engine.parse::<SocketAddr>() else {
         return;
@@ -292,15 +293,15 @@
         delegate: update.delegate,
     };
     if from != ctx.node.settings.borrow().peer {
-        let report = Report {
+        let report = LastReport {
             from,
             delegate: update.delegate != 0,
             at: now,
         };
-        ctx.delegates.borrow_mut().reports.insert(key, report);
+        ctx.delegates.borrow_mut().last_reports.insert(key, report);
     }
     match update.delegate {
-        0 => hand_over(ctx, key, addr, from),
+        0 => send_last_order(ctx, key, addr, from),
         _ => {
             let mut world = ctx.node.world.borrow_mut();
             world.delegated.insert(addr, now);
@@ -324,17 +325,17 @@
 
 /// Reports to an engine's sidecar when this entry last ordered the engine, so that the sidecar keeps apart
 /// from that order.
-fn hand_over(ctx: &Ctx, key: u64, engine: SocketAddr, sidecar: SocketAddr) {
+fn send_last_order(ctx: &Ctx, key: u64, engine: SocketAddr, sidecar: SocketAddr) {
     let now = ctx.now();
     let lease = Micros::from(ctx.node.settings.borrow().bounds.lease);
     let mut d = ctx.delegates.borrow_mut();
     let current = d.own.get(&key).and_then(|o| o.agent.borrow().ordered());
-    let current = current.map(|(at, fence)| Order { at, fence });
-    let Some(order) = current.or_else(|| d.orders.get(&key).copied()) else {
+    let current = current.map(|(at, fence)| LastOrder { at, fence });
+    let Some(order) = current.or_else(|| d.last_orders.get(&key).copied()) else {
         return;
     };
     if now.since(order.at) > lease + lease {
-        d.orders.remove(&key);
+        d.last_orders.remove(&key);
         return;
     }
     let update = Update {
@@ -348,8 +349,8 @@
 }
 
 /// Notes a datagram of another process.
-pub(super) fn received(ctx: &Ctx, from: SocketAddr) {
+pub(super) fn record_datagram(ctx: &Ctx, from: SocketAddr) {
     if from != ctx.node.settings.borrow().peer {
-        ctx.delegates.borrow_mut().received = ctx.now();
+        ctx.delegates.borrow_mut().last_datagram = ctx.now();
     }
 }
--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -8,9 +8,9 @@
 use site::{Boot, Part, PartId, State, Target};
 use slotmap::{new_key_type, SlotMap};
 
-use super::replica::{take_over, AgentReport, KvStoreContents, Replica};
+use super::replica::{apply_parts, AgentReport, KvStoreContents, Replica};
 use super::restored_list::RestoredList;
-use super::usable::HEARD;
+use super::usable::REPORT_LIFETIME;
 use crate::agent::AgentId;
 use crate::log::{self, Event};
 use crate::update::{Held, Update};
@@ -21,24 +21,24 @@
 }
 
 /// Weight of a new answer in what is usual for a pool.
-const USUAL: f64 = 0.02;
+const USUAL_RATE_SMOOTHING: f64 = 0.02;
 
 /// All targets.
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// The targets.
     pub replicas: SlotMap<ReplicaKey, Replica>,
-    boots: HashMap<Boot, ReplicaKey>,
+    keys: HashMap<Boot, ReplicaKey>,
     /// When the list was last read, or told to be as it was.
-    pub(super) listed: Micros,
+    pub(super) list_confirmed_at: Micros,
     /// When reading it last failed.
-    failed: Micros,
+    list_failed_at: Micros,
     /// Stores of kept KV cache, by address.
-    pub kept: HashMap<SocketAddr, KvStoreContents>,
+    pub kv_stores: HashMap<SocketAddr, KvStoreContents>,
     /// Lives of targets that have ended and haven't been looked at yet.
-    pub(super) ended: Vec<Boot>,
+    pub(super) ended_targets: Vec<Boot>,
     /// Part of answers that usually fail, by pool.
-    usual: HashMap<String, f64>,
+    usual_failure_rates: HashMap<String, f64>,
     /// What a restore of the store has made of the list.
     restored_list: RestoredList,
 }
@@ -52,61 +52,66 @@
         targets: Vec<Target>,
         config: &row_expiry::Config,
     ) {
-        self.restored_list.read(at, position);
-        let targets = targets.into_iter().map(|t| self.restored_list.place(t));
+        self.restored_list.record_read(at, position);
+        let targets = targets
+            .into_iter()
+            .map(|t| self.restored_list.adjust_era(t));
         let listed = targets.filter(|t| !self.restored_list.has_left(t));
         let listed: HashMap<_, _> = listed.map(|t| (t.boot.clone(), t)).collect();
         let gap = row_expiry::Gap {
-            known: self.listed,
+            known: self.list_confirmed_at,
             read: at,
-            failed: self.failed > self.listed,
-            restored: self.restored_list.restored(),
+            failed: self.list_failed_at > self.list_confirmed_at,
+            restored: self.restored_list.restored_at(),
         };
         // Kept only where its row may have lapsed, and until a time: kept for any absence soon after the
         // store's return, a target that had left got requests until the next read, and they were lost.
-        let lapsed = row_expiry::retain_until(config, &gap);
+        let keep_until = row_expiry::retain_until(config, &gap);
         let missing: Vec<_> = self
-            .boots
+            .keys
             .iter()
             .filter(|(b, _)| !listed.contains_key(b))
             .map(|(b, k)| (b.clone(), *k))
             .collect();
         for (boot, key) in missing {
             // Another life of the same target has taken this one's place for good.
-            let reborn = listed.keys().any(|b| b.id == boot.id);
-            match lapsed {
-                _ if reborn => self.remove(&boot, key),
-                Some(until) => self.miss(key, until),
+            let replaced = listed.keys().any(|b| b.id == boot.id);
+            match keep_until {
+                _ if replaced => self.remove(&boot, key),
+                Some(until) => self.keep_missing(key, until),
                 // Missing before, it is kept until the time that was set then.
-                None if self.replicas.get(key).is_some_and(|r| r.missing.is_some()) => {}
+                None if self
+                    .replicas
+                    .get(key)
+                    .is_some_and(|r| r.missing_until.is_some()) => {}
                 None => self.remove(&boot, key),
             }
         }
-        self.listed = at.max(self.listed);
-        listed.into_values().for_each(|t| self.enter(at, t));
+        self.list_confirmed_at = at.max(self.list_confirmed_at);
+        listed.into_values().for_each(|t| self.upsert(at, t));
         self.expire(at);
-        self.supersede();
+        self.mark_superseded();
     }
 
     /// Keeps a target until a time though the list lacks it.
-    fn miss(&mut self, key: ReplicaKey, until: Micros) {
+    fn keep_missing(&mut self, key: ReplicaKey, until: Micros) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        if replica.missing.replace(until).is_none() {
-            tell(&replica.target, "missing");
+        if replica.missing_until.replace(until).is_none() {
+            log_state(&replica.target, "missing");
         }
     }
 
     /// Removes targets that the list lacks and that aren't kept any longer.
     pub fn expire(&mut self, now: Micros) {
-        let over = |r: &Replica| r.missing.is_some_and(|until| now >= until);
-        let over: Vec<_> = self.replicas.iter().filter(|(_, r)| over(r)).collect();
-        let over: Vec<_> = over
+        let expired = |r: &Replica| r.missing_until.is_some_and(|until| now >= until);
+        let expired: Vec<_> = self.replicas.iter().filter(|(_, r)| expired(r)).collect();
+        let expired: Vec<_> = expired
             .iter()
             .map(|(k, r)| (r.target.boot.clone(), *k))
             .collect();
-        for (boot, key) in over {
+        for (boot, key) in expired {
             self.remove(&boot, key);
         }
     }
@@ -114,35 +119,35 @@
     /// Marks the targets at whose address the list names one that was heard later. A crashed target's
     /// entry lasts some seconds beyond the start of its successor; until it lapsed, each entry sent a
     /// request or two to the former one and took what the sidecar told of the new one for the former's.
-    fn supersede(&mut self) {
+    fn mark_superseded(&mut self) {
         let mut latest: HashMap<SocketAddr, Position> = HashMap::new();
         for r in self
             .replicas
             .values()
-            .filter(|r| !r.misdirected.is_excluded())
+            .filter(|r| !r.exclusion.is_excluded())
         {
-            let heard = latest.entry(r.target.addr).or_default();
-            *heard = r.target.renewed.max(*heard);
+            let renewed = latest.entry(r.target.addr).or_default();
+            *renewed = r.target.renewed.max(*renewed);
         }
         for r in self.replicas.values_mut() {
             let later = latest.get(&r.target.addr).copied().unwrap_or_default();
             let superseded = r.target.renewed < later;
             if superseded && !r.superseded {
-                self.ended.push(r.target.boot.clone());
-                r.idle.clear();
-                tell(&r.target, "superseded");
+                self.ended_targets.push(r.target.boot.clone());
+                r.connections.clear();
+                log_state(&r.target, "superseded");
             }
             r.superseded = superseded;
         }
     }
 
-    fn enter(&mut self, now: Micros, target: Target) {
-        self.restored_list.entered(&target.boot);
-        let Some(key) = self.boots.get(&target.boot).copied() else {
-            tell(&target, "ready");
+    fn upsert(&mut self, now: Micros, target: Target) {
+        self.restored_list.record_listed(&target.boot);
+        let Some(key) = self.keys.get(&target.boot).copied() else {
+            log_state(&target, "ready");
             let boot = target.boot.clone();
             let key = self.replicas.insert(Replica::new(target));
-            self.boots.insert(boot, key);
+            self.keys.insert(boot, key);
             return;
         };
         let Some(replica) = self.replicas.get_mut(key) else {
@@ -150,53 +155,54 @@
         };
         if self.restored_list.is_older(&target, &replica.target) {
             // A copy's row is older than what is known, but one that drains may have been written since.
-            replica.missing = None;
+            replica.missing_until = None;
             if target.state == State::Draining {
                 replica.target.state = target.state;
             }
             return;
         }
         for w in &target.weights {
-            replica.loaded(now, &w.model, w.version);
+            replica.raise_weights(now, &w.model, w.version);
         }
         if replica.target.state != target.state {
-            tell(&target, word(target.state));
+            log_state(&target, state_name(target.state));
         }
-        if replica.over.is_some_and(|at| target.renewed > at) {
+        if replica.renewed_at_end.is_some_and(|at| target.renewed > at) {
             // A heartbeat since then: what ended wasn't this one.
-            replica.over = None;
+            replica.renewed_at_end = None;
         }
-        if replica.misdirected.listed(now, target.renewed) {
-            tell(&target, "renewed");
+        if replica.exclusion.listed(now, target.renewed) {
+            log_state(&target, "renewed");
         }
-        replica.missing = None;
+        replica.missing_until = None;
         replica.target = target;
     }
 
     /// Notes that the list is as it was last read.
     pub fn confirm_list(&mut self, now: Micros) {
-        self.listed = now;
+        self.list_confirmed_at = now;
     }
 
     /// Notes that the list couldn't be read.
     pub fn record_list_failure(&mut self, now: Micros) {
-        self.failed = now;
+        self.list_failed_at = now;
     }
 
     /// Targets that are kept though the list lacks them.
     pub(super) fn missing_count(&self) -> usize {
         self.replicas
             .values()
-            .filter(|r| r.missing.is_some())
+            .filter(|r| r.missing_until.is_some())
             .count()
     }
 
     fn remove(&mut self, boot: &Boot, key: ReplicaKey) {
-        self.boots.remove(boot);
+        self.keys.remove(boot);
         if let Some(replica) = self.replicas.remove(key) {
-            self.restored_list.left(self.listed, &replica.target);
-            tell(&replica.target, "gone");
-            self.ended.push(boot.clone());
+            self.restored_list
+                .record_left(self.list_confirmed_at, &replica.target);
+            log_state(&replica.target, "gone");
+            self.ended_targets.push(boot.clone());
         }
     }
 
@@ -206,34 +212,36 @@
             return;
         };
         if update.kept {
-            return self.kept.entry(addr).or_default().apply_update(update);
+            return self.kv_stores.entry(addr).or_default().apply_update(update);
         }
-        let there = |r: &&mut Replica| r.target.addr == addr && r.is_present(now);
-        let Some(replica) = self.replicas.values_mut().find(there) else {
+        let at_address = |r: &&mut Replica| r.target.addr == addr && r.is_present(now);
+        let Some(replica) = self.replicas.values_mut().find(at_address) else {
             return;
         };
         for w in &update.weights {
-            replica.reported(now, &w.model, w.version);
+            replica.apply_reported_weights(now, &w.model, w.version);
         }
         if update.ended {
             // Until it is listed again its successor may listen there already and refuse what is
             // meant for it; each such try would be one retry less for streams that its end has cut.
-            replica.over = Some(replica.target.renewed);
-            replica.idle.clear();
-            self.ended.push(replica.target.boot.clone());
-            return tell(&replica.target, "ended");
+            replica.renewed_at_end = Some(replica.target.renewed);
+            replica.connections.clear();
+            self.ended_targets.push(replica.target.boot.clone());
+            return log_state(&replica.target, "ended");
         }
         if !update.entry && update.epoch != replica.epoch {
             replica.epoch = update.epoch;
             replica.held.clear();
         }
-        take_over(&mut replica.held, &update.parts);
+        apply_parts(&mut replica.held, &update.parts);
         if update.entry {
-            let parts: Vec<_> = update.expected.iter().map(part).collect();
-            let scope = update.expected.first().map_or(0, |h| h.scope);
-            return replica.expect(now, scope, &parts);
+            let parts: Vec<_> = update.expected.iter().map(expected_part).collect();
+            let scope = update.expected.first().map_or(0, |report| report.scope);
+            return replica.expect_parts(now, scope, &parts);
         }
-        let sidecar = |h: &AgentReport| h.agent.delegate == 0 && now.since(h.at) < HEARD;
+        let sidecar = |report: &AgentReport| {
+            report.agent.delegate == 0 && now.since(report.at) < REPORT_LIFETIME
+        };
         if update.delegate != 0 && replica.agent_report.as_ref().is_some_and(sidecar) {
             return;
         }
@@ -246,9 +254,10 @@
             addr: sidecar,
             delegate: 0,
         };
-        let beside =
-            |r: &&Replica| r.is_present(now) && r.agent_report.is_some_and(|h| h.agent == agent);
-        let replica = self.replicas.values().find(beside)?;
+        let reports_on = |r: &&Replica| {
+            r.is_present(now) && r.agent_report.is_some_and(|report| report.agent == agent)
+        };
+        let replica = self.replicas.values().find(reports_on)?;
         Some(&replica.target.boot)
     }
 
@@ -258,8 +267,11 @@
             return;
         };
         replica.breaker.success(&circuit_breaker::Config::default());
-        let usual = self.usual.entry(replica.target.pool.clone()).or_default();
-        *usual *= 1.0 - USUAL;
+        let usual_rate = self
+            .usual_failure_rates
+            .entry(replica.target.pool.clone())
+            .or_default();
+        *usual_rate *= 1.0 - USUAL_RATE_SMOOTHING;
     }
 
     /// Notes a target's failure.
@@ -267,14 +279,17 @@
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        let usual = self.usual.entry(replica.target.pool.clone()).or_default();
-        let before = replica.breaker.usable(now);
+        let usual_rate = self
+            .usual_failure_rates
+            .entry(replica.target.pool.clone())
+            .or_default();
+        let was_usable = replica.breaker.usable(now);
         replica
             .breaker
-            .failure(&circuit_breaker::Config::default(), now, *usual);
-        *usual += (1.0 - *usual) * USUAL;
-        if before && !replica.breaker.usable(now) {
-            left_out(replica, reason);
+            .failure(&circuit_breaker::Config::default(), now, *usual_rate);
+        *usual_rate += (1.0 - *usual_rate) * USUAL_RATE_SMOOTHING;
+        if was_usable && !replica.breaker.usable(now) {
+            log_ejected(replica, reason);
         }
     }
 
@@ -282,11 +297,11 @@
     /// more; each request sent there would be refused and cost a retry.
     pub fn record_misdirected(&mut self, now: Micros, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.misdirected.exclude(now);
-            replica.idle.clear();
-            left_out(replica, "another target has its address");
+            replica.exclusion.exclude(now);
+            replica.connections.clear();
+            log_ejected(replica, "another target has its address");
         }
-        self.supersede();
+        self.mark_superseded();
     }
 
     /// Notes that a target can't be reached.
@@ -294,25 +309,25 @@
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        replica.idle.clear();
-        let before = replica.breaker.usable(now);
+        replica.connections.clear();
+        let was_usable = replica.breaker.usable(now);
         replica
             .breaker
             .unreachable(&circuit_breaker::Config::default(), now);
-        if before {
-            left_out(replica, reason);
+        if was_usable {
+            log_ejected(replica, reason);
         }
     }
 }
 
-fn part(held: &Held) -> Part {
+fn expected_part(held: &Held) -> Part {
     Part {
         id: PartId(held.part),
         tokens: held.tokens,
     }
 }
 
-fn left_out(replica: &Replica, reason: &str) {
+fn log_ejected(replica: &Replica, reason: &str) {
     log::event(&Event::LeftOut {
         target: &replica.target.boot.id,
         reason,
@@ -320,14 +335,14 @@
     });
 }
 
-fn word(state: State) -> &'static str {
+fn state_name(state: State) -> &'static str {
     match state {
         State::Ready => "ready",
         State::Draining => "draining",
     }
 }
 
-fn tell(target: &Target, state: &str) {
+fn log_state(target: &Target, state: &str) {
     log::event(&Event::Target {
         target: &target.boot.id,
         addr: target.addr.to_string(),
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -30,36 +30,36 @@
 use crate::world::Source;
 
 /// Pause after a read that failed.
-const AGAIN: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// What entries tell one another of the list.
 #[derive(Debug, Default)]
-pub(super) struct Shared {
+pub(super) struct ListState {
     pollers: RefCell<Pollers>,
     /// Hash of the list as this entry last read it; 0 before.
-    own: Cell<u64>,
+    own_hash: Cell<u64>,
     changed: Notify,
     /// The reader that has last found something new.
     finder: Cell<Option<SocketAddr>>,
 }
 
-impl Shared {
+impl ListState {
     /// Whether the list has been read once.
-    pub(super) fn read(&self) -> bool {
-        self.own.get() != 0
+    pub(super) fn is_read(&self) -> bool {
+        self.own_hash.get() != 0
     }
 
     /// Waits until another entry finds something new.
-    async fn found(&self) {
+    async fn change_found(&self) {
         while self.finder.get().is_none() {
             self.changed.notified().await;
         }
     }
 
     /// Takes over what another entry has found; tells whether that is what this one knows.
-    pub(super) fn hear(&self, now: Micros, listed: Listed, from: SocketAddr) -> bool {
+    pub(super) fn record_poll(&self, now: Micros, listed: Listed, from: SocketAddr) -> bool {
         self.pollers.borrow_mut().record(now, listed.rank);
-        let same = listed.hash == self.own.get();
+        let same = listed.hash == self.own_hash.get();
         if !same {
             self.finder.set(Some(from));
             self.changed.notify_one();
@@ -79,18 +79,18 @@
     let mut era = ctx.node.era.subscribe();
     loop {
         if let Some(finder) = ctx.list.finder.take() {
-            if ask(&ctx, finder).await {
+            if fetch_from(&ctx, finder).await {
                 wait(&ctx, rank, &mut era).await;
                 continue;
             }
         }
-        let asked = ctx.now();
+        let started = ctx.now();
         // A call may hang for longer than a target that leaves may still be used; who has found
         // something new meanwhile is asked instead.
         let read = tokio::select! {
             biased;
             read = read(&ctx, &mut store) => read,
-            () = ctx.list.found() => continue,
+            () = ctx.list.change_found() => continue,
         };
         note_era(&ctx.node, &mut store);
         if matches!(read, Err(StoreError::Gone | StoreError::OutdatedEra(..))) {
@@ -99,12 +99,12 @@
         }
         dependency.note(&read);
         let now = ctx.now();
-        meter::span(meter::STORE, now.since(asked).into());
-        ctx.gauges();
+        meter::span(meter::STORE, now.since(started).into());
+        ctx.update_gauges();
         match read {
             Ok(list) => {
-                take(&ctx, list, "store");
-                tell(&ctx, rank);
+                apply(&ctx, list, "store");
+                announce(&ctx, rank);
                 wait(&ctx, rank, &mut era).await;
             }
             Err(_) => {
@@ -113,7 +113,7 @@
                 if let Some(list) = peer::targets(&ctx.node, entries).await {
                     adopt(&ctx, list);
                 }
-                sleep(AGAIN).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -148,7 +148,7 @@
 /// Asks the reader that has found something new. If all entries read instead, each change of the list
 /// would be as many calls to the store as there are entries: 11 and 15 in a hundred of all calls of two
 /// fleets with 31 and 28 entries on a day with many crashes.
-async fn ask(ctx: &Ctx, finder: SocketAddr) -> bool {
+async fn fetch_from(ctx: &Ctx, finder: SocketAddr) -> bool {
     match peer::targets(&ctx.node, [finder]).await {
         Some(list) => adopt(ctx, list),
         None => false,
@@ -164,16 +164,16 @@
     };
     if own.is_none_or(|own| list.rows.at > own) {
         ctx.node.raise_era(list.rows.at.era, Source::Peer);
-        take(ctx, list, "peer");
+        apply(ctx, list, "peer");
         return true;
     }
     let listed = ctx.fleet.borrow().replicas.len();
-    note(ctx, "peer", listed, list.at, false);
+    log_listed(ctx, "peer", listed, list.at, false);
     false
 }
 
 /// Takes over a list, and tells of it if it says something new or lacks targets that are kept.
-fn take(ctx: &Ctx, list: peer::List, source: &str) {
+fn apply(ctx: &Ctx, list: peer::List, source: &str) {
     let (at, position) = (list.at, list.rows.at);
     let targets = {
         let mut world = ctx.node.world.borrow_mut();
@@ -182,23 +182,23 @@
             true => own.merge(at, list.rows),
             false => own.replace(at, list.rows),
         }
-        targets(own.rows())
+        decode_targets(own.rows())
     };
     let listed = targets.len();
-    let known = ctx.list.own.replace(hash(&targets));
-    let config = lapse_config(ctx);
+    let previous = ctx.list.own_hash.replace(list_hash(&targets));
+    let config = row_expiry_config(ctx);
     ctx.fleet
         .borrow_mut()
         .apply_list(at, position, targets, &config);
-    suspects::ended(ctx);
+    suspects::record_ended_targets(ctx);
     let missing = ctx.fleet.borrow().missing_count() > 0;
-    if missing || ctx.list.own.get() != known {
-        note(ctx, source, listed, at, true);
+    if missing || ctx.list.own_hash.get() != previous {
+        log_listed(ctx, source, listed, at, true);
     }
 }
 
 /// Tells of a list.
-fn note(ctx: &Ctx, source: &str, targets: usize, at: Micros, taken: bool) {
+fn log_listed(ctx: &Ctx, source: &str, targets: usize, at: Micros, taken: bool) {
     log::event(&Event::Listed {
         source,
         targets,
@@ -209,8 +209,8 @@
 }
 
 /// Tells the other entries what was found, if this one is a reader.
-fn tell(ctx: &Ctx, rank: u64) {
-    let hash = ctx.list.own.get();
+fn announce(ctx: &Ctx, rank: u64) {
+    let hash = ctx.list.own_hash.get();
     if !ctx.list.pollers.borrow().should_poll(ctx.now(), rank) {
         return;
     }
@@ -228,7 +228,7 @@
 
 /// Hash of what decides where requests may go. Weights aren't in it: they change at every engine
 /// with each new version, and sidecars tell of them sooner.
-fn hash(targets: &[Target]) -> u64 {
+fn list_hash(targets: &[Target]) -> u64 {
     let mut targets: Vec<_> = targets.iter().collect();
     targets.sort_by(|a, b| a.boot.cmp(&b.boot));
     let mut hash = Xxh3::new();
@@ -265,7 +265,7 @@
 }
 
 /// How rows lapse on this platform.
-fn lapse_config(ctx: &Ctx) -> row_expiry::Config {
+fn row_expiry_config(ctx: &Ctx) -> row_expiry::Config {
     row_expiry::Config {
         heartbeat: ctx.node.settings.borrow().heartbeat.into(),
         ..row_expiry::Config::default()
@@ -273,7 +273,7 @@
 }
 
 /// The targets that can be used; entries that can't be read name none.
-fn targets<'a>(rows: impl Iterator<Item = &'a Row>) -> Vec<Target> {
+fn decode_targets<'a>(rows: impl Iterator<Item = &'a Row>) -> Vec<Target> {
     let mut targets = Vec::new();
     for row in rows {
         let Some(value) = &row.value else {
--- a/crates/gate/src/entry/listen.rs
+++ b/crates/gate/src/entry/listen.rs
@@ -29,13 +29,13 @@
 use crate::log::{self, Event};
 
 /// How often connections are looked over.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause after a connection couldn't be taken, as when descriptors have run out.
-const REFUSED: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The HTTP library's least buffer for a head.
-const LEAST_HEAD: usize = 8_192;
+const MIN_HEAD_BUFFER: usize = 8_192;
 /// Longest head before a configuration is there.
-const HEAD: usize = 16_384;
+const DEFAULT_MAX_HEAD: usize = 16_384;
 
 /// What a connection does.
 #[derive(Clone, Copy, Debug)]
@@ -50,28 +50,28 @@
 
 /// A connection as seen from outside it.
 #[derive(Debug)]
-pub(super) struct Watch {
+pub(super) struct ConnectionState {
     phase: Cell<Phase>,
-    leave: Notify,
+    close: Notify,
 }
 
-impl Watch {
+impl ConnectionState {
     /// Notes that a request's head is in.
-    pub(super) fn busy(&self) {
+    pub(super) fn set_busy(&self) {
         self.phase.set(Phase::Busy);
     }
 
     /// Notes that an answer has ended.
-    pub(super) fn idle(&self) {
+    pub(super) fn set_idle(&self) {
         self.phase.set(Phase::Idle(Instant::now()));
     }
 }
 
 /// All connections of callers.
 #[derive(Debug, Default)]
-pub(super) struct Connections(Slab<Rc<Watch>>);
+pub(super) struct CallerConnections(Slab<Rc<ConnectionState>>);
 
-impl Connections {
+impl CallerConnections {
     /// Whether there is none.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -79,19 +79,19 @@
 
     /// Closes those without a request, and others once they have answered theirs.
     pub(super) fn close_idle(&self) {
-        self.0.iter().for_each(|(_, w)| w.leave.notify_one());
+        self.0.iter().for_each(|(_, c)| c.close.notify_one());
     }
 
     /// Closes those that have been idle or arriving for too long.
     fn close_late(&self, limits: site::Limits) {
-        for (_, w) in &self.0 {
-            let late = match w.phase.get() {
+        for (_, c) in &self.0 {
+            let late = match c.phase.get() {
                 Phase::Idle(since) => since.elapsed() > limits.idle_timeout,
                 Phase::Arriving(since) => since.elapsed() > limits.head_timeout,
                 Phase::Busy => false,
             };
             if late {
-                w.leave.notify_one();
+                c.close.notify_one();
             }
         }
     }
@@ -109,19 +109,19 @@
     };
     let listener = TcpListener::bind(callers).await?;
     let callers = listener.local_addr()?;
-    let mut asked = callers;
+    let mut ready_addr = callers;
     if let Some(ready) = ready.filter(|r| *r != callers) {
         let listener = TcpListener::bind(ready).await?;
-        asked = listener.local_addr()?;
+        ready_addr = listener.local_addr()?;
         tokio::task::spawn_local(accept(Rc::clone(ctx), listener, Port::Ready));
     }
     log::event(&Event::Listening {
         callers: callers.to_string(),
-        ready: asked.to_string(),
+        ready: ready_addr.to_string(),
         peer: ctx.node.settings.borrow().peer.to_string(),
     });
     let listening = tokio::task::spawn_local(accept(Rc::clone(ctx), listener, Port::Callers));
-    tokio::task::spawn_local(look_over(Rc::clone(ctx)));
+    tokio::task::spawn_local(close_late_connections(Rc::clone(ctx)));
     Ok(listening.abort_handle())
 }
 
@@ -137,7 +137,7 @@
         let tcp = match listener.accept().await {
             Ok((tcp, _)) => tcp,
             Err(_) => {
-                sleep(REFUSED).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -147,16 +147,16 @@
         }
         match port {
             Port::Callers => {
-                tokio::task::spawn_local(connection(Rc::clone(&ctx), tcp));
+                tokio::task::spawn_local(handle_connection(Rc::clone(&ctx), tcp));
             }
             Port::Ready => {
-                tokio::task::spawn_local(questions(Rc::clone(&ctx), tcp));
+                tokio::task::spawn_local(serve_readiness(Rc::clone(&ctx), tcp));
             }
         }
     }
 }
 
-async fn questions(ctx: Ctx, tcp: TcpStream) {
+async fn serve_readiness(ctx: Ctx, tcp: TcpStream) {
     let answer = service_fn(|_: Request<Incoming>| {
         let status = match is_ready(&ctx) {
             true => StatusCode::OK,
@@ -177,44 +177,47 @@
     ctx.node.plan().is_some() && !ctx.node.stopping.get()
 }
 
-async fn look_over(ctx: Ctx) {
+async fn close_late_connections(ctx: Ctx) {
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         if let Some(plan) = ctx.node.plan() {
             ctx.connections.borrow().close_late(plan.limits());
         }
     }
 }
 
-async fn connection(ctx: Ctx, tcp: TcpStream) {
-    let watch = Rc::new(Watch {
+async fn handle_connection(ctx: Ctx, tcp: TcpStream) {
+    let state = Rc::new(ConnectionState {
         phase: Cell::new(Phase::Idle(Instant::now())),
-        leave: Notify::new(),
+        close: Notify::new(),
     });
-    let key = ctx.connections.borrow_mut().0.insert(Rc::clone(&watch));
-    drive(&ctx, tcp, &watch).await;
+    let key = ctx.connections.borrow_mut().0.insert(Rc::clone(&state));
+    drive(&ctx, tcp, &state).await;
     ctx.connections.borrow_mut().0.remove(key);
 }
 
-async fn drive(ctx: &Ctx, tcp: TcpStream, watch: &Rc<Watch>) {
-    let io = TokioIo::new(Watched {
+async fn drive(ctx: &Ctx, tcp: TcpStream, state: &Rc<ConnectionState>) {
+    let io = TokioIo::new(MonitoredStream {
         tcp,
-        watch: Rc::clone(watch),
+        state: Rc::clone(state),
     });
-    let head = ctx.node.plan().map_or(HEAD, |p| p.limits().max_head);
+    let head = ctx
+        .node
+        .plan()
+        .map_or(DEFAULT_MAX_HEAD, |p| p.limits().max_head);
     let service = service_fn(|request| {
-        watch.busy();
-        serve::serve(Rc::clone(ctx), Rc::clone(watch), request)
+        state.set_busy();
+        serve::serve(Rc::clone(ctx), Rc::clone(state), request)
     });
     let conn = http1::Builder::new()
-        .max_buf_size(head.max(LEAST_HEAD))
+        .max_buf_size(head.max(MIN_HEAD_BUFFER))
         .serve_connection(io, service);
     let mut conn = pin!(conn);
     loop {
         tokio::select! {
             // Broken connections and torn requests end here; requests that were read log their own end.
             _ = &mut conn => return,
-            () = watch.leave.notified() => match watch.phase.get() {
+            () = state.close.notified() => match state.phase.get() {
                 Phase::Arriving(_) => return,
                 Phase::Idle(_) | Phase::Busy => conn.as_mut().graceful_shutdown(),
             }
@@ -223,12 +226,12 @@
 }
 
 /// A caller's connection that notes when a head begins to arrive.
-struct Watched {
+struct MonitoredStream {
     tcp: TcpStream,
-    watch: Rc<Watch>,
+    state: Rc<ConnectionState>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -236,14 +239,14 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.tcp).poll_read(cx, buf);
-        if buf.filled().len() > before && matches!(self.watch.phase.get(), Phase::Idle(_)) {
-            self.watch.phase.set(Phase::Arriving(Instant::now()));
+        if buf.filled().len() > before && matches!(self.state.phase.get(), Phase::Idle(_)) {
+            self.state.phase.set(Phase::Arriving(Instant::now()));
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -48,16 +48,16 @@
 
 /// How long a stopping process goes on taking what comes on open connections; the balancer needs
 /// two misses, a second apart, to send nothing new.
-const LAME: Duration = Duration::from_millis(2_600);
+const LAME_DUCK_PERIOD: Duration = Duration::from_millis(2_600);
 /// The end of the grace that is kept for ending the process.
-const MARGIN: Duration = Duration::from_millis(300);
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
 /// Pause between two looks whether the sidecars are known yet; short beside a first request's wait.
-const LOOK: Duration = Duration::from_millis(20);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time after which sidecars that aren't known have not started with this process.
-const START: Micros = Micros::from_secs(4);
+const STARTUP_PERIOD: Micros = Micros::from_secs(4);
 /// Pause between two looks then.
-const AGAIN: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// An entry's context.
 pub type Ctx = Rc<Entry>;
@@ -70,15 +70,15 @@
     /// What it believes of the targets.
     pub fleet: RefCell<Fleet>,
     /// Its part of each pool's retries.
-    budgets: RefCell<HashMap<String, retry_budget::Budget>>,
+    retry_budgets: RefCell<HashMap<String, retry_budget::Budget>>,
     /// Who reads the platform's list, and what was found.
-    list: list::Shared,
+    list: list::ListState,
     /// Requests that crash targets.
     suspects: RefCell<suspects::Suspects>,
     /// Engines that this entry is the delegate of.
     delegates: RefCell<delegate::Delegates>,
     /// The work that prompts have brought of late.
-    work: RefCell<length_partition::RecentWork>,
+    recent_work: RefCell<length_partition::RecentWork>,
     /// How fast engines read, by pool.
     prefill_rates: RefCell<HashMap<String, PrefillRate>>,
     /// Receives and sends updates.
@@ -86,7 +86,7 @@
     /// Whether it takes no more requests, since it is about to end.
     closing: Cell<bool>,
     /// Its callers' connections.
-    connections: RefCell<listen::Connections>,
+    connections: RefCell<listen::CallerConnections>,
 }
 
 impl Entry {
@@ -96,11 +96,11 @@
     }
 
     /// Brings the gauges up to date.
-    fn gauges(&self) {
+    fn update_gauges(&self) {
         let fleet = self.fleet.borrow();
         let running: u32 = fleet.replicas.values().map(|r| r.inflight).sum();
         meter::set(meter::RUNNING, running.into());
-        for (pool, budget) in self.budgets.borrow().iter() {
+        for (pool, budget) in self.retry_budgets.borrow().iter() {
             metrics::gauge!(meter::RETRIES, "pool" => pool.clone()).set(budget.remaining());
         }
         let world = self.node.world.borrow();
@@ -122,7 +122,7 @@
 
     /// Tells the other entries what an engine was sent to read, so that they don't send the same
     /// opening to be read elsewhere.
-    fn tell_expected(&self, engine: std::net::SocketAddr, scope: &Scope, parts: &[Part]) {
+    fn announce_expected(&self, engine: std::net::SocketAddr, scope: &Scope, parts: &[Part]) {
         let held = |p: &Part| Held {
             scope: scope.key(),
             part: p.id.0,
@@ -138,18 +138,18 @@
     }
 
     /// Lets a decision use a pool's pace of reading.
-    fn prefill_rate<T>(&self, pool: &str, use_it: impl FnOnce(&mut PrefillRate) -> T) -> T {
+    fn prefill_rate<T>(&self, pool: &str, f: impl FnOnce(&mut PrefillRate) -> T) -> T {
         let mut prefill_rates = self.prefill_rates.borrow_mut();
         match prefill_rates.get_mut(pool) {
-            Some(p) => use_it(p),
-            None => use_it(prefill_rates.entry(pool.to_owned()).or_default()),
+            Some(p) => f(p),
+            None => f(prefill_rates.entry(pool.to_owned()).or_default()),
         }
     }
 
     /// Lets a decision use a pool's budget of retries.
-    fn budget<T>(&self, pool: &str, use_it: impl FnOnce(&mut retry_budget::Budget) -> T) -> T {
-        let mut budgets = self.budgets.borrow_mut();
-        if !budgets.contains_key(pool) {
+    fn retry_budget<T>(&self, pool: &str, f: impl FnOnce(&mut retry_budget::Budget) -> T) -> T {
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        if !retry_budgets.contains_key(pool) {
             let bounds = self.node.settings.borrow().bounds;
             let config = retry_budget::Config {
                 ratio: bounds.retry_ratio,
@@ -157,12 +157,12 @@
                 entries: self.node.world.borrow().entries().count() + 1,
                 window: bounds.retry_window.into(),
             };
-            budgets.insert(pool.to_owned(), retry_budget::Budget::new(config));
+            retry_budgets.insert(pool.to_owned(), retry_budget::Budget::new(config));
         }
-        match budgets.get_mut(pool) {
+        match retry_budgets.get_mut(pool) {
             Some(b) => {
                 b.set_entries(self.node.world.borrow().entries().count() + 1);
-                use_it(b)
+                f(b)
             }
             None => unreachable!("inserted above"),
         }
@@ -178,19 +178,19 @@
     let ctx: Ctx = Rc::new(Entry {
         node,
         fleet: RefCell::default(),
-        budgets: RefCell::default(),
-        list: list::Shared::default(),
+        retry_budgets: RefCell::default(),
+        list: list::ListState::default(),
         suspects: RefCell::default(),
         delegates: RefCell::default(),
-        work: RefCell::default(),
+        recent_work: RefCell::default(),
         prefill_rates: RefCell::default(),
         socket: Rc::new(socket),
         closing: Cell::new(false),
         connections: RefCell::default(),
     });
     tokio::task::spawn_local(list::follow(Rc::clone(&ctx)));
-    tokio::task::spawn_local(hear(Rc::clone(&ctx)));
-    tokio::task::spawn_local(ask(Rc::clone(&ctx)));
+    tokio::task::spawn_local(receive_updates(Rc::clone(&ctx)));
+    tokio::task::spawn_local(subscribe(Rc::clone(&ctx)));
     tokio::task::spawn_local(delegate::run(Rc::clone(&ctx)));
     tokio::task::spawn_local(kept::follow(
         Rc::clone(&ctx.node),
@@ -198,8 +198,8 @@
         kept::Stores::default(),
     ));
     let listening = listen::serve(&ctx).await?;
-    let told = stop.await;
-    leave(&ctx, told, &listening).await;
+    let stopped_at = stop.await;
+    shut_down(&ctx, stopped_at, &listening).await;
     Ok(())
 }
 
@@ -208,16 +208,21 @@
 /// A sidecar tells one who asks for the first time all that is held. By itself it tells that every few
 /// seconds only, and until then each subject would be read again, wherever its request goes: after all
 /// processes of nine engines and six entries had been killed at once, 240,000 tokens in four seconds.
-async fn ask(ctx: Ctx) {
+async fn subscribe(ctx: Ctx) {
     loop {
-        let wanted = wanted(&ctx);
-        if wanted.is_empty() {
-            sleep(if ctx.now() < START { LOOK } else { AGAIN }).await;
+        let sidecars = select_sidecars(&ctx);
+        if sidecars.is_empty() {
+            sleep(if ctx.now() < STARTUP_PERIOD {
+                STARTUP_POLL_INTERVAL
+            } else {
+                POLL_INTERVAL
+            })
+            .await;
             continue;
         }
         let mut all_confirmed = true;
-        for sidecar in wanted {
-            let life = ctx
+        for sidecar in sidecars {
+            let incarnation = ctx
                 .fleet
                 .borrow()
                 .incarnation(ctx.now(), sidecar)
@@ -225,11 +230,11 @@
                     id: b.id.clone(),
                     born: b.born,
                 });
-            all_confirmed &= life.is_some();
+            all_confirmed &= incarnation.is_some();
             let update = Update {
                 entry: true,
                 asks: true,
-                life,
+                life: incarnation,
                 ..Update::default()
             };
             update::send(&ctx.socket, &update, [sidecar]);
@@ -239,7 +244,7 @@
 }
 
 /// The sidecars that this entry hears.
-fn wanted(ctx: &Ctx) -> Vec<SocketAddr> {
+fn select_sidecars(ctx: &Ctx) -> Vec<SocketAddr> {
     let (own, domain) = {
         let s = ctx.node.settings.borrow();
         (xxh3_64(s.host.as_bytes()), domain_key(&s.domain))
@@ -254,11 +259,11 @@
 }
 
 /// Takes over what sidecars tell.
-async fn hear(ctx: Ctx) {
+async fn receive_updates(ctx: Ctx) {
     loop {
         let (update, from) = update::receive(&ctx.socket).await;
         let now = ctx.now();
-        delegate::received(&ctx, from);
+        delegate::record_datagram(&ctx, from);
         if let Some(listed) = update.list {
             let known = ctx.node.era.borrow().unwrap_or_default();
             if listed.era < known {
@@ -266,24 +271,24 @@
                 continue;
             }
             ctx.node.raise_era(listed.era, Source::Peer);
-            if ctx.list.hear(now, listed, from) {
+            if ctx.list.record_poll(now, listed, from) {
                 ctx.fleet.borrow_mut().confirm_list(now);
             }
             continue;
         }
         if let Some(strike) = update.strike {
-            suspects::hear(&ctx, strike, from);
+            suspects::receive(&ctx, strike, from);
             continue;
         }
         if let Some(note) = update.note {
-            delegate::prompt(&ctx, update.delegate, note);
+            delegate::receive_note(&ctx, update.delegate, note);
             continue;
         }
         ctx.fleet.borrow_mut().apply_update(now, &update, from);
         if !update.entry && !update.kept {
-            delegate::receive(&ctx, &update, from);
+            delegate::receive_update(&ctx, &update, from);
         }
-        suspects::ended(&ctx);
+        suspects::record_ended_targets(&ctx);
     }
 }
 
@@ -291,10 +296,10 @@
 /// then nothing new taken and connections closed as they fall idle. Where the balancer has nobody
 /// else in the domain, it goes on sending to a process that isn't ready; what came too late to be
 /// finished within the grace would be cut with the process.
-async fn leave(ctx: &Ctx, told: Instant, listening: &AbortHandle) {
+async fn shut_down(ctx: &Ctx, stopped_at: Instant, listening: &AbortHandle) {
     ctx.node.stopping.set(true);
-    let end = told + ctx.node.settings.borrow().bounds.grace - MARGIN;
-    sleep(LAME).await;
+    let end = stopped_at + ctx.node.settings.borrow().bounds.grace - EXIT_MARGIN;
+    sleep(LAME_DUCK_PERIOD).await;
     ctx.closing.set(true);
     listening.abort();
     ctx.connections.borrow().close_idle();
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -12,26 +12,26 @@
 use site::{Boot, Engine, Plan, Prompt, Scope};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::candidates::View;
+use super::candidates::CandidateBuilder;
 use super::fleet::{Fleet, ReplicaKey};
 use super::plain::pick_plain;
 use super::refuse::Reason;
-use super::replica::{holds, Replica};
+use super::replica::{held_prefix, Replica};
 use super::request::Job;
-use super::usable::{all_load, heard, open};
+use super::usable::{all_loading, eligible_targets, with_recent_report};
 use super::{suspects, Ctx};
 
 /// Milliseconds between the first and the last engine in a subject's own order; entries that know
 /// nothing of one another's choices then read a new opening on the same engine.
-const ORDER: f64 = 12.0;
+const MAX_ORDER_PENALTY: f64 = 12.0;
 /// Part of the time to read an opening anew that keeps its first readers at one engine.
-const COLD: f64 = 0.6;
+const COLD_PENALTY_SHARE: f64 = 0.6;
 /// Shared tokens that are worth keeping at least; fewer are read as fast as they are fetched.
-const LEAST_KEPT: u32 = 500;
+const MIN_SAVED_TOKENS: u32 = 500;
 /// Longest own part of a prompt that is kept, as a multiple of the shared tokens that it adds.
-const OWN_KEPT: f64 = 0.6;
+const MAX_OWN_RATIO: f64 = 0.6;
 /// Milliseconds of waiting up to which an engine counts as idle; some requests that it answers.
-const IDLE: f64 = 10.0;
+const MAX_IDLE_WAIT_MS: f64 = 10.0;
 
 /// A target for a request, and how to use it.
 #[derive(Clone, Debug)]
@@ -53,16 +53,16 @@
     /// Tokens of the prompt that it holds.
     pub(super) held: u32,
     /// Tokens of shared parts that it reads.
-    pub(super) cold: u32,
+    pub(super) shared_prefill_tokens: u32,
     /// Tokens of the prompt that it reads.
-    pub(super) read: u32,
+    pub(super) prefill_tokens: u32,
     /// Milliseconds until the first token, or the share of its places in use.
     pub(super) estimate: f64,
     /// Whether the prompt finds the engine idle and fetches nothing, so that the time to its first token
     /// tells how fast prompts are read.
-    pub(super) idle: bool,
+    pub(super) measures_prefill: bool,
     /// Age of what is believed of its load.
-    pub(super) age: Option<Micros>,
+    pub(super) load_age: Option<Micros>,
 }
 
 /// Chooses a target.
@@ -86,24 +86,24 @@
         let s = ctx.node.settings.borrow();
         (s.domain.clone(), Micros::from(s.bounds.weights_deadline))
     };
-    let named = ctx.node.world.borrow().named.get(&prompt.model).cloned();
+    let announced = ctx.node.world.borrow().named.get(&prompt.model).cloned();
     let fleet = ctx.fleet.borrow();
-    let wall = job.team.as_deref().filter(|_| job.walled);
+    let isolated_team = job.team.as_deref().filter(|_| job.isolated);
     let scope = |r: &Replica| {
         let version = r.weights.get(&prompt.model)?;
-        Some(Scope::new(&prompt.model, *version, wall))
+        Some(Scope::new(&prompt.model, *version, isolated_team))
     };
-    let named = named.unwrap_or_default();
+    let announced = announced.unwrap_or_default();
     let may_begin = |r: &Replica, wait: Micros| {
         let version = r.weights.get(&prompt.model);
-        let outdated = version.map(|v| named.outdated(now, *v).unwrap_or_default());
+        let outdated = version.map(|v| announced.outdated(now, *v).unwrap_or_default());
         outdated.is_some_and(|age| versions::may_begin(allowed, age, wait))
     };
-    let current = |r: &Replica| may_begin(r, Micros::ZERO);
+    let is_current = |r: &Replica| may_begin(r, Micros::ZERO);
     let suspect = suspects::verdict(ctx, job) == Suspect;
-    let open = heard(open(&fleet, job, now, suspect, current), now);
-    if let Some(left) = all_load(&open, now) {
-        return Err(Reason::Loading { left });
+    let eligible = with_recent_report(eligible_targets(&fleet, job, now, suspect, is_current), now);
+    if let Some(remaining) = all_loading(&eligible, now) {
+        return Err(Reason::Loading { remaining });
     }
     let subject = prompt.shared().last().map_or(0, |p| p.id.0);
     let known = fleet
@@ -111,38 +111,39 @@
         .values()
         .map(|r| scope(r).map_or(0, |s| r.will_hold(now, s.key(), prompt.shared())));
     let missing = prompt.shared_tokens() - known.max().unwrap_or_default();
-    let suffers = plan.routes_to(&job.pool).any(|route| {
+    let stalls = plan.routes_to(&job.pool).any(|route| {
         route.mode.is_stream()
             && length_partition::stalls_streams(
                 engine.tokens_per_event,
                 route.event_gap_goal.as_secs_f64() * 1e3,
             )
     });
-    let read = ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
-    let view = View {
+    let prefill_per_token = ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
+    let builder = CandidateBuilder {
         now,
         domain: &domain,
         prompt,
         engine,
-        named: &named,
+        announced: &announced,
         subject,
-        long: long(&fleet, &ctx.work.borrow(), &job.pool, suffers),
-        order: ORDER + f64::from(missing) * read * COLD,
-        read,
+        long_engines: long_engines(&fleet, &ctx.recent_work.borrow(), &job.pool, stalls),
+        max_order_penalty: MAX_ORDER_PENALTY
+            + f64::from(missing) * prefill_per_token * COLD_PENALTY_SHARE,
+        prefill_per_token,
     };
     // Engines of one version share their sources; two or three versions are about at a time.
     let mut sources: HashMap<u64, Sources<SocketAddr>> = HashMap::new();
-    for (_, r) in &open {
+    for (_, r) in &eligible {
         let (Some(scope), Some(version)) = (scope(r), r.weights.get(&prompt.model)) else {
             continue;
         };
-        let all = || view.sources(&fleet, plan, job, scope.key(), *version);
+        let all = || builder.sources(&fleet, plan, job, scope.key(), *version);
         sources.entry(scope.key()).or_insert_with(all);
     }
-    let candidates = open.iter().filter_map(|(key, r)| {
+    let candidates = eligible.iter().filter_map(|(key, r)| {
         let scope = scope(r)?.key();
         let held = r.will_hold(now, scope, &prompt.parts);
-        let candidate = view.candidate(*key, r, held);
+        let candidate = builder.candidate(*key, r, held);
         let wait = Micros::from_millis(candidate.wait as u64);
         may_begin(r, wait).then_some((candidate, sources.get(&scope)?))
     });
@@ -151,14 +152,14 @@
         wait: choice.wait,
         prefill: (choice.ttft - choice.wait).max(0.0),
         latency_goal: job.route.latency_goal.as_secs_f64() * 1e3,
-        time_left: job.left(now).as_secs_f64() * 1e3,
+        time_left: job.time_left(now).as_secs_f64() * 1e3,
     };
     // What has run can't be refused any more: its caller gets the rest now, also late, or never.
-    let fresh = job.runs == 0;
-    if let (Decision::Refuse(over), true) = (latency_admission::decide(&estimate), fresh) {
+    let not_run_yet = job.run_count == 0;
+    if let (Decision::Refuse(excess), true) = (latency_admission::decide(&estimate), not_run_yet) {
         return Err(Reason::Late {
             wait: Micros::from_millis(choice.wait as u64),
-            over: Micros::from_millis(over as u64),
+            excess: Micros::from_millis(excess as u64),
         });
     }
     let own = prompt.input_tokens.saturating_sub(prompt.shared_tokens());
@@ -174,15 +175,15 @@
         fetch: choice.fetch,
         save: scope
             .as_ref()
-            .and_then(|s| save(&fleet, plan, prompt, s.key())),
+            .and_then(|s| store_to_save_in(&fleet, plan, prompt, s.key())),
         weights: r.weights.get(&prompt.model).copied(),
         scope,
         held,
-        cold: choice.prefill_tokens.saturating_sub(own),
-        read: choice.prefill_tokens,
-        idle: choice.fetch.is_none() && choice.wait <= IDLE,
+        shared_prefill_tokens: choice.prefill_tokens.saturating_sub(own),
+        prefill_tokens: choice.prefill_tokens,
+        measures_prefill: choice.fetch.is_none() && choice.wait <= MAX_IDLE_WAIT_MS,
         estimate: choice.ttft,
-        age: r.agent_report.map(|h| now.since(h.at)),
+        load_age: r.agent_report.map(|report| now.since(report.at)),
     })
 }
 
@@ -191,26 +192,26 @@
 /// An engine sends the whole prompt, its own last part too, which nobody will ask for again. Prompts
 /// whose own part is long beside what they would add are left for a later, shorter one of the same
 /// subject, or the store would be full of what is of no use.
-fn save(fleet: &Fleet, plan: &Plan, prompt: &Prompt, scope: u64) -> Option<SocketAddr> {
+fn store_to_save_in(fleet: &Fleet, plan: &Plan, prompt: &Prompt, scope: u64) -> Option<SocketAddr> {
     let subject = prompt.shared().last()?.id.0;
     let rank = |a: &SocketAddr| xxh3_64_with_seed(a.to_string().as_bytes(), subject);
     let stores = plan.kv_stores().iter().map(|k| k.addr);
     let store = stores.min_by_key(rank)?;
-    let held = &fleet.kept.get(&store)?.held;
-    let missing = prompt.shared_tokens() - holds(held, scope, prompt.shared());
+    let held = &fleet.kv_stores.get(&store)?.held;
+    let missing = prompt.shared_tokens() - held_prefix(held, scope, prompt.shared());
     let own = prompt.input_tokens.saturating_sub(prompt.shared_tokens());
-    let worth = missing >= LEAST_KEPT && f64::from(own) <= f64::from(missing) * OWN_KEPT;
+    let worth = missing >= MIN_SAVED_TOKENS && f64::from(own) <= f64::from(missing) * MAX_OWN_RATIO;
     worth.then_some(store)
 }
 
 /// The engines of a pool that are for long prompts, in an order that all entries see.
-fn long(
+fn long_engines(
     fleet: &Fleet,
     work: &length_partition::RecentWork,
     pool: &str,
-    suffers: bool,
+    stalls: bool,
 ) -> Option<HashSet<String>> {
-    if !suffers {
+    if !stalls {
         return None;
     }
     let engines = fleet.replicas.values().filter(|r| r.target.pool == pool);
--- a/crates/gate/src/entry/plain.rs
+++ b/crates/gate/src/entry/plain.rs
@@ -7,11 +7,11 @@
 use super::refuse::Reason;
 use super::replica::Replica;
 use super::request::Job;
-use super::usable::{doubt, open, turn};
+use super::usable::{eligible_targets, failure_factor, start_index};
 use super::{suspects, Ctx};
 
 /// Age up to which a target's own count counts.
-const LOAD: Micros = Micros::from_millis(400);
+const LOAD_LIFETIME: Micros = Micros::from_millis(400);
 
 /// Chooses a target of a plain service.
 pub(super) fn pick_plain(ctx: &Ctx, job: &Job) -> Result<Pick, Reason> {
@@ -19,9 +19,9 @@
     let domain = ctx.node.settings.borrow().domain.clone();
     let fleet = ctx.fleet.borrow();
     let suspect = suspects::verdict(ctx, job) == Suspect;
-    let open = open(&fleet, job, now, suspect, |_| true);
-    let turn = turn(job, open.len());
-    let candidates = open[turn..].iter().chain(&open[..turn]);
+    let eligible = eligible_targets(&fleet, job, now, suspect, |_| true);
+    let start = start_index(job, eligible.len());
+    let candidates = eligible[start..].iter().chain(&eligible[..start]);
     let best = candidates
         .map(|(key, r)| (*key, *r, plain_cost(r, &domain, now)))
         .min_by(|a, b| a.2.total_cmp(&b.2));
@@ -35,21 +35,21 @@
         scope: None,
         weights: None,
         held: 0,
-        cold: 0,
-        read: 0,
-        idle: false,
+        shared_prefill_tokens: 0,
+        prefill_tokens: 0,
+        measures_prefill: false,
         estimate: cost,
-        age: r.load.map(|(_, at)| now.since(at)),
+        load_age: r.load.map(|(_, at)| now.since(at)),
     })
 }
 
 /// The share of a target's places that would be in use.
 fn plain_cost(r: &Replica, domain: &str, now: Micros) -> f64 {
-    let told = r.load.filter(|(_, at)| now.since(*at) < LOAD);
-    let there = told
+    let load = r.load.filter(|(_, at)| now.since(*at) < LOAD_LIFETIME);
+    let running = load
         .map_or(0, |(l, _)| l.running + l.waiting)
         .max(r.inflight);
     let slots = f64::from(r.target.slots.max(1));
     let far = if r.target.domain == domain { 0.0 } else { 0.1 };
-    ((f64::from(there) + 1.0) / slots + far) * doubt(r, now)
+    ((f64::from(running) + 1.0) / slots + far) * failure_factor(r, now)
 }
--- a/crates/gate/src/entry/refuse.rs
+++ b/crates/gate/src/entry/refuse.rs
@@ -11,16 +11,16 @@
 use policy::loading::RemainingLoad;
 use rand::Rng;
 
-use super::listen::Watch;
-use super::request::{Answer, Job};
+use super::listen::ConnectionState;
+use super::request::{AnswerBody, Job};
 use super::Ctx;
 use crate::log::{self, Event};
 use crate::meter;
 
 /// Part of the time left that a caller is asked to wait at most; callers don't wait for longer.
-const PART: f64 = 1.0 / 3.0;
+const MAX_WAIT_SHARE: f64 = 1.0 / 3.0;
 /// Spread of the time to come back, so that those refused together don't return together.
-const SPREAD: f64 = 0.3;
+const JITTER: f64 = 0.3;
 
 /// Why a request isn't served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,17 +44,17 @@
         /// What waits before it at the best target.
         wait: Micros,
         /// By how much that would have to fall.
-        over: Micros,
+        excess: Micros,
     },
     /// All targets load weights, and refuse what is new until then.
     Loading {
         /// How long the first of them continues.
-        left: RemainingLoad,
+        remaining: RemainingLoad,
     },
     /// It has crashed the targets that ran it.
     Quarantined {
         /// For how long it won't be run at least.
-        left: Micros,
+        remaining: Micros,
     },
     /// Its tries came to nothing, and it ran nowhere.
     NotRun,
@@ -68,7 +68,7 @@
 
 impl Reason {
     /// The word in logs and metrics.
-    pub(super) fn word(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Self::Unconfigured => "unconfigured",
             Self::Stopping => "stopping",
@@ -107,7 +107,7 @@
     }
 
     /// When it is worth coming back, for refusals that say so.
-    fn back(self) -> Option<Duration> {
+    fn retry_after(self) -> Option<Duration> {
         match self {
             // A configuration is read within a few round trips to the store.
             Self::Unconfigured => Some(Duration::from_millis(400)),
@@ -116,8 +116,8 @@
             // A target enters itself in the list with its next heartbeat.
             Self::NoTarget => Some(Duration::from_millis(800)),
             // What waits is worked off in its own length, if as much is turned away as comes.
-            Self::Late { over, .. } => Some(over.into()),
-            Self::Loading { left } => Some(left.time.into()),
+            Self::Late { excess, .. } => Some(excess.into()),
+            Self::Loading { remaining } => Some(remaining.time.into()),
             // A queue as long as an aim has gone by then.
             Self::NotRun => Some(Duration::from_millis(300)),
             _ => None,
@@ -126,84 +126,89 @@
 }
 
 /// Refuses a request that hasn't become a job.
-pub(super) fn early(
+pub(super) fn without_job(
     ctx: &Ctx,
-    watch: &Rc<Watch>,
+    connection: &Rc<ConnectionState>,
     id: &str,
-    came: Micros,
+    received_at: Micros,
     reason: Reason,
-) -> Response<Answer> {
+) -> Response<AnswerBody> {
     refuse(
         ctx,
-        watch,
-        &Refused {
+        connection,
+        &Refusal {
             id,
             route: "",
             attempts: 0,
-            came,
+            received_at,
             version: ctx.node.plan().map_or(0, |p| p.version()),
-            left: None,
+            time_left: None,
             reason,
         },
     )
 }
 
 /// Refuses a job.
-pub(super) fn job(ctx: &Ctx, watch: &Rc<Watch>, job: &Job, reason: Reason) -> Response<Answer> {
+pub(super) fn job(
+    ctx: &Ctx,
+    connection: &Rc<ConnectionState>,
+    job: &Job,
+    reason: Reason,
+) -> Response<AnswerBody> {
     refuse(
         ctx,
-        watch,
-        &Refused {
+        connection,
+        &Refusal {
             id: &job.id,
             route: &job.route.name,
-            attempts: job.sends,
-            came: job.came,
+            attempts: job.send_count,
+            received_at: job.received_at,
             version: job.version,
-            left: Some(job.left(ctx.now())),
+            time_left: Some(job.time_left(ctx.now())),
             reason,
         },
     )
 }
 
 /// What a refusal tells.
-struct Refused<'a> {
+struct Refusal<'a> {
     id: &'a str,
     route: &'a str,
     attempts: u32,
-    came: Micros,
+    received_at: Micros,
     version: u64,
-    left: Option<Duration>,
+    time_left: Option<Duration>,
     reason: Reason,
 }
 
-fn refuse(ctx: &Ctx, watch: &Rc<Watch>, r: &Refused<'_>) -> Response<Answer> {
-    let back = match r.reason {
+fn refuse(ctx: &Ctx, connection: &Rc<ConnectionState>, r: &Refusal<'_>) -> Response<AnswerBody> {
+    let retry_after = match r.reason {
         // One request, so that there is nothing to spread, and no sooner time is true.
-        Reason::Quarantined { left } => Some(left.into()),
-        _ => r.reason.back().map(|b| spread(b, r.left)),
+        Reason::Quarantined { remaining } => Some(remaining.into()),
+        _ => r.reason.retry_after().map(|b| jitter(b, r.time_left)),
     };
     let status = r.reason.status();
-    meter::count(meter::REFUSALS, "reason", r.reason.word());
+    meter::count(meter::REFUSALS, "reason", r.reason.name());
     log::event(&Event::Refused {
         request: r.id,
         route: r.route,
         status: status.as_u16(),
-        reason: r.reason.word(),
+        reason: r.reason.name(),
         attempts: r.attempts,
-        after_ms: ctx.now().since(r.came).as_millis(),
+        after_ms: ctx.now().since(r.received_at).as_millis(),
         version: r.version,
-        retry_ms: back.map(|b| b.as_millis() as u64),
+        retry_ms: retry_after.map(|b| b.as_millis() as u64),
         wait_ms: match r.reason {
             Reason::Late { wait, .. } => Some(wait.as_millis()),
-            Reason::Loading { left } => Some(left.time.as_millis()),
+            Reason::Loading { remaining } => Some(remaining.time.as_millis()),
             _ => None,
         },
     });
-    let mut response = Response::new(empty(watch));
+    let mut response = Response::new(empty(connection));
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    if let Some(back) = back {
-        headers.insert(RETRY_AFTER, platform::caller::retry_after(back));
+    if let Some(retry_after) = retry_after {
+        headers.insert(RETRY_AFTER, platform::caller::retry_after(retry_after));
     }
     // What follows a head or body that wasn't read can't be told from it.
     if matches!(r.reason, Reason::Malformed | Reason::TooLarge) {
@@ -212,13 +217,13 @@
     response
 }
 
-fn spread(back: Duration, left: Option<Duration>) -> Duration {
-    let factor = rand::rng().random_range(1.0 - SPREAD..1.0 + SPREAD);
-    let back = back.mul_f64(factor);
-    left.map_or(back, |l| back.min(l.mul_f64(PART)))
+fn jitter(retry_after: Duration, time_left: Option<Duration>) -> Duration {
+    let factor = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
+    let retry_after = retry_after.mul_f64(factor);
+    time_left.map_or(retry_after, |l| retry_after.min(l.mul_f64(MAX_WAIT_SHARE)))
 }
 
-fn empty(watch: &Rc<Watch>) -> Answer {
+fn empty(connection: &Rc<ConnectionState>) -> AnswerBody {
     let body = Empty::<Bytes>::new().map_err(|e| match e {});
-    Answer::new(body, Rc::clone(watch))
+    AnswerBody::new(body, Rc::clone(connection))
 }
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -18,22 +18,22 @@
 use policy::retry_budget::{Budget, RetryReason};
 use tokio::time::timeout;
 
-use super::attempts::{self, LAST_WORD};
-use super::listen::Watch;
+use super::attempts::{self, ANSWER_GRACE};
+use super::listen::ConnectionState;
 use super::pick;
-use super::request::{Answer, Cut, Job};
-use super::send::{self, Live, Sent};
+use super::request::{AnswerBody, IncompleteAnswer, Job};
+use super::send::{self, LiveAnswer, SendOutcome};
 use super::{suspects, Ctx};
 use crate::log::{self, Event};
 use crate::meter;
 
 /// Multiple of the longest good pause after which a resumable stream goes to another replica.
-const SILENCE: f64 = 2.0;
+const SILENCE_FACTOR: f64 = 2.0;
 /// Shortest such time, for routes that name no pause.
-const LEAST: Duration = Duration::from_millis(500);
+const MIN_SILENCE: Duration = Duration::from_millis(500);
 
 /// Bytes of the longest end of an event.
-const LONGEST_END: usize = 4;
+const MAX_DELIMITER: usize = 4;
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 }
 
 impl End {
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             Self::Whole => "whole",
             Self::Cut => "cut",
@@ -63,28 +63,33 @@
 struct Relay {
     ctx: Ctx,
     job: Job,
-    live: Option<Live>,
+    live: Option<LiveAnswer>,
     /// What has come of an event that isn't whole; of a stream that is passed on as it comes, its end.
-    rest: BytesMut,
+    tail: BytesMut,
     events: u64,
-    first: Option<Duration>,
+    first_event_after: Option<Duration>,
     /// Whether it waits for its replica, however long that is silent.
-    patient: bool,
+    ignores_silence: bool,
     end: End,
 }
 
 /// Passes a stream on.
-pub(super) fn relay(ctx: &Ctx, watch: &Rc<Watch>, job: Job, live: Live) -> Response<Answer> {
+pub(super) fn relay(
+    ctx: &Ctx,
+    connection: &Rc<ConnectionState>,
+    job: Job,
+    live: LiveAnswer,
+) -> Response<AnswerBody> {
     let status = live.response.status();
     let headers = replica::answer_headers(live.response.headers());
     let relay = Relay {
         ctx: Rc::clone(ctx),
         job,
         live: Some(live),
-        rest: BytesMut::new(),
+        tail: BytesMut::new(),
         events: 0,
-        first: None,
-        patient: false,
+        first_event_after: None,
+        ignores_silence: false,
         end: End::Left,
     };
     let events = stream::unfold(Some(relay), |relay| async {
@@ -95,7 +100,7 @@
             Err(cut) => Some((Err(cut), None)),
         }
     });
-    let body = Answer::new(StreamBody::new(events), Rc::clone(watch));
+    let body = AnswerBody::new(StreamBody::new(events), Rc::clone(connection));
     let mut answer = Response::new(body);
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
@@ -103,7 +108,7 @@
 }
 
 /// What a replica's stream brought.
-enum Came {
+enum Received {
     Bytes(Bytes),
     Whole,
     Broken(&'static str),
@@ -113,26 +118,26 @@
 
 impl Relay {
     /// The next bytes for the caller; none at the end.
-    async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
+    async fn next(&mut self) -> Result<Option<Bytes>, IncompleteAnswer> {
         loop {
-            let came = match self.come().await {
-                Came::Silent => self.overtake().await,
-                came => came,
+            let received = match self.receive().await {
+                Received::Silent => self.race_other_replica().await,
+                received => received,
             };
-            match came {
-                Came::Silent => {}
-                Came::Bytes(bytes) => {
-                    if let Some(out) = self.pass(bytes) {
+            match received {
+                Received::Silent => {}
+                Received::Bytes(bytes) => {
+                    if let Some(out) = self.forward(bytes) {
                         return Ok(Some(out));
                     }
                 }
-                Came::Whole => {
-                    self.whole();
+                Received::Whole => {
+                    self.finish();
                     return Ok(None);
                 }
-                Came::Overdue => return self.cut(End::Overdue),
-                Came::Broken(reason) => {
-                    if !self.go_on(reason).await {
+                Received::Overdue => return self.cut(End::Overdue),
+                Received::Broken(reason) => {
+                    if !self.continue_elsewhere(reason).await {
                         return self.cut(End::Cut);
                     }
                 }
@@ -140,112 +145,122 @@
         }
     }
 
-    fn cut(&mut self, end: End) -> Result<Option<Bytes>, Cut> {
+    fn cut(&mut self, end: End) -> Result<Option<Bytes>, IncompleteAnswer> {
         self.end = end;
         self.live = None;
-        Err(Cut)
+        Err(IncompleteAnswer)
     }
 
     /// Waits for the replica's next bytes.
-    async fn come(&mut self) -> Came {
-        let end = self.job.left(self.ctx.now()) + LAST_WORD;
-        let silence = self.job.route.event_gap_goal.mul_f64(SILENCE).max(LEAST);
+    async fn receive(&mut self) -> Received {
+        let end = self.job.time_left(self.ctx.now()) + ANSWER_GRACE;
+        let silence = self
+            .job
+            .route
+            .event_gap_goal
+            .mul_f64(SILENCE_FACTOR)
+            .max(MIN_SILENCE);
         let wait = if self.may_move() {
             silence.min(end)
         } else {
             end
         };
         let Some(live) = &mut self.live else {
-            return Came::Broken("no replica");
+            return Received::Broken("no replica");
         };
         match timeout(wait, live.response.body_mut().frame()).await {
-            Ok(frame) => self.came(frame),
-            Err(_) if wait < end => Came::Silent,
-            Err(_) => Came::Overdue,
+            Ok(frame) => self.classify(frame),
+            Err(_) if wait < end => Received::Silent,
+            Err(_) => Received::Overdue,
         }
     }
 
     /// Whether another replica may go on with a stream that is silent.
     fn may_move(&self) -> bool {
         self.job.route.mode == site::Mode::Resumable
-            && self.job.runs + 1 < self.job.route.max_attempts
-            && !self.patient
+            && self.job.run_count + 1 < self.job.route.max_attempts
+            && !self.ignores_silence
     }
 
-    fn came(&self, frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Came {
+    fn classify(&self, frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Received {
         match frame {
             // A stream without a stated length ends with its connection; if that is in the middle of an
             // event, it isn't whole, and taking it for whole would lose the caller the rest.
-            None if self.within_event() => Came::Broken("ended within an event"),
-            None => Came::Whole,
-            Some(Err(_)) => Came::Broken("stream broken"),
-            Some(Ok(f)) => f.into_data().map_or(Came::Bytes(Bytes::new()), Came::Bytes),
+            None if self.within_event() => Received::Broken("ended within an event"),
+            None => Received::Whole,
+            Some(Err(_)) => Received::Broken("stream broken"),
+            Some(Ok(f)) => f
+                .into_data()
+                .map_or(Received::Bytes(Bytes::new()), Received::Bytes),
         }
     }
 
     /// Whether the bytes so far end within an event.
     fn within_event(&self) -> bool {
         match self.job.route.mode {
-            site::Mode::Resumable => !self.rest.is_empty(),
-            _ => !self.rest.is_empty() && last_end(&self.rest) != Some(self.rest.len()),
+            site::Mode::Resumable => !self.tail.is_empty(),
+            _ => !self.tail.is_empty() && last_event_end(&self.tail) != Some(self.tail.len()),
         }
     }
 
     /// What of these bytes goes on now.
-    fn pass(&mut self, bytes: Bytes) -> Option<Bytes> {
+    fn forward(&mut self, bytes: Bytes) -> Option<Bytes> {
         if bytes.is_empty() {
             return None;
         }
-        if self.first.is_none() {
-            self.begun();
+        if self.first_event_after.is_none() {
+            self.record_first_event();
         }
         if self.job.route.mode != site::Mode::Resumable {
             self.events += 1;
-            self.rest.extend_from_slice(&bytes);
-            let end = self.rest.len().saturating_sub(LONGEST_END);
-            let _passed = self.rest.split_to(end);
+            self.tail.extend_from_slice(&bytes);
+            let end = self.tail.len().saturating_sub(MAX_DELIMITER);
+            let _passed = self.tail.split_to(end);
             return Some(bytes);
         }
-        self.rest.extend_from_slice(&bytes);
-        let end = last_end(&self.rest)?;
-        let events = self.rest.split_to(end).freeze();
+        self.tail.extend_from_slice(&bytes);
+        let end = last_event_end(&self.tail)?;
+        let events = self.tail.split_to(end).freeze();
         self.events += 1;
         if let Some(id) = last_id(&events) {
-            self.job.resume = Some(id);
+            self.job.last_event_id = Some(id);
         }
         Some(events)
     }
 
     /// Notes the first event: the replica has read the prompt and holds it now.
-    fn begun(&mut self) {
-        let after = self.ctx.now().since(self.job.came).into();
-        self.first = Some(after);
+    fn record_first_event(&mut self) {
+        let after = self.ctx.now().since(self.job.received_at).into();
+        self.first_event_after = Some(after);
         meter::span(meter::FIRST, after);
         let Some(live) = &mut self.live else {
             return;
         };
-        live.place.read();
-        if let Some(tokens) = live.place.alone.take() {
-            let took = self.ctx.now().since(live.place.sent);
+        live.in_flight.record_prefilled();
+        if let Some(tokens) = live.in_flight.measured_tokens.take() {
+            let took = self.ctx.now().since(live.in_flight.sent_at);
             let time = took.as_secs_f64() * 1e3;
             self.ctx
                 .prefill_rate(&self.job.pool, |p| p.record(tokens, time));
         }
-        self.ctx.fleet.borrow_mut().record_success(live.place.key());
+        self.ctx
+            .fleet
+            .borrow_mut()
+            .record_success(live.in_flight.key());
     }
 
     /// The replica's stream ended in order; its connection is kept.
-    fn whole(&mut self) {
+    fn finish(&mut self) {
         self.end = End::Whole;
-        suspects::served(&self.ctx, &self.job);
+        suspects::record_success(&self.ctx, &self.job);
         if let Some(live) = self.live.take() {
             let mut fleet = self.ctx.fleet.borrow_mut();
-            let replica = fleet.replicas.get_mut(live.place.key());
-            if let (Some(r), false) = (replica, live.told.closes) {
-                r.idle.keep(live.upstream);
+            let replica = fleet.replicas.get_mut(live.in_flight.key());
+            if let (Some(r), false) = (replica, live.head.closes) {
+                r.connections.keep(live.connection);
             }
             drop(fleet);
-            drop(live.place);
+            drop(live.in_flight);
         }
     }
 
@@ -255,84 +270,89 @@
     /// A replica that loads weights is silent for seconds and then goes on. Given up on before another
     /// one had answered, its streams were cut when all others were full or no retry was left: callers
     /// lost answers that were being made, also while a process stopped as planned.
-    async fn overtake(&mut self) -> Came {
-        self.patient = true;
+    async fn race_other_replica(&mut self) -> Received {
+        self.ignores_silence = true;
         let spend = |b: &mut Budget| b.spend(self.ctx.now(), RetryReason::HasRun);
         let convicted = suspects::verdict(&self.ctx, &self.job) == Verdict::Convicted;
-        if convicted || !self.ctx.budget(&self.job.pool, spend) {
-            attempts::stuck(&self.job, "silent, and no retry left");
-            return Came::Silent;
+        if convicted || !self.ctx.retry_budget(&self.job.pool, spend) {
+            attempts::log_no_retry(&self.job, "silent, and no retry left");
+            return Received::Silent;
         }
         let Some(mut old) = self.live.take() else {
-            return Came::Broken("no replica");
+            return Received::Broken("no replica");
         };
         let resumed = tokio::select! {
             biased;
             frame = old.response.body_mut().frame() => {
                 // What the other one may have begun ends with its place.
-                self.job.runs += 1;
+                self.job.run_count += 1;
                 self.live = Some(old);
-                return self.came(frame);
+                return self.classify(frame);
             }
             resumed = self.resume() => resumed,
         };
         match resumed {
-            Resumed::Yes => {
-                attempts::failed(&self.job, &old.place.boot, "silent", None, true);
-                let key = old.place.key();
+            ResumeOutcome::Resumed => {
+                attempts::log_failed(&self.job, &old.in_flight.boot, "silent", None, true);
+                let key = old.in_flight.key();
                 self.ctx
                     .fleet
                     .borrow_mut()
                     .record_failure(self.ctx.now(), key, "silent");
-                self.rest.clear();
-                self.job.runs += 1;
-                return Came::Silent;
+                self.tail.clear();
+                self.job.run_count += 1;
+                return Received::Silent;
             }
-            Resumed::Ran => self.job.runs += 1,
-            Resumed::NotRun | Resumed::Nowhere => {}
+            ResumeOutcome::Ran => self.job.run_count += 1,
+            ResumeOutcome::NotRun | ResumeOutcome::NoReplica => {}
         }
         self.live = Some(old);
-        Came::Silent
+        Received::Silent
     }
 
     /// Lets another replica go on.
-    async fn go_on(&mut self, reason: &'static str) -> bool {
+    async fn continue_elsewhere(&mut self, reason: &'static str) -> bool {
         if let Some(live) = self.live.take() {
-            let key = live.place.key();
-            attempts::failed(&self.job, &live.place.boot, reason, None, true);
+            let key = live.in_flight.key();
+            attempts::log_failed(&self.job, &live.in_flight.boot, reason, None, true);
             self.ctx
                 .fleet
                 .borrow_mut()
                 .record_failure(self.ctx.now(), key, reason);
-            if self.first.is_none() {
-                suspects::broke(&self.ctx, &self.job, &live.place.boot, live.place.sent);
+            if self.first_event_after.is_none() {
+                suspects::record_broken_answer(
+                    &self.ctx,
+                    &self.job,
+                    &live.in_flight.boot,
+                    live.in_flight.sent_at,
+                );
             }
         }
-        self.rest.clear();
-        self.job.runs += 1;
+        self.tail.clear();
+        self.job.run_count += 1;
         if self.job.route.mode != site::Mode::Resumable {
             return false;
         }
-        if !self.job.may_run() {
-            attempts::stuck(&self.job, "no try left");
+        if !self.job.may_run_again() {
+            attempts::log_no_retry(&self.job, "no try left");
         }
-        while self.job.may_run() && !self.job.left(self.ctx.now()).is_zero() {
+        while self.job.may_run_again() && !self.job.time_left(self.ctx.now()).is_zero() {
             if suspects::verdict(&self.ctx, &self.job) == Verdict::Convicted {
-                attempts::stuck(&self.job, "quarantined");
+                attempts::log_no_retry(&self.job, "quarantined");
                 return false;
             }
             let spend = |b: &mut Budget| b.spend(self.ctx.now(), RetryReason::HasRun);
-            let spent = self.ctx.budget(&self.job.pool, spend);
+            let spent = self.ctx.retry_budget(&self.job.pool, spend);
             if !spent {
-                attempts::stuck(&self.job, "no retry left");
+                attempts::log_no_retry(&self.job, "no retry left");
                 return false;
             }
             match self.resume().await {
-                Resumed::Yes => return true,
-                Resumed::NotRun => {}
-                Resumed::Ran => self.job.runs += 1,
-                Resumed::Nowhere => {
-                    attempts::stuck(&self.job, "no other replica");
+                ResumeOutcome::Resumed => return true,
+                ResumeOutcome::NotRun => {}
+                ResumeOutcome::Ran => self.job.run_count += 1,
+                ResumeOutcome::NoReplica => {
+                    attempts::log_no_retry(&self.job, "no other replica");
                     return false;
                 }
             }
@@ -340,62 +360,62 @@
         false
     }
 
-    async fn resume(&mut self) -> Resumed {
+    async fn resume(&mut self) -> ResumeOutcome {
         let Some(plan) = self.ctx.node.plan() else {
-            return Resumed::Nowhere;
+            return ResumeOutcome::NoReplica;
         };
         let Ok(pick) = pick::pick(&self.ctx, &plan, &self.job) else {
-            return Resumed::Nowhere;
+            return ResumeOutcome::NoReplica;
         };
-        self.job.tried.push(pick.key);
-        self.job.sends += 1;
-        let began = self.ctx.now();
-        let left = self.job.left(began);
-        send::tell(&self.ctx, &self.job, &pick, left);
-        let patience = left + LAST_WORD;
-        match send::send(&self.ctx, &self.job, &pick, patience).await {
-            Sent::Answer(live) => {
+        self.job.attempted.push(pick.key);
+        self.job.send_count += 1;
+        let sent_at = self.ctx.now();
+        let left = self.job.time_left(sent_at);
+        send::log_send(&self.ctx, &self.job, &pick, left);
+        let head_timeout = left + ANSWER_GRACE;
+        match send::send(&self.ctx, &self.job, &pick, head_timeout).await {
+            SendOutcome::Answer(live) => {
                 let good = live.response.status().is_success();
-                if good && live.told.signed && !live.told.encoded {
+                if good && live.head.signed && !live.head.encoded {
                     self.live = Some(*live);
-                    return Resumed::Yes;
+                    return ResumeOutcome::Resumed;
                 }
-                Resumed::Ran
+                ResumeOutcome::Ran
             }
-            Sent::Unseen(_) | Sent::NotRun(_) => Resumed::NotRun,
-            Sent::Unknown(_) => {
-                suspects::broke(&self.ctx, &self.job, &pick.boot, began);
-                Resumed::Ran
+            SendOutcome::NotDelivered(_) | SendOutcome::NotRun(_) => ResumeOutcome::NotRun,
+            SendOutcome::Unknown(_) => {
+                suspects::record_broken_answer(&self.ctx, &self.job, &pick.boot, sent_at);
+                ResumeOutcome::Ran
             }
         }
     }
 }
 
 /// What became of a try to go on.
-enum Resumed {
-    Yes,
+enum ResumeOutcome {
+    Resumed,
     NotRun,
     Ran,
-    Nowhere,
+    NoReplica,
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        let after = self.ctx.now().since(self.job.came);
-        meter::count(meter::STREAMS, "end", self.end.word());
+        let after = self.ctx.now().since(self.job.received_at);
+        meter::count(meter::STREAMS, "end", self.end.name());
         meter::span(meter::WHOLE, after.into());
         log::event(&Event::Streamed {
             request: &self.job.id,
-            end: self.end.word(),
+            end: self.end.name(),
             events: self.events,
-            first_ms: self.first.map(|f| f.as_millis() as u64),
+            first_ms: self.first_event_after.map(|f| f.as_millis() as u64),
             after_ms: after.as_millis(),
         });
     }
 }
 
 /// Where the last whole event ends.
-fn last_end(bytes: &[u8]) -> Option<usize> {
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let lf = bytes.windows(2).rposition(|w| w == b"\n\n").map(|i| i + 2);
     let crlf = bytes
         .windows(4)
--- a/crates/gate/src/entry/request.rs
+++ b/crates/gate/src/entry/request.rs
@@ -15,47 +15,47 @@
 use thiserror::Error;
 
 use super::fleet::ReplicaKey;
-use super::listen::Watch;
+use super::listen::ConnectionState;
 
 /// An answer that ends before it is whole. The connection to the caller ends with it, so that it
 /// can't be taken for a whole one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the answer was cut short")]
-pub(super) struct Cut;
+pub(super) struct IncompleteAnswer;
 
 /// The body of an answer to a caller.
-pub(super) struct Answer {
-    inner: Pin<Box<dyn Body<Data = Bytes, Error = Cut>>>,
-    watch: Rc<Watch>,
+pub(super) struct AnswerBody {
+    inner: Pin<Box<dyn Body<Data = Bytes, Error = IncompleteAnswer>>>,
+    connection: Rc<ConnectionState>,
 }
 
-impl Answer {
+impl AnswerBody {
     /// A body on a caller's connection, which is idle again after it.
     pub(super) fn new(
-        inner: impl Body<Data = Bytes, Error = Cut> + 'static,
-        watch: Rc<Watch>,
+        inner: impl Body<Data = Bytes, Error = IncompleteAnswer> + 'static,
+        connection: Rc<ConnectionState>,
     ) -> Self {
         Self {
             inner: Box::pin(inner),
-            watch,
+            connection,
         }
     }
 }
 
-impl fmt::Debug for Answer {
+impl fmt::Debug for AnswerBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Answer").finish_non_exhaustive()
+        f.debug_struct("AnswerBody").finish_non_exhaustive()
     }
 }
 
-impl Body for Answer {
+impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = IncompleteAnswer;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteAnswer>>> {
         self.inner.as_mut().poll_frame(cx)
     }
 
@@ -68,9 +68,9 @@
     }
 }
 
-impl Drop for Answer {
+impl Drop for AnswerBody {
     fn drop(&mut self) {
-        self.watch.idle();
+        self.connection.set_idle();
     }
 }
 
@@ -88,7 +88,7 @@
     /// The team that sent it, if its route asks for one.
     pub(super) team: Option<String>,
     /// Whether its team shares cached parts with nobody.
-    pub(super) walled: bool,
+    pub(super) isolated: bool,
     /// Rank; 0 goes first.
     pub(super) rank: u8,
     /// What it asks a model for.
@@ -102,37 +102,37 @@
     /// Its body.
     pub(super) body: Bytes,
     /// Fingerprint of its content.
-    pub(super) print: Fingerprint,
+    pub(super) fingerprint: Fingerprint,
     /// The last event that the caller has.
-    pub(super) resume: Option<String>,
+    pub(super) last_event_id: Option<String>,
     /// When it came.
-    pub(super) came: Micros,
+    pub(super) received_at: Micros,
     /// When the caller or the route gives up on it.
     pub(super) deadline: Micros,
     /// Targets that it was sent to.
-    pub(super) tried: Vec<ReplicaKey>,
+    pub(super) attempted: Vec<ReplicaKey>,
     /// Those of them that refused it.
-    pub(super) refused: Vec<ReplicaKey>,
+    pub(super) refused_by: Vec<ReplicaKey>,
     /// Times it was sent.
-    pub(super) sends: u32,
+    pub(super) send_count: u32,
     /// Times it was sent and may have run.
-    pub(super) runs: u32,
+    pub(super) run_count: u32,
 }
 
 impl Job {
     /// What is left until it is given up on.
-    pub(super) fn left(&self, now: Micros) -> Duration {
+    pub(super) fn time_left(&self, now: Micros) -> Duration {
         self.deadline.since(now).into()
     }
 
     /// Lets targets that refused it be tried again.
     pub(super) fn forget_refusals(&mut self) {
-        let refused = std::mem::take(&mut self.refused);
-        self.tried.retain(|k| !refused.contains(k));
+        let refused_by = std::mem::take(&mut self.refused_by);
+        self.attempted.retain(|k| !refused_by.contains(k));
     }
 
     /// Whether it may run once more.
-    pub(super) fn may_run(&self) -> bool {
-        self.runs < self.route.max_attempts
+    pub(super) fn may_run_again(&self) -> bool {
+        self.run_count < self.route.max_attempts
     }
 }
--- a/crates/gate/src/entry/restored_list.rs
+++ b/crates/gate/src/entry/restored_list.rs
@@ -10,39 +10,41 @@
 use site::{Boot, Target};
 
 /// How long a target that has left is remembered; longer than a copy is old.
-const REMEMBERED: Micros = Micros::from_secs(60);
+const LEFT_TTL: Micros = Micros::from_secs(60);
 
 /// The list before and after a restore.
 #[derive(Debug, Default)]
 pub(super) struct RestoredList {
     /// Position of the first list of the era.
-    first: Option<Position>,
+    first_list: Option<Position>,
     /// When it was read, if the era began with a restore.
-    restored: Option<Micros>,
+    restored_at: Option<Micros>,
     /// Targets that have left, with their last renewal.
     left: HashMap<Boot, (Position, Micros)>,
 }
 
 impl RestoredList {
     /// Takes over that a list was read.
-    pub(super) fn read(&mut self, at: Micros, position: Position) {
-        self.left.retain(|_, (_, l)| at.since(*l) < REMEMBERED);
-        match self.first {
+    pub(super) fn record_read(&mut self, at: Micros, position: Position) {
+        self.left.retain(|_, (_, l)| at.since(*l) < LEFT_TTL);
+        match self.first_list {
             Some(first) if position.era > first.era => {
-                self.first = Some(position);
-                self.restored = Some(at);
+                self.first_list = Some(position);
+                self.restored_at = Some(at);
             }
             Some(_) => {}
-            None => self.first = Some(position),
+            None => self.first_list = Some(position),
         }
     }
 
     /// A listed target, with its renewal counted in the era in which it may have been written.
-    pub(super) fn place(&self, mut target: Target) -> Target {
+    pub(super) fn adjust_era(&self, mut target: Target) -> Target {
         let copied = |first: &Position| {
-            self.restored.is_some() && target.renewed.era == first.era && target.renewed <= *first
+            self.restored_at.is_some()
+                && target.renewed.era == first.era
+                && target.renewed <= *first
         };
-        if self.first.as_ref().is_some_and(copied) {
+        if self.first_list.as_ref().is_some_and(copied) {
             target.renewed.era -= 1;
         }
         target
@@ -50,7 +52,7 @@
 
     /// Whether a row that is placed before the era says less of a target than what is known.
     pub(super) fn is_older(&self, listed: &Target, known: &Target) -> bool {
-        let era = self.first.map_or(0, |f| f.era);
+        let era = self.first_list.map_or(0, |f| f.era);
         listed.renewed.era < era && listed.renewed < known.renewed
     }
 
@@ -61,18 +63,18 @@
     }
 
     /// When the first list since a restore was read.
-    pub(super) fn restored(&self) -> Option<Micros> {
-        self.restored
+    pub(super) fn restored_at(&self) -> Option<Micros> {
+        self.restored_at
     }
 
     /// Notes that a target has left.
-    pub(super) fn left(&mut self, now: Micros, target: &Target) {
+    pub(super) fn record_left(&mut self, now: Micros, target: &Target) {
         let renewed = target.renewed;
         self.left.insert(target.boot.clone(), (renewed, now));
     }
 
     /// Notes that a target is in the list.
-    pub(super) fn entered(&mut self, boot: &Boot) {
+    pub(super) fn record_listed(&mut self, boot: &Boot) {
         self.left.remove(boot);
     }
 }
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::connection_pool::Upstream;
+use super::connection_pool::Connection;
 use super::fleet::ReplicaKey;
 use super::pick::Pick;
 use super::request::Job;
@@ -29,26 +29,26 @@
 
 /// A request's place at a target; freed with this value.
 #[derive(Debug)]
-pub(super) struct Place {
+pub(super) struct InFlight {
     ctx: Ctx,
     key: ReplicaKey,
     /// The target's agent, if it has been received, and the key of the request that was reported to it.
-    told: Option<(AgentId, u64)>,
+    reported_to: Option<(AgentId, u64)>,
     /// Tokens that the target has yet to read; none once it has.
-    unread: Option<u32>,
+    unread_tokens: Option<u32>,
     /// Parts that it is expected to hold, and their scope.
     expected: Option<(u64, Vec<Part>)>,
     /// Tokens that an idle engine reads for the first event, if that is to be learnt from.
-    pub(super) alone: Option<u32>,
+    pub(super) measured_tokens: Option<u32>,
     /// Whether the request is suspected of crashing targets.
     suspect: bool,
     /// The target's life.
     pub(super) boot: Boot,
     /// When the request was sent there.
-    pub(super) sent: Micros,
+    pub(super) sent_at: Micros,
 }
 
-impl Place {
+impl InFlight {
     fn new(ctx: &Ctx, job: &Job, pick: &Pick) -> Self {
         let now = ctx.now();
         let expected = match (&job.prompt, &pick.scope) {
@@ -57,44 +57,47 @@
         };
         let suspect = suspects::verdict(ctx, job) == Verdict::Suspect;
         let mut fleet = ctx.fleet.borrow_mut();
-        let mut told = None;
+        let mut reported_to = None;
         if let Some(r) = fleet.replicas.get_mut(pick.key) {
-            r.send(now, pick.read);
+            r.record_send(now, pick.prefill_tokens);
             r.suspects += u32::from(suspect);
             let request = xxh3_64(job.id.as_bytes());
             let agent = r.agent_report.map(|h| (h.agent, request));
-            told = agent.filter(|_| expected.is_some());
+            reported_to = agent.filter(|_| expected.is_some());
             if let Some((scope, parts)) = &expected {
-                r.expect(now, *scope, parts);
+                r.expect_parts(now, *scope, parts);
             }
         }
         drop(fleet);
         if let Some(prompt) = &job.prompt {
-            let reading = f64::from(pick.read) * ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
-            ctx.work.borrow_mut().add(now, prompt.input_tokens, reading);
+            let prefill_ms =
+                f64::from(pick.prefill_tokens) * ctx.prefill_rate(&job.pool, |p| p.ms_per_token());
+            ctx.recent_work
+                .borrow_mut()
+                .add(now, prompt.input_tokens, prefill_ms);
         }
-        if let Some((agent, request)) = told {
+        if let Some((agent, request)) = reported_to {
             let note = Note {
                 request,
-                tokens: Some(pick.read),
+                tokens: Some(pick.prefill_tokens),
             };
             ctx.report_prompt(agent, note);
         }
         if let (Some((_, parts)), Some(scope)) = (&expected, pick.scope.as_ref()) {
-            if pick.cold > 0 {
-                ctx.tell_expected(pick.addr, scope, parts);
+            if pick.shared_prefill_tokens > 0 {
+                ctx.announce_expected(pick.addr, scope, parts);
             }
         }
         Self {
             ctx: Rc::clone(ctx),
             key: pick.key,
-            told,
-            unread: Some(pick.read),
+            reported_to,
+            unread_tokens: Some(pick.prefill_tokens),
             expected,
-            alone: pick.idle.then_some(pick.read),
+            measured_tokens: pick.measures_prefill.then_some(pick.prefill_tokens),
             suspect,
             boot: pick.boot.clone(),
-            sent: now,
+            sent_at: now,
         }
     }
 
@@ -104,22 +107,22 @@
     }
 
     /// Notes that the target has read the prompt.
-    pub(super) fn read(&mut self) {
+    pub(super) fn record_prefilled(&mut self) {
         self.settle(true);
     }
 
     fn settle(&mut self, done: bool) {
-        let Some(unread) = self.unread.take() else {
+        let Some(unread) = self.unread_tokens.take() else {
             return;
         };
         if let Some(r) = self.ctx.fleet.borrow_mut().replicas.get_mut(self.key) {
-            r.unread = r.unread.saturating_sub(unread);
+            r.unread_tokens = r.unread_tokens.saturating_sub(unread);
             if let Some((scope, parts)) = &self.expected {
-                r.settle(*scope, parts, done);
+                r.settle_parts(*scope, parts, done);
             }
         }
         self.expected = None;
-        if let Some((agent, request)) = self.told.take() {
+        if let Some((agent, request)) = self.reported_to.take() {
             let note = Note {
                 request,
                 tokens: None,
@@ -129,7 +132,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.settle(false);
         if let Some(r) = self.ctx.fleet.borrow_mut().replicas.get_mut(self.key) {
@@ -141,24 +144,24 @@
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub(super) struct Live {
+pub(super) struct LiveAnswer {
     /// The answer.
     pub(super) response: Response<Incoming>,
     /// What its head tells.
-    pub(super) told: AnswerHead,
+    pub(super) head: AnswerHead,
     /// The connection that it comes on.
-    pub(super) upstream: Upstream,
+    pub(super) connection: Connection,
     /// The request's place at the target.
-    pub(super) place: Place,
+    pub(super) in_flight: InFlight,
 }
 
 /// What became of a sending.
 #[derive(Debug)]
-pub(super) enum Sent {
+pub(super) enum SendOutcome {
     /// The head of an answer has come.
-    Answer(Box<Live>),
+    Answer(Box<LiveAnswer>),
     /// The request did not run, and the target has not even seen it.
-    Unseen(&'static str),
+    NotDelivered(&'static str),
     /// The target says that it did not run the request.
     NotRun(&'static str),
     /// The request may have run.
@@ -166,39 +169,44 @@
 }
 
 /// Sends a request and waits for the head of its answer.
-pub(super) async fn send(ctx: &Ctx, job: &Job, pick: &Pick, patience: Duration) -> Sent {
-    let place = Place::new(ctx, job, pick);
-    let Some(request) = request(ctx, job, pick) else {
-        return Sent::Unseen("unsendable");
+pub(super) async fn send(ctx: &Ctx, job: &Job, pick: &Pick, head_timeout: Duration) -> SendOutcome {
+    let in_flight = InFlight::new(ctx, job, pick);
+    let Some(request) = build_request(ctx, job, pick) else {
+        return SendOutcome::NotDelivered("unsendable");
     };
-    let kept = {
+    let idle = {
         let mut fleet = ctx.fleet.borrow_mut();
         let replica = fleet.replicas.get_mut(pick.key);
-        replica.and_then(|r| r.idle.take(!job.route.mode.is_repeatable()))
+        replica.and_then(|r| r.connections.take(!job.route.mode.is_repeatable()))
     };
-    let upstream = match kept {
+    let connection = match idle {
         Some(u) => u,
-        None => match open(pick).await {
+        None => match connect(pick).await {
             Some(u) => u,
             None => {
                 let now = ctx.now();
                 ctx.fleet
                     .borrow_mut()
                     .record_unreachable(now, pick.key, "unreachable");
-                return Sent::Unseen("unreachable");
+                return SendOutcome::NotDelivered("unreachable");
             }
         },
     };
-    match timeout(patience, exchange(ctx, job, pick, upstream, place, request)).await {
+    match timeout(
+        head_timeout,
+        exchange(ctx, job, pick, connection, in_flight, request),
+    )
+    .await
+    {
         Ok(sent) => sent,
-        Err(_) => Sent::Unknown("silent"),
+        Err(_) => SendOutcome::Unknown("silent"),
     }
 }
 
-fn request(ctx: &Ctx, job: &Job, pick: &Pick) -> Option<Request<Full<Bytes>>> {
-    let terms = AddedHeaders {
+fn build_request(ctx: &Ctx, job: &Job, pick: &Pick) -> Option<Request<Full<Bytes>>> {
+    let headers = AddedHeaders {
         boot: Some(&pick.boot),
-        time_left: job.left(ctx.now()),
+        time_left: job.time_left(ctx.now()),
         team: job.team.as_deref(),
         scope: pick.scope.as_ref(),
         weights: pick.weights,
@@ -207,17 +215,17 @@
         rank: job
             .prompt
             .is_some()
-            .then_some(prefill_priority::rank(job.rank, pick.read)),
-        last_event_id: job.resume.as_deref(),
+            .then_some(prefill_priority::rank(job.rank, pick.prefill_tokens)),
+        last_event_id: job.last_event_id.as_deref(),
     };
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.uri.clone();
-    *request.headers_mut() = replica::request_headers(&job.headers, &terms);
+    *request.headers_mut() = replica::request_headers(&job.headers, &headers);
     Some(request)
 }
 
-async fn open(pick: &Pick) -> Option<Upstream> {
+async fn connect(pick: &Pick) -> Option<Connection> {
     let tcp = platform::call::connect(pick.addr).await.ok()?;
     let (send, conn) = http1::handshake(TokioIo::new(tcp)).await.ok()?;
     metrics::counter!(meter::CONNECTIONS).increment(1);
@@ -225,129 +233,131 @@
         // The error reaches whoever waits for an answer on this connection.
         let _ = conn.await;
     });
-    Some(Upstream::new(send, task.abort_handle()))
+    Some(Connection::new(send, task.abort_handle()))
 }
 
 async fn exchange(
     ctx: &Ctx,
     job: &Job,
     pick: &Pick,
-    mut upstream: Upstream,
-    place: Place,
+    mut connection: Connection,
+    in_flight: InFlight,
     request: Request<Full<Bytes>>,
-) -> Sent {
-    let response = match upstream.send.try_send_request(request).await {
+) -> SendOutcome {
+    let response = match connection.send.try_send_request(request).await {
         Ok(r) => r,
         // The request comes back if the connection ended before anything of it was written.
         Err(mut e) => {
             return match e.take_message() {
-                Some(_) => Sent::Unseen("connection gone"),
-                None => Sent::Unknown("connection broken"),
+                Some(_) => SendOutcome::NotDelivered("connection gone"),
+                None => SendOutcome::Unknown("connection broken"),
             }
         }
     };
-    let told = replica::decode_answer_head(response.status(), response.headers(), &job.id);
-    if let Some(limit) = told.idle_timeout {
-        upstream.limit(limit);
+    let head = replica::decode_answer_head(response.status(), response.headers(), &job.id);
+    if let Some(timeout) = head.idle_timeout {
+        connection.set_idle_timeout(timeout);
     }
-    note(ctx, pick, job, &told);
+    record_head(ctx, pick, job, &head);
     match response.status() {
-        _ if !told.matches_request => Sent::Unknown("another request's answer"),
-        StatusCode::MISDIRECTED_REQUEST => misdirected(ctx, pick, job, &told),
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS if told.not_run => {
-            keep(ctx, pick.key, upstream, &told, response).await;
-            Sent::NotRun("full")
+        _ if !head.matches_request => SendOutcome::Unknown("another request's answer"),
+        StatusCode::MISDIRECTED_REQUEST => handle_misdirected(ctx, pick, job, &head),
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS if head.not_run => {
+            keep_connection(ctx, pick.key, connection, &head, response).await;
+            SendOutcome::NotRun("full")
         }
-        _ => Sent::Answer(Box::new(Live {
+        _ => SendOutcome::Answer(Box::new(LiveAnswer {
             response,
-            told,
-            upstream,
-            place,
+            head,
+            connection,
+            in_flight,
         })),
     }
 }
 
 /// Keeps the connection of an answer that isn't passed on, once its short body is in.
-async fn keep(
+async fn keep_connection(
     ctx: &Ctx,
     key: ReplicaKey,
-    upstream: Upstream,
-    told: &AnswerHead,
+    connection: Connection,
+    head: &AnswerHead,
     response: Response<Incoming>,
 ) {
     use http_body_util::BodyExt;
     let rest = timeout(Duration::from_millis(20), response.into_body().collect()).await;
-    if matches!(rest, Ok(Ok(_))) && !told.closes {
+    if matches!(rest, Ok(Ok(_))) && !head.closes {
         if let Some(r) = ctx.fleet.borrow_mut().replicas.get_mut(key) {
-            r.idle.keep(upstream);
+            r.connections.keep(connection);
         }
     }
 }
 
 /// A refusal by another target at the address, or by the right one with other weights.
-fn misdirected(ctx: &Ctx, pick: &Pick, job: &Job, told: &AnswerHead) -> Sent {
-    let same = told.target_id.as_ref().is_none_or(|t| *t == pick.boot.id);
+fn handle_misdirected(ctx: &Ctx, pick: &Pick, job: &Job, head: &AnswerHead) -> SendOutcome {
+    let same = head.target_id.as_ref().is_none_or(|t| *t == pick.boot.id);
     let (Some(prompt), true) = (&job.prompt, same) else {
         ctx.fleet
             .borrow_mut()
             .record_misdirected(ctx.now(), pick.key);
-        return Sent::NotRun("another target has its address");
+        return SendOutcome::NotRun("another target has its address");
     };
     // It doesn't say which weights it has; the newest ones are what it is ordered to load.
     let world = ctx.node.world.borrow();
-    let named = world.named.get(&prompt.model).map(|n| n.newest());
-    if let (Some(version), Some(r)) = (named, ctx.fleet.borrow_mut().replicas.get_mut(pick.key)) {
-        r.loaded(ctx.now(), &prompt.model, version);
+    let newest = world.named.get(&prompt.model).map(|n| n.newest());
+    if let (Some(version), Some(r)) = (newest, ctx.fleet.borrow_mut().replicas.get_mut(pick.key)) {
+        r.raise_weights(ctx.now(), &prompt.model, version);
     }
-    Sent::NotRun("other weights")
+    SendOutcome::NotRun("other weights")
 }
 
 /// Takes over what an answer's head tells of its target.
-fn note(ctx: &Ctx, pick: &Pick, job: &Job, told: &AnswerHead) {
+fn record_head(ctx: &Ctx, pick: &Pick, job: &Job, head: &AnswerHead) {
     let now = ctx.now();
     let mut fleet = ctx.fleet.borrow_mut();
     let Some(r) = fleet.replicas.get_mut(pick.key) else {
         return;
     };
-    if let Some(load) = told.load {
+    if let Some(load) = head.load {
         r.load = Some((load, now));
     }
-    if let (Some(version), Some(prompt)) = (told.weights, &job.prompt) {
-        r.loaded(now, &prompt.model, version);
+    if let (Some(version), Some(prompt)) = (head.weights, &job.prompt) {
+        r.raise_weights(now, &prompt.model, version);
     }
 }
 
-fn subject(job: &Job) -> Option<String> {
+fn subject_id(job: &Job) -> Option<String> {
     let part = job.prompt.as_ref()?.shared().last()?;
     Some(format!("{:x}", part.id.0))
 }
 
 /// Tells of a sending.
-pub(super) fn tell(ctx: &Ctx, job: &Job, pick: &Pick, left: Duration) {
-    if let Some(age) = pick.age {
+pub(super) fn log_send(ctx: &Ctx, job: &Job, pick: &Pick, left: Duration) {
+    if let Some(age) = pick.load_age {
         meter::span(meter::BELIEF_AGE, age.into());
     }
     if let Some(prompt) = &job.prompt {
-        let fetched = prompt.input_tokens.saturating_sub(pick.held + pick.read);
+        let fetched = prompt
+            .input_tokens
+            .saturating_sub(pick.held + pick.prefill_tokens);
         meter::add(meter::TOKENS, "way", "held", pick.held.into());
-        meter::add(meter::TOKENS, "way", "read", pick.read.into());
+        meter::add(meter::TOKENS, "way", "read", pick.prefill_tokens.into());
         meter::add(meter::TOKENS, "way", "fetched", fetched.into());
     }
-    let listed = ctx.now().since(ctx.fleet.borrow().listed);
-    meter::span(meter::LIST_AGE, listed.into());
+    let list_age = ctx.now().since(ctx.fleet.borrow().list_confirmed_at);
+    meter::span(meter::LIST_AGE, list_age.into());
     log::event(&Event::Sent {
         request: &job.id,
         target: &pick.boot.id,
-        attempt: job.sends,
+        attempt: job.send_count,
         estimate_ms: pick.estimate,
-        subject: subject(job),
+        subject: subject_id(job),
         held: pick.held,
-        read: pick.read,
-        cold: pick.cold,
+        read: pick.prefill_tokens,
+        cold: pick.shared_prefill_tokens,
         fetch: pick.fetch.map(|a| a.to_string()),
         left_ms: left.as_millis() as u64,
         weights: pick.weights,
-        age_ms: pick.age.map(model::Micros::as_millis),
-        list_ms: listed.as_millis(),
+        age_ms: pick.load_age.map(model::Micros::as_millis),
+        list_ms: list_age.as_millis(),
     });
 }
--- a/crates/gate/src/entry/serve.rs
+++ b/crates/gate/src/entry/serve.rs
@@ -18,50 +18,58 @@
 use thiserror::Error;
 use tokio::time::sleep;
 
-use super::attempts::{self, Found};
-use super::listen::Watch;
+use super::attempts::{self, FirstAnswer};
+use super::listen::ConnectionState;
 use super::refuse::{self, Reason};
 use super::relay;
-use super::request::{Answer, Job};
+use super::request::{AnswerBody, Job};
 use super::{suspects, Ctx};
 use crate::log::{self, Event};
 use crate::meter;
 
 /// Longest time from a process's start in which requests wait for what it doesn't know yet; a slow
 /// store answers its two calls within it.
-const START: Micros = Micros::from_millis(400);
+const MAX_STARTUP_WAIT: Micros = Micros::from_millis(400);
 /// Pause between two looks whether it is known.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Why a connection ends without an answer: the request never came in whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the request was cut short")]
-pub(super) struct Torn;
+pub(super) struct IncompleteRequest;
 
 /// Answers a request.
 pub(super) async fn serve(
     ctx: Ctx,
-    watch: Rc<Watch>,
+    connection: Rc<ConnectionState>,
     request: Request<Incoming>,
-) -> Result<Response<Answer>, Torn> {
-    let came = ctx.now();
+) -> Result<Response<AnswerBody>, IncompleteRequest> {
+    let received_at = ctx.now();
     let (parts, body) = request.into_parts();
     let head = match caller::decode_request_head(&parts) {
         Ok(h) => h,
-        Err(_) => return Ok(refuse::early(&ctx, &watch, "", came, Reason::Malformed)),
+        Err(_) => {
+            return Ok(refuse::without_job(
+                &ctx,
+                &connection,
+                "",
+                received_at,
+                Reason::Malformed,
+            ))
+        }
     };
     let chunked = head.chunked;
     let id = head.id.clone();
-    know(&ctx).await;
-    let mut response = match prepare(&ctx, came, parts, head) {
-        Err(reason) => refuse::early(&ctx, &watch, &id, came, reason),
-        Ok((plan, mut job)) => match read(&plan, body).await {
-            Err(ReadError::Torn) => return Err(Torn),
-            Err(ReadError::Large) => refuse::job(&ctx, &watch, &job, Reason::TooLarge),
+    wait_for_startup(&ctx).await;
+    let mut response = match prepare(&ctx, received_at, parts, head) {
+        Err(reason) => refuse::without_job(&ctx, &connection, &id, received_at, reason),
+        Ok((plan, mut job)) => match read_body(&plan, body).await {
+            Err(ReadError::Incomplete) => return Err(IncompleteRequest),
+            Err(ReadError::TooLarge) => refuse::job(&ctx, &connection, &job, Reason::TooLarge),
             Ok(body) => {
                 job.body = body;
-                job.print = suspects::print(&job);
-                answer(&ctx, &watch, job).await
+                job.fingerprint = suspects::fingerprint(&job);
+                answer(&ctx, &connection, job).await
             }
         },
     };
@@ -76,29 +84,34 @@
 /// Waits until a process that has just started knows its configuration and targets. It takes some tens
 /// of milliseconds; a caller who is refused meanwhile comes back after several times that. Fifty callers
 /// were refused so when six entries started at once under 100 requests a second.
-async fn know(ctx: &Ctx) {
-    while ctx.now() < START && (ctx.node.plan().is_none() || !ctx.list.read()) {
-        sleep(LOOK).await;
+async fn wait_for_startup(ctx: &Ctx) {
+    while ctx.now() < MAX_STARTUP_WAIT && (ctx.node.plan().is_none() || !ctx.list.is_read()) {
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Why a body isn't there.
 enum ReadError {
-    Torn,
-    Large,
+    Incomplete,
+    TooLarge,
 }
 
-async fn read(plan: &Plan, body: Incoming) -> Result<Bytes, ReadError> {
+async fn read_body(plan: &Plan, body: Incoming) -> Result<Bytes, ReadError> {
     let limited = Limited::new(body, plan.limits().max_body);
     match limited.collect().await {
         Ok(b) => Ok(b.to_bytes()),
-        Err(e) if e.is::<LengthLimitError>() => Err(ReadError::Large),
-        Err(_) => Err(ReadError::Torn),
+        Err(e) if e.is::<LengthLimitError>() => Err(ReadError::TooLarge),
+        Err(_) => Err(ReadError::Incomplete),
     }
 }
 
 /// Finds a request's route and team.
-fn prepare(ctx: &Ctx, came: Micros, parts: Parts, head: Head) -> Result<(Rc<Plan>, Job), Reason> {
+fn prepare(
+    ctx: &Ctx,
+    received_at: Micros,
+    parts: Parts,
+    head: Head,
+) -> Result<(Rc<Plan>, Job), Reason> {
     if ctx.closing.get() {
         return Err(Reason::Stopping);
     }
@@ -121,8 +134,8 @@
     let job = Job {
         id: head.id,
         version: plan.version(),
-        pool: share(&route).ok_or(Reason::NoTarget)?,
-        walled: tenancy.isolated,
+        pool: draw_pool(&route).ok_or(Reason::NoTarget)?,
+        isolated: tenancy.isolated,
         rank: tenancy.rank.unwrap_or(route.rank),
         team,
         prompt: head.prompt,
@@ -130,21 +143,21 @@
         uri: parts.uri,
         headers: parts.headers,
         body: Bytes::new(),
-        print: Fingerprint::default(),
-        resume: head.last_event_id,
-        came,
-        deadline: came + wait.into(),
-        tried: Vec::new(),
-        refused: Vec::new(),
-        sends: 0,
-        runs: 0,
+        fingerprint: Fingerprint::default(),
+        last_event_id: head.last_event_id,
+        received_at,
+        deadline: received_at + wait.into(),
+        attempted: Vec::new(),
+        refused_by: Vec::new(),
+        send_count: 0,
+        run_count: 0,
         route: Rc::new(route),
     };
     Ok((plan, job))
 }
 
 /// Draws the pool by the shares' weights.
-fn share(route: &Route) -> Option<String> {
+fn draw_pool(route: &Route) -> Option<String> {
     let total: f64 = route.shares.iter().map(|s| s.weight.max(0.0)).sum();
     let mut drawn = rand::rng().random_range(0.0..1.0) * total;
     let hit = route.shares.iter().find(|s| {
@@ -155,27 +168,27 @@
 }
 
 /// Sends a job until a target answers it or nothing more can be done.
-async fn answer(ctx: &Ctx, watch: &Rc<Watch>, mut job: Job) -> Response<Answer> {
-    ctx.budget(&job.pool, |b| b.record_request(ctx.now()));
-    meter::span(meter::WAITING, ctx.now().since(job.came).into());
+async fn answer(ctx: &Ctx, connection: &Rc<ConnectionState>, mut job: Job) -> Response<AnswerBody> {
+    ctx.retry_budget(&job.pool, |b| b.record_request(ctx.now()));
+    meter::span(meter::WAITING, ctx.now().since(job.received_at).into());
     match attempts::first_answer(ctx, &mut job).await {
-        Ok(Found::Stream(live)) => {
-            told(ctx, &job, live.response.status());
-            relay::relay(ctx, watch, job, *live)
+        Ok(FirstAnswer::Stream(live)) => {
+            record_answer(ctx, &job, live.response.status());
+            relay::relay(ctx, connection, job, *live)
         }
-        Ok(Found::Whole(response)) => {
-            told(ctx, &job, response.status());
-            meter::span(meter::WHOLE, ctx.now().since(job.came).into());
+        Ok(FirstAnswer::Whole(response)) => {
+            record_answer(ctx, &job, response.status());
+            meter::span(meter::WHOLE, ctx.now().since(job.received_at).into());
             let (parts, body) = response.into_parts();
             let body = Full::new(body).map_err(|e| match e {});
-            Response::from_parts(parts, Answer::new(body, Rc::clone(watch)))
+            Response::from_parts(parts, AnswerBody::new(body, Rc::clone(connection)))
         }
-        Err(reason) => refuse::job(ctx, watch, &job, reason),
+        Err(reason) => refuse::job(ctx, connection, &job, reason),
     }
 }
 
-fn told(ctx: &Ctx, job: &Job, status: StatusCode) {
-    let after = ctx.now().since(job.came);
+fn record_answer(ctx: &Ctx, job: &Job, status: StatusCode) {
+    let after = ctx.now().since(job.received_at);
     meter::span(meter::HEAD, after.into());
     let class = match status.as_u16() {
         200..300 => "2xx",
@@ -188,7 +201,7 @@
         route: &job.route.name,
         team: job.team.as_deref().unwrap_or_default(),
         status: status.as_u16(),
-        attempts: job.sends,
+        attempts: job.send_count,
         head_ms: after.as_millis(),
     });
 }
--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -28,11 +28,11 @@
 
 /// Crashes that convict. Engines crash for other reasons too, several of a failure domain at once;
 /// two such crashes may meet one request's two tries, three on lives of three targets hardly.
-const STRIKES: usize = 3;
+const CONVICTING_CRASHES: usize = 3;
 
 /// Pauses between repeated updates. Each entry that lacks a crash may give the request another target, and
 /// datagrams are lost in bursts.
-const REPEATS: [Duration; 5] = [
+const REPEAT_DELAYS: [Duration; 5] = [
     Duration::from_millis(50),
     Duration::from_millis(150),
     Duration::from_millis(500),
@@ -50,7 +50,7 @@
 impl Default for Suspects {
     fn default() -> Self {
         let config = quarantine::Config {
-            strikes: STRIKES,
+            strikes: CONVICTING_CRASHES,
             ..quarantine::Config::default()
         };
         Self {
@@ -64,7 +64,7 @@
 ///
 /// The weights aren't in it. Whether new weights still have the fault can only be found out by
 /// another crash.
-pub(super) fn print(job: &Job) -> Fingerprint {
+pub(super) fn fingerprint(job: &Job) -> Fingerprint {
     let mut hash = Xxh3::new();
     hash.update(job.method.as_str().as_bytes());
     hash.update(job.uri.to_string().as_bytes());
@@ -91,7 +91,7 @@
 /// What is to be done with a job.
 pub(super) fn verdict(ctx: &Ctx, job: &Job) -> Verdict {
     let suspects = ctx.suspects.borrow();
-    suspects.quarantine.verdict(ctx.now(), job.print)
+    suspects.quarantine.verdict(ctx.now(), job.fingerprint)
 }
 
 /// Whether a job may be sent: it isn't convicted, or is tried once more through this process.
@@ -101,25 +101,31 @@
     }
     let own = ctx.node.settings.borrow().peer;
     let entries = ctx.node.world.borrow();
-    let place = ProcessRank {
+    let process_rank = ProcessRank {
         rank: entries.entries().filter(|a| *a < own).count(),
         total: entries.entries().count() + 1,
     };
     let mut suspects = ctx.suspects.borrow_mut();
-    suspects.quarantine.take_retry(ctx.now(), job.print, place)
+    suspects
+        .quarantine
+        .take_retry(ctx.now(), job.fingerprint, process_rank)
 }
 
 /// How long a convicted job isn't run at least.
-pub(super) fn left(ctx: &Ctx, job: &Job) -> Micros {
+pub(super) fn time_to_retry(ctx: &Ctx, job: &Job) -> Micros {
     let now = ctx.now();
-    let next = ctx.suspects.borrow().quarantine.next_retry(now, job.print);
+    let next = ctx
+        .suspects
+        .borrow()
+        .quarantine
+        .next_retry(now, job.fingerprint);
     next.map_or(Micros::ZERO, |at| at.since(now))
 }
 
 /// Notes that a job's answer broke off at a target that it was sent to at a time.
-pub(super) fn broke(ctx: &Ctx, job: &Job, boot: &Boot, sent: Micros) {
+pub(super) fn record_broken_answer(ctx: &Ctx, job: &Job, boot: &Boot, sent: Micros) {
     let run = BrokenAnswer {
-        fingerprint: job.print,
+        fingerprint: job.fingerprint,
         crash: crash(boot),
         sent,
         at: ctx.now(),
@@ -135,47 +141,55 @@
 }
 
 /// Notes targets that have ended, whatever the reason.
-pub(super) fn ended(ctx: &Ctx) {
-    let boots = std::mem::take(&mut ctx.fleet.borrow_mut().ended);
+pub(super) fn record_ended_targets(ctx: &Ctx) {
+    let boots = std::mem::take(&mut ctx.fleet.borrow_mut().ended_targets);
     for boot in boots {
         let crash = crash(&boot);
-        let prints = ctx
+        let fingerprints = ctx
             .suspects
             .borrow_mut()
             .crash_attribution
             .target_ended(ctx.now(), crash);
-        for print in prints {
-            strike(ctx, print, crash, None);
+        for fingerprint in fingerprints {
+            strike(ctx, fingerprint, crash, None);
         }
     }
 }
 
 /// Notes that a job was answered well.
-pub(super) fn served(ctx: &Ctx, job: &Job) {
+pub(super) fn record_success(ctx: &Ctx, job: &Job) {
     let cleared = {
         let mut suspects = ctx.suspects.borrow_mut();
-        suspects.quarantine.record_success(ctx.now(), job.print)
+        suspects
+            .quarantine
+            .record_success(ctx.now(), job.fingerprint)
     };
     if cleared {
-        tell(job.print, Some(&job.id), None, &Held::default(), "own");
-        send_all(ctx, update(job.print, None));
+        log_suspected(
+            job.fingerprint,
+            Some(&job.id),
+            None,
+            &Record::default(),
+            "own",
+        );
+        broadcast(ctx, strike_update(job.fingerprint, None));
     }
 }
 
 /// Takes over what another entry holds against a request.
-pub(super) fn hear(ctx: &Ctx, told: Strike, from: SocketAddr) {
-    let print = print_of(&told);
+pub(super) fn receive(ctx: &Ctx, strike: Strike, from: SocketAddr) {
+    let fingerprint = fingerprint_of(&strike);
     let now = ctx.now();
-    if told.cleared {
+    if strike.cleared {
         let cleared = ctx
             .suspects
             .borrow_mut()
             .quarantine
-            .record_success(now, print);
+            .record_success(now, fingerprint);
         if cleared {
-            tell(print, None, None, &Held::default(), "peer");
+            log_suspected(fingerprint, None, None, &Record::default(), "peer");
             // Those whom this one has told of the crash must hear of it too.
-            send_all(ctx, update(print, None));
+            broadcast(ctx, strike_update(fingerprint, None));
         }
         return;
     }
@@ -183,35 +197,38 @@
         .suspects
         .borrow()
         .quarantine
-        .recently_succeeded(now, print)
+        .recently_succeeded(now, fingerprint)
     {
-        update::send(&ctx.socket, &update(print, None), [from]);
+        update::send(&ctx.socket, &strike_update(fingerprint, None), [from]);
         return;
     }
-    let crash = crash_of(&told);
-    let before = held(ctx, print);
+    let crash = crash_of(&strike);
+    let before = record(ctx, fingerprint);
     if before.verdict == Verdict::Convicted && !before.crashes.contains(&crash) {
-        let against = before.crashes.iter().map(|c| update(print, Some(*c)));
+        let against = before
+            .crashes
+            .iter()
+            .map(|c| strike_update(fingerprint, Some(*c)));
         against.for_each(|n| update::send(&ctx.socket, &n, [from]));
         return;
     }
     ctx.suspects
         .borrow_mut()
         .quarantine
-        .strike(now, print, crash);
-    let after = held(ctx, print);
+        .strike(now, fingerprint, crash);
+    let after = record(ctx, fingerprint);
     if after.crashes.len() > before.crashes.len() {
-        tell(print, None, Some(crash), &after, "peer");
+        log_suspected(fingerprint, None, Some(crash), &after, "peer");
     }
 }
 
 /// What is held against a request now.
-struct Held {
+struct Record {
     crashes: Vec<Crash>,
     verdict: Verdict,
 }
 
-impl Default for Held {
+impl Default for Record {
     fn default() -> Self {
         Self {
             crashes: Vec::new(),
@@ -220,39 +237,45 @@
     }
 }
 
-fn held(ctx: &Ctx, print: Fingerprint) -> Held {
+fn record(ctx: &Ctx, fingerprint: Fingerprint) -> Record {
     let suspects = ctx.suspects.borrow();
     let quarantine = &suspects.quarantine;
-    let crashes = quarantine.crashes(ctx.now(), print);
-    Held {
+    let crashes = quarantine.crashes(ctx.now(), fingerprint);
+    Record {
         crashes: crashes.map_or_else(Vec::new, |(c, _)| c.to_vec()),
-        verdict: quarantine.verdict(ctx.now(), print),
+        verdict: quarantine.verdict(ctx.now(), fingerprint),
     }
 }
 
-fn strike(ctx: &Ctx, print: Fingerprint, crash: Crash, request: Option<&str>) {
+fn strike(ctx: &Ctx, fingerprint: Fingerprint, crash: Crash, request: Option<&str>) {
     let now = ctx.now();
     ctx.suspects
         .borrow_mut()
         .quarantine
-        .strike(now, print, crash);
-    tell(print, request, Some(crash), &held(ctx, print), "own");
-    send_all(ctx, update(print, Some(crash)));
+        .strike(now, fingerprint, crash);
+    log_suspected(
+        fingerprint,
+        request,
+        Some(crash),
+        &record(ctx, fingerprint),
+        "own",
+    );
+    broadcast(ctx, strike_update(fingerprint, Some(crash)));
 }
 
-fn tell(
-    print: Fingerprint,
+fn log_suspected(
+    fingerprint: Fingerprint,
     request: Option<&str>,
     crashed: Option<Crash>,
-    held: &Held,
+    record: &Record,
     source: &str,
 ) {
     log::event(&Event::Suspected {
-        print: format!("{:x}", print.body),
+        print: format!("{:x}", fingerprint.body),
         request,
         crashed: crashed.map(|c| format!("{:x}", c.member.0)),
-        crashes: held.crashes.len(),
-        verdict: match held.verdict {
+        crashes: record.crashes.len(),
+        verdict: match record.verdict {
             Verdict::Clear => "clear",
             Verdict::Suspect => "suspect",
             Verdict::Convicted => "convicted",
@@ -262,12 +285,12 @@
 }
 
 /// A crash to be told, or that a request is cleared.
-fn update(print: Fingerprint, crash: Option<Crash>) -> Update {
+fn strike_update(fingerprint: Fingerprint, crash: Option<Crash>) -> Update {
     Update {
         entry: true,
         strike: Some(Strike {
-            high: (print.body >> 64) as u64,
-            low: print.body as u64,
+            high: (fingerprint.body >> 64) as u64,
+            low: fingerprint.body as u64,
             target: crash.map_or(0, |c| c.member.0),
             born: crash.map_or(0, |c| c.incarnation.0),
             cleared: crash.is_none(),
@@ -277,16 +300,16 @@
 }
 
 /// Sends an update to all entries, and again after some pauses for as long as it holds.
-fn send_all(ctx: &Ctx, update: Update) {
+fn broadcast(ctx: &Ctx, update: Update) {
     let send =
         |update: &Update| update::send(&ctx.socket, update, ctx.node.world.borrow().entries());
     send(&update);
     send(&update);
     let ctx = Rc::clone(ctx);
     tokio::task::spawn_local(async move {
-        for pause in REPEATS {
+        for pause in REPEAT_DELAYS {
             sleep(pause).await;
-            if !update.strike.is_some_and(|s| holds(&ctx, &s)) {
+            if !update.strike.is_some_and(|s| still_holds(&ctx, &s)) {
                 return;
             }
             update::send(&ctx.socket, &update, ctx.node.world.borrow().entries());
@@ -295,19 +318,19 @@
 }
 
 /// Whether a strike is still held, or the answer that cleared the request still vouches for it.
-fn holds(ctx: &Ctx, strike: &Strike) -> bool {
-    let print = print_of(strike);
+fn still_holds(ctx: &Ctx, strike: &Strike) -> bool {
+    let fingerprint = fingerprint_of(strike);
     if strike.cleared {
         return ctx
             .suspects
             .borrow()
             .quarantine
-            .recently_succeeded(ctx.now(), print);
+            .recently_succeeded(ctx.now(), fingerprint);
     }
-    held(ctx, print).crashes.contains(&crash_of(strike))
+    record(ctx, fingerprint).crashes.contains(&crash_of(strike))
 }
 
-fn print_of(strike: &Strike) -> Fingerprint {
+fn fingerprint_of(strike: &Strike) -> Fingerprint {
     Fingerprint {
         body: u128::from(strike.high) << 64 | u128::from(strike.low),
         weights: 0,
