--- a/crates/gate/src/entry/candidates.rs
+++ b/crates/gate/src/entry/candidates.rs
@@ -1,4 +1,5 @@
-//! What a prompt would meet at each engine: beliefs made into what the policies weigh.
+//! Converts an entry's data on engines and stores into the candidates and sources that
+//! [`policy::ttft_placement`] compares for a prompt.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -18,16 +19,16 @@
 use super::usable::{failure_factor, is_fetchable, start_index, REPORT_LIFETIME};
 use crate::world::domain_key;
 
-/// How long an entry's note takes to reach a sidecar and to come back in an update.
+/// Time in which an entry's note on a prompt reaches a sidecar and comes back in an update.
 const REPORT_DELAY: Micros = Micros::from_millis(5);
-/// Milliseconds that crossing failure domains is taken for.
+/// Network delay in milliseconds that is assumed between failure domains.
 const CROSS_DOMAIN_DELAY: f64 = 3.0;
-/// Part of the time to read a token that taking it in costs others, by what has to yield for it.
+/// Cost of the tokens that a new token evicts, as a fraction of the time to prefill a token.
 const EVICTION_COST_SHARE: f64 = 0.8;
-/// Milliseconds before a fetched token moves.
+/// Milliseconds before the first token of a fetch is transferred.
 const FETCH_SETUP: f64 = 2.0;
 
-/// What one choice is made by.
+/// Data that is the same for all candidates of one prompt.
 pub(super) struct CandidateBuilder<'a> {
     pub(super) now: Micros,
     pub(super) domain: &'a str,
@@ -36,9 +37,9 @@
     pub(super) announced: &'a Versions,
     pub(super) subject: u64,
     pub(super) max_order_penalty: f64,
-    /// Milliseconds to read a token.
+    /// Milliseconds to prefill a token.
     pub(super) prefill_per_token: f64,
-    /// Engines for long prompts, if they are kept apart.
+    /// Ids of the engines that are reserved for long prompts, if any.
     pub(super) long_engines: Option<HashSet<String>>,
 }
 
@@ -78,7 +79,7 @@
         }
     }
 
-    /// What waits at an engine for a prompt of which it has to read some tokens.
+    /// Load of an engine as a prompt sees it for which the engine prefills `tokens` tokens.
     fn load(&self, r: &Replica, tokens: u32) -> Load {
         let Some(report) = r
             .agent_report
@@ -105,18 +106,19 @@
         }
     }
 
-    /// The engine's place in the subject's own order.
+    /// Penalty in milliseconds for the engine's position in the subject's own order.
     fn order_penalty(&self, r: &Replica) -> f64 {
         let hash = xxh3_64_with_seed(r.target.boot.id.as_bytes(), self.subject);
         self.max_order_penalty * hash as f64 / u64::MAX as f64
     }
 
-    /// Who holds parts of the prompt under the scope of a version, beginning at another engine for each
-    /// request.
+    /// Engines and stores that hold parts of the prompt under a scope, which is the scope of a
+    /// version of the weights. The order starts at a different engine for each request.
     ///
-    /// An engine with other weights is no source, whatever it tells: a run that goes on there over a
-    /// load leaves parts under its former scope that the newer weights have made. Fetched, they would
-    /// be taken for those of the older version, and callers get answers out of both.
+    /// An engine with other weights is no source, even if it reports parts of this scope. If a
+    /// request keeps running there while weights are loaded, parts that the newer weights have
+    /// computed are stored under the older scope. If they were fetched, they would count as parts
+    /// of the older version, and callers would get answers that mix both versions.
     pub(super) fn sources(
         &self,
         fleet: &Fleet,
@@ -126,7 +128,7 @@
         version: u64,
     ) -> Sources<SocketAddr> {
         let parts = &self.prompt.parts;
-        // Bits of a token over thousands of bits a millisecond.
+        // Bits of a token, divided by the bits that the link transfers in a millisecond.
         let ms_per_token = |link: f64| self.engine.token_bytes as f64 * 8.0 / (link.max(1.0) * 1e3);
         let same_version = |r: &Replica| r.weights.get(&self.prompt.model) == Some(&version);
         let usable = |r: &Replica| {
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -1,4 +1,5 @@
-//! Which target gets a request: what is believed of the targets, handed to the policies.
+//! Choosing the target of a request: builds the inputs of the placement policies and turns their
+//! choice into a [`Pick`].
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -21,51 +22,57 @@
 use super::usable::{all_loading, eligible_targets, with_recent_report};
 use super::{suspects, Ctx};
 
-/// Milliseconds between the first and the last engine in a subject's own order; entries that know
-/// nothing of one another's choices then read a new opening on the same engine.
+/// Largest penalty, in milliseconds, for an engine's position in a subject's own order of engines.
+/// With this order, entries that have no data on one another's choices prefill a new opening on the
+/// same engine.
 const MAX_ORDER_PENALTY: f64 = 12.0;
-/// Part of the time to read an opening anew that keeps its first readers at one engine.
+/// Fraction of the time to prefill an opening that no engine holds by which the order penalty is
+/// raised, so that the first requests for that opening go to one engine.
 const COLD_PENALTY_SHARE: f64 = 0.6;
-/// Shared tokens that are worth keeping at least; fewer are read as fast as they are fetched.
+/// Least number of missing shared tokens for which a prompt is saved to a KV store; prefilling
+/// fewer takes no longer than fetching them.
 const MIN_SAVED_TOKENS: u32 = 500;
-/// Longest own part of a prompt that is kept, as a multiple of the shared tokens that it adds.
+/// Longest unshared part of a prompt that is saved, as a multiple of the shared tokens that it adds
+/// to the store.
 const MAX_OWN_RATIO: f64 = 0.6;
-/// Milliseconds of waiting up to which an engine counts as idle; some requests that it answers.
+/// Longest wait in milliseconds at which an engine counts as idle; such a wait is caused by a few
+/// running requests.
 const MAX_IDLE_WAIT_MS: f64 = 10.0;
 
-/// A target for a request, and how to use it.
+/// The target chosen for a request, and how the request uses it.
 #[derive(Clone, Debug)]
 pub(super) struct Pick {
-    /// The target.
+    /// Key of the target.
     pub(super) key: ReplicaKey,
-    /// Where it listens.
+    /// Address of the target.
     pub(super) addr: SocketAddr,
-    /// Which life of it.
+    /// Incarnation of the target.
     pub(super) boot: Boot,
-    /// Who it fetches parts from.
+    /// Address of the engine or store from which the target fetches cached parts.
     pub(super) fetch: Option<SocketAddr>,
-    /// Where it sends parts to be kept.
+    /// Address of the KV store to which the target saves parts.
     pub(super) save: Option<SocketAddr>,
-    /// Which cached parts it may use.
+    /// Scope of the cached parts that the target may use.
     pub(super) scope: Option<Scope>,
-    /// The weights that it must have.
+    /// Version of the weights that the target must have loaded.
     pub(super) weights: Option<u64>,
-    /// Tokens of the prompt that it holds.
+    /// Tokens of the prompt that the target holds or will hold soon.
     pub(super) held: u32,
-    /// Tokens of shared parts that it reads.
+    /// Tokens of the prompt's shared parts that the target prefills.
     pub(super) shared_prefill_tokens: u32,
-    /// Tokens of the prompt that it reads.
+    /// Tokens of the prompt that the target prefills.
     pub(super) prefill_tokens: u32,
-    /// Milliseconds until the first token, or the share of its places in use.
+    /// Estimated milliseconds until the first token; for a plain service, the share of the target's
+    /// slots in use, with penalties for distance and failures.
     pub(super) estimate: f64,
-    /// Whether the prompt finds the engine idle and fetches nothing, so that the time to its first token
-    /// tells how fast prompts are read.
+    /// Whether the engine is idle and fetches nothing for this prompt, so that the time to the
+    /// first token measures the prefill rate.
     pub(super) measures_prefill: bool,
-    /// Age of what is believed of its load.
+    /// Age of the load data that the choice is based on.
     pub(super) load_age: Option<Micros>,
 }
 
-/// Chooses a target.
+/// Chooses a target for a job.
 pub(super) fn pick(ctx: &Ctx, plan: &Plan, job: &Job) -> Result<Pick, Reason> {
     let engine = plan.pool(&job.pool).and_then(|p| p.engine);
     match (&job.prompt, engine) {
@@ -131,7 +138,8 @@
             + f64::from(missing) * prefill_per_token * COLD_PENALTY_SHARE,
         prefill_per_token,
     };
-    // Engines of one version share their sources; two or three versions are about at a time.
+    // Engines with the same weights share their sources; rarely more than two or three versions are
+    // loaded at the same time.
     let mut sources: HashMap<u64, Sources<SocketAddr>> = HashMap::new();
     for (_, r) in &eligible {
         let (Some(scope), Some(version)) = (scope(r), r.weights.get(&prompt.model)) else {
@@ -154,7 +162,8 @@
         latency_goal: job.route.latency_goal.as_secs_f64() * 1e3,
         time_left: job.time_left(now).as_secs_f64() * 1e3,
     };
-    // What has run can't be refused any more: its caller gets the rest now, also late, or never.
+    // A request that has run isn't refused for being late: its caller gets the rest of the answer
+    // now, even if late, or never.
     let not_run_yet = job.run_count == 0;
     if let (Decision::Refuse(excess), true) = (latency_admission::decide(&estimate), not_run_yet) {
         return Err(Reason::Late {
@@ -187,11 +196,13 @@
     })
 }
 
-/// Where the prompt's shared parts are to be kept: in the subject's own store, if it lacks some.
+/// The KV store to which an engine saves the prompt's shared parts: the store that the subject
+/// hashes to, if it lacks enough of them.
 ///
-/// An engine sends the whole prompt, its own last part too, which nobody will ask for again. Prompts
-/// whose own part is long beside what they would add are left for a later, shorter one of the same
-/// subject, or the store would be full of what is of no use.
+/// An engine saves the whole prompt, including its unshared last part, which no other request can
+/// use. If that part is long relative to the tokens that the prompt would add, nothing is saved,
+/// and the shared parts are left to a later, shorter prompt of the subject. Otherwise the store
+/// would fill up with tokens that are never fetched.
 fn store_to_save_in(fleet: &Fleet, plan: &Plan, prompt: &Prompt, scope: u64) -> Option<SocketAddr> {
     let subject = prompt.shared().last()?.id.0;
     let rank = |a: &SocketAddr| xxh3_64_with_seed(a.to_string().as_bytes(), subject);
@@ -204,7 +215,8 @@
     worth.then_some(store)
 }
 
-/// The engines of a pool that are for long prompts, in an order that all entries see.
+/// The engines of a pool that are reserved for long prompts, if long prefills stall the pool's
+/// streams. The engines are taken from an order that is the same for all entries.
 fn long_engines(
     fleet: &Fleet,
     work: &length_partition::RecentWork,
--- a/crates/gate/src/entry/plain.rs
+++ b/crates/gate/src/entry/plain.rs
@@ -1,4 +1,5 @@
-//! Which target of a plain service gets a request: the one with most room.
+//! Choosing the target of a request to a plain service: the one with the smallest share of its
+//! slots in use.
 
 use model::Micros;
 use policy::quarantine::Verdict::Suspect;
@@ -10,7 +11,7 @@
 use super::usable::{eligible_targets, failure_factor, start_index};
 use super::{suspects, Ctx};
 
-/// Age up to which a target's own count counts.
+/// Maximum age of the load that a target has stated itself.
 const LOAD_LIFETIME: Micros = Micros::from_millis(400);
 
 /// Chooses a target of a plain service.
@@ -43,7 +44,7 @@
     })
 }
 
-/// The share of a target's places that would be in use.
+/// Share of a target's slots that would be in use, with penalties for distance and failures.
 fn plain_cost(r: &Replica, domain: &str, now: Micros) -> f64 {
     let load = r.load.filter(|(_, at)| now.since(*at) < LOAD_LIFETIME);
     let running = load
--- a/crates/gate/src/entry/usable.rs
+++ b/crates/gate/src/entry/usable.rs
@@ -1,4 +1,4 @@
-//! Which targets a request may go to, by what is believed of each.
+//! Filters for the targets that a request may go to, by the data that the entry has on each target.
 
 use model::Micros;
 use policy::loading::RemainingLoad;
@@ -10,17 +10,20 @@
 use super::replica::Replica;
 use super::request::Job;
 
-/// Age up to which a sidecar's update counts.
+/// Maximum age of an agent's report for it to be used.
 pub(super) const REPORT_LIFETIME: Micros = Micros::from_millis(1_500);
-/// Age of an update after which an engine may have vanished with its host; agents send two a second at least.
+/// Maximum age of the report of an engine that others fetch from. An engine with an older report
+/// may be gone with its host, since agents report at least twice a second.
 const SOURCE_REPORT_LIFETIME: Micros = Micros::from_millis(1_000);
 
-/// Targets of a job's pool that take new work and pass a test, those not tried yet if there are any, else
-/// those that refused the job and load weights. A suspect goes where no other one is, if it can: a crash
-/// then tells which of them it was.
+/// Targets of a job's pool that take new work and that `accepted` accepts. Targets that the job
+/// hasn't been sent to are preferred; if there are none, the targets that refused the job and are
+/// loading weights are returned. A suspect request prefers targets without another suspect, so that
+/// a crash identifies the request that caused it.
 ///
-/// The test comes first: tested afterwards, a group that looked best and failed it as a whole, such as an
-/// engine with too old weights, left nobody, and callers were refused while others could have served.
+/// `accepted` is applied before the preferences. If it were applied afterwards, it could reject the
+/// whole preferred group, such as a single engine whose weights are too old, and callers would be
+/// refused although other targets could serve them.
 pub(super) fn eligible_targets<'a>(
     fleet: &'a Fleet,
     job: &Job,
@@ -52,8 +55,8 @@
         .unwrap_or_default()
 }
 
-/// Whether the sidecar, if it has been heard lately, says that the engine answers and isn't loading
-/// weights; while it loads it refuses all that is new.
+/// Whether a recent report, if there is one, says that the engine is alive and not loading weights.
+/// An engine that loads weights refuses all new requests.
 pub(super) fn accepts_requests(replica: &Replica, now: Micros) -> bool {
     let report = replica
         .agent_report
@@ -61,7 +64,7 @@
     report.is_none_or(|report| report.alive && !report.loading)
 }
 
-/// Whether its turn to load weights has come, so that what is sent there now is refused.
+/// Whether the engine's slot to load weights has come, so that new requests sent there are refused.
 fn is_due_to_load(replica: &Replica, now: Micros) -> bool {
     let report = replica
         .agent_report
@@ -69,7 +72,8 @@
     report.is_some_and(|report| report.due_to_load)
 }
 
-/// How long all of some engines continue to load weights, if they do; they refuse what is new until then.
+/// Shortest remaining load time, if all of these engines are loading weights and refuse new
+/// requests.
 pub(super) fn all_loading(
     engines: &[(ReplicaKey, &Replica)],
     now: Micros,
@@ -81,7 +85,7 @@
     all?.into_iter().min_by_key(|load| load.time)
 }
 
-/// How long an engine continues to load weights, if it does.
+/// Remaining time of the engine's load, if it is loading weights.
 fn remaining_load(r: &Replica, now: Micros) -> Option<RemainingLoad> {
     let report = r
         .agent_report
@@ -93,8 +97,9 @@
     Some(report.remaining_load_at(now).unwrap_or(overdue))
 }
 
-/// Those of a pool's engines that are heard of. Up to some number all are, or the words of those that
-/// aren't are lost; beyond it the others look idle, since nothing is known of what they have to do.
+/// The engines with a recent report. Up to [`subscription::MAX_ENGINES`] engines, the entry
+/// subscribes to all, so a missing report means that datagrams were lost, and all engines are
+/// returned. With more engines, those without a subscription have no load data and would look idle.
 pub(super) fn with_recent_report(
     engines: Vec<(ReplicaKey, &Replica)>,
     now: Micros,
@@ -113,9 +118,9 @@
     some
 }
 
-/// Whether the sidecar has said just now that the engine answers and keeps what it holds. Fetching from
-/// one that doesn't answer costs some hundred milliseconds; one that loads weights or is about to drops
-/// all that it holds.
+/// Whether a very recent report says that the engine is alive and keeps its cache. A fetch from an
+/// engine that doesn't answer costs some hundred milliseconds, and an engine that loads weights, or
+/// is about to, drops its whole cache.
 pub(super) fn is_fetchable(replica: &Replica, now: Micros) -> bool {
     let report = replica
         .agent_report
@@ -123,12 +128,13 @@
     report.is_some_and(|report| report.alive && !report.loading && !report.due_to_load)
 }
 
-/// Factor for what has failed of late.
+/// Factor on a target's cost for its recent failures.
 pub(super) fn failure_factor(r: &Replica, now: Micros) -> f64 {
     engine_load::failure_factor(r.breaker.failure_rate, r.breaker.on_trial(now))
 }
 
-/// Where a request begins in a row of equals, so that requests spread over them.
+/// Index at which a request starts in a list of equally good targets, so that requests are spread
+/// over all of them.
 pub(super) fn start_index(job: &Job, equals: usize) -> usize {
     xxh3_64_with_seed(job.id.as_bytes(), 0) as usize % equals.max(1)
 }
