--- a/crates/gate/src/entry/attempts.rs
+++ b/crates/gate/src/entry/attempts.rs
@@ -1,7 +1,8 @@
-//! The tries at a job, up to an answer to pass on.
+//! The attempts to run a job, until there is an answer to pass on.
 //!
-//! What has run is tried again only if that does no harm; what ran nowhere is tried again as long as
-//! there is time. Tries that targets have seen come out of the pool's budget.
+//! A job that may have run is sent again only if running it twice does no harm. A job that ran
+//! nowhere is sent again while there is time. Retries after an attempt that reached a target are
+//! taken from the pool's retry budget.
 
 use std::time::Duration;
 
@@ -23,47 +24,49 @@
 use crate::log::{self, Event};
 use crate::meter;
 
-/// How long past the time of its route a request waits for a replica's own last word.
+/// How long a request waits beyond its deadline for the target's own answer.
 pub(super) const ANSWER_GRACE: Duration = Duration::from_millis(100);
-/// Largest answer that is collected before it is passed on; plain services answer with kilobytes.
+/// Maximum size of an answer that is collected before it is passed on; plain services answer with
+/// kilobytes.
 const MAX_ANSWER: usize = 4 << 20;
-/// Part of the aim after which an idempotent request is sent to another target; usual work takes a
-/// fifth of the aim, and the second target needs time too.
+/// Fraction of the latency goal after which an idempotent request is sent to another target. Usual
+/// requests take a fifth of the goal, and the second target needs time too.
 const IDEMPOTENT_SHARE: f64 = 0.6;
-/// Time beyond twice its estimate after which a resumable stream without an event goes to another
-/// replica. A replica that is only slow must keep it: at 0.6 s in all, four in ten of the streams of
-/// a fleet with a quarter of its engines dark were begun twice, which doubled the load of the rest.
+/// Time beyond twice the estimate after which a resumable stream without an event moves to another
+/// replica. A replica that is merely slow must keep the stream: with 0.6 s in total, four in ten
+/// streams of a fleet in which a quarter of the engines were unreachable were started twice, which
+/// doubled the load of the others.
 const STREAM_SLACK: Duration = Duration::from_millis(1_200);
-/// Shortest time in which a target can answer anything.
+/// Least remaining time for an attempt; no target answers in less.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// Pause between two looks whether one has loaded; sidecars look as often.
+/// Interval between checks whether an engine has finished loading; sidecars check as often.
 const LOADING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An answer to pass on.
+/// First usable answer to a job.
 pub(super) enum FirstAnswer {
-    /// A stream, event by event.
+    /// A stream, which is passed on event by event.
     Stream(Box<LiveAnswer>),
-    /// A whole answer.
+    /// A complete answer.
     Whole(Response<Bytes>),
 }
 
-/// How one try ended.
+/// Outcome of one attempt.
 enum AttemptOutcome {
     Answered(FirstAnswer),
-    /// It did not run, and the target may not even have seen it.
+    /// The request did not run; `delivered` is false if the target hasn't received it either.
     NotRun {
         delivered: bool,
         reason: &'static str,
     },
-    /// It may have run; what the target answered, if it did.
+    /// The request may have run; `answer` is the target's answer, if it gave one.
     Ran {
         reason: &'static str,
         answer: Option<Response<Bytes>>,
     },
 }
 
-/// Sends a job to one target after the other until one answers it or nothing more can be done.
+/// Sends a job to one target after another until one answers it or no further attempt is possible.
 pub(super) async fn first_answer(ctx: &Ctx, job: &mut Job) -> Result<FirstAnswer, Reason> {
     let mut last: Option<Response<Bytes>> = None;
     loop {
@@ -77,8 +80,8 @@
         let pick = match pick::pick(ctx, &plan, job) {
             Ok(p) => p,
             Err(Reason::Loading { remaining }) if worth_waiting(job, ctx.now(), remaining) => {
-                // Not shorter where the load should be over already: until the sidecar's next word each
-                // look finds the same.
+                // The interval isn't shortened for a load that is overdue: each check would find
+                // the same report until the sidecar sends the next one.
                 sleep(LOADING_POLL_INTERVAL).await;
                 job.forget_refusals();
                 continue;
@@ -113,8 +116,8 @@
     }
 }
 
-/// Whether a job waits for engines that load. What is sent to them meanwhile is refused, and each such try
-/// costs the pool a retry.
+/// Whether a job waits for engines that are loading. Requests sent to them meanwhile are refused,
+/// and each such attempt costs the pool a retry.
 fn worth_waiting(job: &Job, now: Micros, remaining: RemainingLoad) -> bool {
     let rest = job.time_left(now).into();
     remaining.is_worth_waiting(rest, job.time_left(job.received_at).into())
@@ -136,7 +139,7 @@
     }
 }
 
-/// Tells that a try came to nothing.
+/// Logs a failed attempt.
 pub(super) fn log_failed(
     job: &Job,
     boot: &Boot,
@@ -155,7 +158,7 @@
     });
 }
 
-/// Tells why a job isn't tried once more, where its answer doesn't.
+/// Logs why a job isn't sent again, if that can't be seen from its answer.
 pub(super) fn log_no_retry(job: &Job, reason: &str) {
     log::event(&Event::Tried {
         request: &job.id,
@@ -167,7 +170,7 @@
     });
 }
 
-/// Whether a job may be sent once more.
+/// Whether a job may be sent again.
 fn may_retry(ctx: &Ctx, job: &Job, delivered: bool, ran: bool) -> bool {
     let harmless = !ran || matches!(job.route.mode, Mode::Idempotent | Mode::Resumable);
     if !harmless {
@@ -180,7 +183,7 @@
     if job.time_left(ctx.now()) < MIN_TIME_LEFT {
         return false;
     }
-    // What no target has seen costs the pool nothing.
+    // A retry after an attempt that reached no target isn't taken from the budget.
     let retry_reason = match job.run_count {
         0 => RetryReason::NotRun,
         _ => RetryReason::HasRun,
@@ -192,10 +195,10 @@
     spent
 }
 
-/// How long a try may go without an answer's head.
+/// How long an attempt waits for the head of an answer.
 fn head_timeout(ctx: &Ctx, job: &Job, pick: &Pick) -> Duration {
     let end = job.time_left(ctx.now()) + ANSWER_GRACE;
-    // Given up on with no retry left, its answer would be lost however soon it came.
+    // Without a retry left, giving up on this target would lose its answer, however soon it came.
     let has_retry = ctx.retry_budget(&job.pool, |b| b.remaining() >= 1.0);
     let may_retry = has_retry && job.run_count + 1 < job.route.max_attempts;
     match job.route.mode {
@@ -244,8 +247,8 @@
     }
 }
 
-/// Whether a target is known by now to have newer weights than it was asked for. It may be the only one, and
-/// takes the job with those.
+/// Whether the target is now known to have newer weights than the attempt required. It may be the
+/// only target, and accepts the job with the newer weights.
 fn has_newer_weights(ctx: &Ctx, job: &Job, pick: &Pick) -> bool {
     let (Some(prompt), Some(asked)) = (&job.prompt, pick.weights) else {
         return false;
@@ -256,7 +259,7 @@
     known.is_some_and(|version| *version > asked)
 }
 
-/// Takes an answer whose head is there.
+/// Handles an answer whose head has been received.
 async fn handle_answer(ctx: &Ctx, job: &Job, live: LiveAnswer) -> AttemptOutcome {
     let status = live.response.status();
     let good = status.is_success();
@@ -300,7 +303,8 @@
             .record_failure(ctx.now(), key, "error answer"),
     }
     match status {
-        // These promise that nothing ran, which only the target can know.
+        // These statuses promise that the request didn't run, but only if the target itself sent
+        // them.
         StatusCode::SERVICE_UNAVAILABLE
         | StatusCode::TOO_MANY_REQUESTS
         | StatusCode::REQUEST_TIMEOUT
@@ -319,7 +323,7 @@
     }
 }
 
-/// Collects a whole answer and keeps its connection.
+/// Collects a complete answer and returns its connection to the pool.
 async fn collect(ctx: &Ctx, live: LiveAnswer) -> Option<Response<Bytes>> {
     let LiveAnswer {
         response,
--- a/crates/gate/src/entry/refuse.rs
+++ b/crates/gate/src/entry/refuse.rs
@@ -1,4 +1,4 @@
-//! Answers of the entry's own.
+//! Refusals: answers that the entry gives itself, without a target.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,57 +17,59 @@
 use crate::log::{self, Event};
 use crate::meter;
 
-/// Part of the time left that a caller is asked to wait at most; callers don't wait for longer.
+/// Maximum fraction of the caller's remaining time for which the caller is asked to wait; callers
+/// don't wait longer than that.
 const MAX_WAIT_SHARE: f64 = 1.0 / 3.0;
-/// Spread of the time to come back, so that those refused together don't return together.
+/// Relative jitter of the retry time, so that callers refused at the same moment don't return at
+/// the same moment.
 const JITTER: f64 = 0.3;
 
-/// Why a request isn't served.
+/// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reason {
-    /// No configuration is known yet.
+    /// The entry has no configuration yet.
     Unconfigured,
-    /// The process is about to end.
+    /// The process is stopping.
     Stopping,
-    /// The head can't be used.
+    /// The request's head is invalid.
     Malformed,
     /// No route matches.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     NoKey,
     /// The body is larger than allowed.
     TooLarge,
-    /// No target of the pool is known.
+    /// No target of the pool is available.
     NoTarget,
     /// No target can answer in time.
     Late {
-        /// What waits before it at the best target.
+        /// Wait before the request at the best target.
         wait: Micros,
-        /// By how much that would have to fall.
+        /// By how much that wait is too long.
         excess: Micros,
     },
-    /// All targets load weights, and refuse what is new until then.
+    /// All targets are loading weights and refuse new requests meanwhile.
     Loading {
-        /// How long the first of them continues.
+        /// Shortest remaining load time of these targets.
         remaining: RemainingLoad,
     },
-    /// It has crashed the targets that ran it.
+    /// The request has crashed the targets that ran it.
     Quarantined {
-        /// For how long it won't be run at least.
+        /// Shortest time until the request may run again.
         remaining: Micros,
     },
-    /// Its tries came to nothing, and it ran nowhere.
+    /// All attempts failed, and the request ran nowhere.
     NotRun,
-    /// It may have run, and its answer is lost.
+    /// The request may have run, and its answer is lost.
     Unknown,
-    /// Its time is over, and it ran nowhere.
+    /// The deadline has passed, and the request ran nowhere.
     Expired,
-    /// Its time is over, and it may have run.
+    /// The deadline has passed, and the request may have run.
     Overdue,
 }
 
 impl Reason {
-    /// The word in logs and metrics.
+    /// Name of the reason in logs and metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Unconfigured => "unconfigured",
@@ -106,26 +108,26 @@
         }
     }
 
-    /// When it is worth coming back, for refusals that say so.
+    /// Time after which a retry is useful, for reasons that have one.
     fn retry_after(self) -> Option<Duration> {
         match self {
             // A configuration is read within a few round trips to the store.
             Self::Unconfigured => Some(Duration::from_millis(400)),
-            // Another process takes the caller's next connection.
+            // The caller's next connection goes to another process.
             Self::Stopping => Some(Duration::from_millis(50)),
-            // A target enters itself in the list with its next heartbeat.
+            // A target registers in the list with its next heartbeat.
             Self::NoTarget => Some(Duration::from_millis(800)),
-            // What waits is worked off in its own length, if as much is turned away as comes.
+            // The excess is worked off in this time if as many requests are refused as arrive.
             Self::Late { excess, .. } => Some(excess.into()),
             Self::Loading { remaining } => Some(remaining.time.into()),
-            // A queue as long as an aim has gone by then.
+            // In this time, a queue as long as a typical latency goal has been served.
             Self::NotRun => Some(Duration::from_millis(300)),
             _ => None,
         }
     }
 }
 
-/// Refuses a request that hasn't become a job.
+/// Refuses a request for which no job exists yet.
 pub(super) fn without_job(
     ctx: &Ctx,
     connection: &Rc<ConnectionState>,
@@ -170,7 +172,7 @@
     )
 }
 
-/// What a refusal tells.
+/// Data of a refusal.
 struct Refusal<'a> {
     id: &'a str,
     route: &'a str,
@@ -183,7 +185,7 @@
 
 fn refuse(ctx: &Ctx, connection: &Rc<ConnectionState>, r: &Refusal<'_>) -> Response<AnswerBody> {
     let retry_after = match r.reason {
-        // One request, so that there is nothing to spread, and no sooner time is true.
+        // Without jitter, as this concerns a single request; a shorter time would be wrong.
         Reason::Quarantined { remaining } => Some(remaining.into()),
         _ => r.reason.retry_after().map(|b| jitter(b, r.time_left)),
     };
@@ -210,7 +212,8 @@
     if let Some(retry_after) = retry_after {
         headers.insert(RETRY_AFTER, platform::caller::retry_after(retry_after));
     }
-    // What follows a head or body that wasn't read can't be told from it.
+    // The head or body wasn't read to its end, so the next request on the connection couldn't be
+    // told apart from the rest.
     if matches!(r.reason, Reason::Malformed | Reason::TooLarge) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -1,14 +1,14 @@
-//! Requests that crash the targets that run them, known to all entries together.
+//! Requests that crash the targets that run them, recorded by all entries together.
 //!
-//! A request that crashes each target takes a pool down one target per try, and its caller or another
-//! one sends it again through any entry. Entries tell one another each crash that they hold against a
-//! request, and each suspect that was answered well after all. One who tells of a crash gets in return
-//! the crashes that convict, or the word that such a request was answered well elsewhere: a process
-//! that has just started costs one target at most, and doesn't hold a crash against what others serve
-//! all the time.
+//! A request that crashes its targets costs a pool one target per attempt, and its caller or other
+//! callers send it again through any entry. Entries therefore send one another each crash recorded
+//! against a request, and each suspect that was answered successfully after all. An entry that
+//! reports a crash gets in reply the crashes that convict the request, or a message that the
+//! request recently succeeded elsewhere. So a process that has just started costs at most one
+//! target, and doesn't suspect content that other entries serve all the time.
 //!
-//! Only a run that hasn't begun to answer is suspected. Streams whose events come are under way in
-//! every crash, and a request that crashes its target does so at its beginning.
+//! Only runs without any output are suspected. Streams that have delivered events are in progress
+//! during every crash, and a request that crashes its target does so at its beginning.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,12 +26,13 @@
 use crate::log::{self, Event};
 use crate::update::{self, Strike, Update};
 
-/// Crashes that convict. Engines crash for other reasons too, several of a failure domain at once;
-/// two such crashes may meet one request's two tries, three on lives of three targets hardly.
+/// Crashes that convict a request. Engines also crash for other reasons, several of a failure
+/// domain at once. Two such crashes may hit both attempts of one request; three crashes of
+/// incarnations of three targets hardly ever do.
 const CONVICTING_CRASHES: usize = 3;
 
-/// Pauses between repeated updates. Each entry that lacks a crash may give the request another target, and
-/// datagrams are lost in bursts.
+/// Delays between repetitions of an update. Each entry that lacks a crash may give the request one
+/// more target, and datagrams are lost in bursts.
 const REPEAT_DELAYS: [Duration; 5] = [
     Duration::from_millis(50),
     Duration::from_millis(150),
@@ -40,7 +41,7 @@
     Duration::from_secs(2),
 ];
 
-/// What an entry holds against requests.
+/// Crashes that an entry has recorded against requests.
 #[derive(Debug)]
 pub(super) struct Suspects {
     quarantine: Quarantine,
@@ -60,10 +61,10 @@
     }
 }
 
-/// The fingerprint of a request: the same for each try of the same content by the same team.
+/// Fingerprint of a request, the same for all requests of one team with the same content.
 ///
-/// The weights aren't in it. Whether new weights still have the fault can only be found out by
-/// another crash.
+/// The weights aren't part of it: only another crash could show whether new weights still have the
+/// fault.
 pub(super) fn fingerprint(job: &Job) -> Fingerprint {
     let mut hash = Xxh3::new();
     hash.update(job.method.as_str().as_bytes());
@@ -88,13 +89,14 @@
     }
 }
 
-/// What is to be done with a job.
+/// How a job is to be treated.
 pub(super) fn verdict(ctx: &Ctx, job: &Job) -> Verdict {
     let suspects = ctx.suspects.borrow();
     suspects.quarantine.verdict(ctx.now(), job.fingerprint)
 }
 
-/// Whether a job may be sent: it isn't convicted, or is tried once more through this process.
+/// Whether a job may be sent: either it isn't convicted, or this process uses one of the retries
+/// allowed after a conviction.
 pub(super) fn may_run(ctx: &Ctx, job: &Job) -> bool {
     if verdict(ctx, job) != Verdict::Convicted {
         return true;
@@ -111,7 +113,7 @@
         .take_retry(ctx.now(), job.fingerprint, process_rank)
 }
 
-/// How long a convicted job isn't run at least.
+/// Shortest time until a convicted job may run again.
 pub(super) fn time_to_retry(ctx: &Ctx, job: &Job) -> Micros {
     let now = ctx.now();
     let next = ctx
@@ -122,7 +124,7 @@
     next.map_or(Micros::ZERO, |at| at.since(now))
 }
 
-/// Notes that a job's answer broke off at a target that it was sent to at a time.
+/// Records that a job's answer broke off at the target to which the job was sent at `sent`.
 pub(super) fn record_broken_answer(ctx: &Ctx, job: &Job, boot: &Boot, sent: Micros) {
     let run = BrokenAnswer {
         fingerprint: job.fingerprint,
@@ -140,7 +142,7 @@
     }
 }
 
-/// Notes targets that have ended, whatever the reason.
+/// Records the targets that have ended, for whatever reason.
 pub(super) fn record_ended_targets(ctx: &Ctx) {
     let boots = std::mem::take(&mut ctx.fleet.borrow_mut().ended_targets);
     for boot in boots {
@@ -156,7 +158,7 @@
     }
 }
 
-/// Notes that a job was answered well.
+/// Records a successful answer to a job.
 pub(super) fn record_success(ctx: &Ctx, job: &Job) {
     let cleared = {
         let mut suspects = ctx.suspects.borrow_mut();
@@ -176,7 +178,7 @@
     }
 }
 
-/// Takes over what another entry holds against a request.
+/// Applies a crash or success that another entry has recorded for a request.
 pub(super) fn receive(ctx: &Ctx, strike: Strike, from: SocketAddr) {
     let fingerprint = fingerprint_of(&strike);
     let now = ctx.now();
@@ -188,7 +190,7 @@
             .record_success(now, fingerprint);
         if cleared {
             log_suspected(fingerprint, None, None, &Record::default(), "peer");
-            // Those whom this one has told of the crash must hear of it too.
+            // Entries that have received the crash from this one need the correction too.
             broadcast(ctx, strike_update(fingerprint, None));
         }
         return;
@@ -222,7 +224,7 @@
     }
 }
 
-/// What is held against a request now.
+/// Crashes recorded against a request, and the resulting verdict.
 struct Record {
     crashes: Vec<Crash>,
     verdict: Verdict,
@@ -284,7 +286,7 @@
     });
 }
 
-/// A crash to be told, or that a request is cleared.
+/// An update that reports a crash, or that clears the request if there is none.
 fn strike_update(fingerprint: Fingerprint, crash: Option<Crash>) -> Update {
     Update {
         entry: true,
@@ -299,7 +301,7 @@
     }
 }
 
-/// Sends an update to all entries, and again after some pauses for as long as it holds.
+/// Sends an update to all entries, and repeats it after each delay while it still holds.
 fn broadcast(ctx: &Ctx, update: Update) {
     let send =
         |update: &Update| update::send(&ctx.socket, update, ctx.node.world.borrow().entries());
@@ -317,7 +319,7 @@
     });
 }
 
-/// Whether a strike is still held, or the answer that cleared the request still vouches for it.
+/// Whether a crash is still recorded, or the success that cleared the request still protects it.
 fn still_holds(ctx: &Ctx, strike: &Strike) -> bool {
     let fingerprint = fingerprint_of(strike);
     if strike.cleared {
