--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -1,8 +1,8 @@
-//! Engines that this entry is the delegate of: those that no sidecar reports on, as far as [`policy::delegate`]
-//! gives them to it.
+//! Engines that this entry is the delegate of: those that no sidecar reports on and that
+//! [`policy::delegate`] assigns to this entry.
 //!
-//! A delegate is an agent like a sidecar ([`crate::agent`]), in the process of an entry and for one incarnation
-//! of its engine.
+//! A delegate is an agent like a sidecar ([`crate::agent`]), but runs in the process of an entry
+//! and for a single incarnation of its engine.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -26,11 +26,11 @@
 use crate::update::{self, Note, Update};
 use crate::world::{domain_key, World};
 
-/// Pause between two looks at which engines lack an agent.
+/// Interval between checks which engines lack an agent.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two looks after which this process was paused itself.
+/// Time between two checks from which on this process counts as having been paused.
 const PAUSE_THRESHOLD: Micros = Micros::from_millis(1_000);
-/// Time without any datagram after which this process counts as cut off from the others.
+/// Time without any datagram after which this process counts as isolated from the others.
 const ISOLATION_TIMEOUT: Micros = Micros::from_millis(2_000);
 
 /// An engine that this entry acts for.
@@ -47,7 +47,7 @@
     }
 }
 
-/// The process that last reported on an engine.
+/// The last report on an engine by another process.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     from: SocketAddr,
@@ -55,14 +55,14 @@
     at: Micros,
 }
 
-/// The last order of an engine that this entry has given.
+/// The last order that this entry has sent to an engine.
 #[derive(Clone, Copy, Debug)]
 struct LastOrder {
     at: Micros,
     fence: u64,
 }
 
-/// What an entry knows of engines' agents, by the key of the engine's address.
+/// What an entry has recorded about the agents of engines, by the key of the engine's address.
 #[derive(Debug, Default)]
 pub(super) struct Delegates {
     own: HashMap<u64, Delegate>,
@@ -70,14 +70,14 @@
     last_orders: HashMap<u64, LastOrder>,
     /// When each incarnation was first seen in the list.
     first_listed: HashMap<Boot, Micros>,
-    /// When the last datagram of another process was received.
+    /// When the last datagram from another process was received.
     last_datagram: Micros,
     last_check: Micros,
     /// Since when this process has been running without a pause.
     running_since: Micros,
 }
 
-/// Takes engines on and gives them back for as long as the process lives.
+/// Starts and stops delegates for as long as the process runs.
 pub(super) async fn run(ctx: Ctx) {
     loop {
         update_delegates(&ctx);
@@ -90,7 +90,7 @@
     {
         let mut d = ctx.delegates.borrow_mut();
         if now.since(d.last_check) > PAUSE_THRESHOLD {
-            // What others sent meanwhile hasn't been read yet.
+            // Datagrams that arrived during the pause haven't been read yet.
             d.running_since = now;
         }
         d.last_check = now;
@@ -124,12 +124,12 @@
     meter::set(meter::DELEGATES, own as f64);
 }
 
-/// An engine in the list.
+/// An engine that is in the list.
 #[derive(Debug)]
 struct ListedEngine {
     addr: SocketAddr,
     boot: Boot,
-    /// Whether this entry acts for it.
+    /// Whether this entry acts for the engine.
     acts: bool,
 }
 
@@ -166,7 +166,8 @@
     listed
 }
 
-/// Whether this entry acts for an engine that it has known for a time.
+/// Whether this entry acts for an engine that has been listed, without a pause of this process,
+/// since `since`.
 fn acts(ctx: &Ctx, world: &World, d: &Delegates, r: &Replica, since: Micros) -> bool {
     let now = ctx.now();
     let key = engine_key(r.target.addr);
@@ -188,7 +189,7 @@
         Some(r) if !r.delegate => Reporter::Sidecar,
         Some(r) => match entry_at(world, r.from) {
             Some(other) => Reporter::Delegate(rank(other)),
-            // An entry that isn't a member yet has no place before this one.
+            // An entry that isn't a member yet ranks after this one.
             None => Reporter::Delegate(usize::MAX),
         },
     };
@@ -200,7 +201,7 @@
     delegate::acts(&Config::default(), &engine, rank(own_entry(ctx)), acting)
 }
 
-/// This entry, as places are given.
+/// This entry, in the form that ranks are computed from.
 fn own_entry(ctx: &Ctx) -> delegate::Entry {
     let s = ctx.node.settings.borrow();
     delegate::Entry {
@@ -209,7 +210,7 @@
     }
 }
 
-/// All entries, this one included.
+/// All entries, including this one.
 fn all_entries<'a>(ctx: &Ctx, world: &'a World) -> impl Iterator<Item = delegate::Entry> + 'a {
     let others = world.members.iter().filter(|(_, m)| m.role == Role::Entry);
     let others = others.map(|(host, m)| delegate::Entry {
@@ -219,7 +220,7 @@
     others.chain([own_entry(ctx)])
 }
 
-/// The entry at an address.
+/// The entry with this address.
 fn entry_at(world: &World, addr: SocketAddr) -> Option<delegate::Entry> {
     let (host, member) = world.members.iter().find(|(_, m)| m.addr == addr)?;
     Some(delegate::Entry {
@@ -274,14 +275,14 @@
     }
 }
 
-/// Takes over a note on a prompt at an engine that this entry acts for.
+/// Passes a note on a prompt to the delegate of its engine, if that runs here.
 pub(super) fn receive_note(ctx: &Ctx, engine: u64, note: Note) {
     if let Some(d) = ctx.delegates.borrow().own.get(&engine) {
         d.agent.borrow_mut().prompt(ctx.now(), note);
     }
 }
 
-/// Takes over an agent's update.
+/// Applies an agent's update.
 pub(super) fn receive_update(ctx: &Ctx, update: &Update, from: SocketAddr) {
     let now = ctx.now();
     let Ok(addr) = update.engine.parse::<SocketAddr>() else {
@@ -323,8 +324,8 @@
     }
 }
 
-/// Reports to an engine's sidecar when this entry last ordered the engine, so that the sidecar keeps apart
-/// from that order.
+/// Reports to an engine's sidecar when this entry last sent the engine an order, so that the
+/// sidecar keeps the required time from that order.
 fn send_last_order(ctx: &Ctx, key: u64, engine: SocketAddr, sidecar: SocketAddr) {
     let now = ctx.now();
     let lease = Micros::from(ctx.node.settings.borrow().bounds.lease);
@@ -348,7 +349,7 @@
     update::send(&ctx.socket, &update, [sidecar]);
 }
 
-/// Notes a datagram of another process.
+/// Records that a datagram of another process was received.
 pub(super) fn record_datagram(ctx: &Ctx, from: SocketAddr) {
     if from != ctx.node.settings.borrow().peer {
         ctx.delegates.borrow_mut().last_datagram = ctx.now();
