--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -1,4 +1,4 @@
-//! All targets, as the list and sidecars tell them.
+//! All targets, as the platform's list and agents' updates describe them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,35 +16,36 @@
 use crate::update::{Held, Update};
 
 new_key_type! {
-    /// A target.
+    /// Key of a target in [`Fleet::replicas`].
     pub struct ReplicaKey;
 }
 
-/// Weight of a new answer in what is usual for a pool.
+/// Weight of a new answer in a pool's usual failure rate.
 const USUAL_RATE_SMOOTHING: f64 = 0.02;
 
-/// All targets.
+/// All targets that an entry has data on.
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// The targets.
     pub replicas: SlotMap<ReplicaKey, Replica>,
     keys: HashMap<Boot, ReplicaKey>,
-    /// When the list was last read, or told to be as it was.
+    /// When the list was last read or confirmed to be unchanged.
     pub(super) list_confirmed_at: Micros,
-    /// When reading it last failed.
+    /// When a read of the list last failed.
     list_failed_at: Micros,
-    /// Stores of kept KV cache, by address.
+    /// Contents of the KV stores, by address.
     pub kv_stores: HashMap<SocketAddr, KvStoreContents>,
-    /// Lives of targets that have ended and haven't been looked at yet.
+    /// Targets that have ended and for which [`super::suspects::record_ended_targets`] hasn't run
+    /// yet.
     pub(super) ended_targets: Vec<Boot>,
-    /// Part of answers that usually fail, by pool.
+    /// Usual share of failed answers, by pool.
     usual_failure_rates: HashMap<String, f64>,
-    /// What a restore of the store has made of the list.
+    /// State that keeps a restored list from overriding what is known.
     restored_list: RestoredList,
 }
 
 impl Fleet {
-    /// Takes over the platform's list as it was at some time and position.
+    /// Applies the platform's list as it was at time `at` and position `position`.
     pub fn apply_list(
         &mut self,
         at: Micros,
@@ -64,8 +65,9 @@
             failed: self.list_failed_at > self.list_confirmed_at,
             restored: self.restored_list.restored_at(),
         };
-        // Kept only where its row may have lapsed, and until a time: kept for any absence soon after the
-        // store's return, a target that had left got requests until the next read, and they were lost.
+        // A missing target is kept only if its row may have expired, and only until a fixed time.
+        // When any target missing soon after the store's return was kept, one that had left
+        // received requests until the next read, and those were lost.
         let keep_until = row_expiry::retain_until(config, &gap);
         let missing: Vec<_> = self
             .keys
@@ -74,12 +76,12 @@
             .map(|(b, k)| (b.clone(), *k))
             .collect();
         for (boot, key) in missing {
-            // Another life of the same target has taken this one's place for good.
+            // A new incarnation of the same target has replaced this one for good.
             let replaced = listed.keys().any(|b| b.id == boot.id);
             match keep_until {
                 _ if replaced => self.remove(&boot, key),
                 Some(until) => self.keep_missing(key, until),
-                // Missing before, it is kept until the time that was set then.
+                // A target that was already missing is kept until the time that was set then.
                 None if self
                     .replicas
                     .get(key)
@@ -93,7 +95,7 @@
         self.mark_superseded();
     }
 
-    /// Keeps a target until a time though the list lacks it.
+    /// Keeps a target that is missing from the list until a given time.
     fn keep_missing(&mut self, key: ReplicaKey, until: Micros) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Removes targets that the list lacks and that aren't kept any longer.
+    /// Removes targets that are missing from the list and whose time has passed.
     pub fn expire(&mut self, now: Micros) {
         let expired = |r: &Replica| r.missing_until.is_some_and(|until| now >= until);
         let expired: Vec<_> = self.replicas.iter().filter(|(_, r)| expired(r)).collect();
@@ -116,9 +118,11 @@
         }
     }
 
-    /// Marks the targets at whose address the list names one that was heard later. A crashed target's
-    /// entry lasts some seconds beyond the start of its successor; until it lapsed, each entry sent a
-    /// request or two to the former one and took what the sidecar told of the new one for the former's.
+    /// Marks targets as superseded if the list contains a target with the same address and a later
+    /// heartbeat. The row of a crashed target remains in the list for some seconds after its
+    /// successor has started. Without this mark, each entry sent a request or two to the former
+    /// target until its row expired, and applied the sidecar's reports on the new target to the
+    /// former one.
     fn mark_superseded(&mut self) {
         let mut latest: HashMap<SocketAddr, Position> = HashMap::new();
         for r in self
@@ -154,7 +158,8 @@
             return;
         };
         if self.restored_list.is_older(&target, &replica.target) {
-            // A copy's row is older than what is known, but one that drains may have been written since.
+            // A row restored from a copy is older than the known one, but a draining state may have
+            // been written after the restore.
             replica.missing_until = None;
             if target.state == State::Draining {
                 replica.target.state = target.state;
@@ -168,7 +173,7 @@
             log_state(&target, state_name(target.state));
         }
         if replica.renewed_at_end.is_some_and(|at| target.renewed > at) {
-            // A heartbeat since then: what ended wasn't this one.
+            // The target has sent a heartbeat since, so it was another process that ended.
             replica.renewed_at_end = None;
         }
         if replica.exclusion.listed(now, target.renewed) {
@@ -178,17 +183,17 @@
         replica.target = target;
     }
 
-    /// Notes that the list is as it was last read.
+    /// Records that the list is unchanged since it was last read.
     pub fn confirm_list(&mut self, now: Micros) {
         self.list_confirmed_at = now;
     }
 
-    /// Notes that the list couldn't be read.
+    /// Records that a read of the list failed.
     pub fn record_list_failure(&mut self, now: Micros) {
         self.list_failed_at = now;
     }
 
-    /// Targets that are kept though the list lacks them.
+    /// Number of targets that are kept although the list lacks them.
     pub(super) fn missing_count(&self) -> usize {
         self.replicas
             .values()
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Takes over what a sidecar told.
+    /// Applies an update of an agent or of another entry.
     pub fn apply_update(&mut self, now: Micros, update: &Update, from: SocketAddr) {
         let Ok(addr) = update.engine.parse::<SocketAddr>() else {
             return;
@@ -222,8 +227,9 @@
             replica.apply_reported_weights(now, &w.model, w.version);
         }
         if update.ended {
-            // Until it is listed again its successor may listen there already and refuse what is
-            // meant for it; each such try would be one retry less for streams that its end has cut.
+            // Until the target is listed again, its successor may listen at the address and refuse
+            // requests for this target. Each such attempt would use up a retry that streams cut by
+            // the target's end need.
             replica.renewed_at_end = Some(replica.target.renewed);
             replica.connections.clear();
             self.ended_targets.push(replica.target.boot.clone());
@@ -248,7 +254,7 @@
         replica.agent_report = Some(AgentReport::new(now, update, from));
     }
 
-    /// The life of the engine beside a sidecar.
+    /// Incarnation of the engine that the sidecar at this address reports on.
     pub fn incarnation(&self, now: Micros, sidecar: SocketAddr) -> Option<&Boot> {
         let agent = AgentId {
             addr: sidecar,
@@ -261,7 +267,7 @@
         Some(&replica.target.boot)
     }
 
-    /// Notes a target's good answer.
+    /// Records a successful answer of a target.
     pub fn record_success(&mut self, key: ReplicaKey) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
@@ -274,7 +280,7 @@
         *usual_rate *= 1.0 - USUAL_RATE_SMOOTHING;
     }
 
-    /// Notes a target's failure.
+    /// Records a failure of a target; ejects the target if its circuit breaker opens.
     pub fn record_failure(&mut self, now: Micros, key: ReplicaKey, reason: &str) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
@@ -293,8 +299,8 @@
         }
     }
 
-    /// Notes that another target has a target's address. The list names the old one for some seconds
-    /// more; each request sent there would be refused and cost a retry.
+    /// Records that another target answers at a target's address. The list contains the former
+    /// target for some seconds more, and each request sent to it would be refused and cost a retry.
     pub fn record_misdirected(&mut self, now: Micros, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.exclusion.exclude(now);
@@ -304,7 +310,7 @@
         self.mark_superseded();
     }
 
-    /// Notes that a target can't be reached.
+    /// Records that a target can't be reached.
     pub fn record_unreachable(&mut self, now: Micros, key: ReplicaKey, reason: &str) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -1,10 +1,10 @@
 //! Following the platform's list of targets.
 //!
-//! The list changes with every heartbeat of every target, so a call held open would be answered all
-//! the time. It is read in whole a few times a second instead, by a few entries at a time
-//! ([`policy::pollers`]); the others ask one of them for it when it has found something new. A target
-//! that leaves must get nothing new two seconds after it said so: the pause, a reader's word, a slow
-//! answer and the requests under way fit into that.
+//! The list changes with every heartbeat of every target, so a long poll would return all the time.
+//! Instead, a few entries at a time read the whole list a few times a second ([`policy::pollers`]),
+//! and the others fetch it from one of them when it has changed. A target that leaves must receive
+//! no new requests from two seconds later on; the poll interval, a poller's datagram, a slow answer
+//! and the requests already under way fit into that time.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -29,34 +29,35 @@
 use crate::update::{self, Listed, Update};
 use crate::world::Source;
 
-/// Pause after a read that failed.
+/// Delay after a failed read.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// What entries tell one another of the list.
+/// An entry's view of the list, and of the entries that poll it.
 #[derive(Debug, Default)]
 pub(super) struct ListState {
     pollers: RefCell<Pollers>,
-    /// Hash of the list as this entry last read it; 0 before.
+    /// Hash of the list that this entry last applied; 0 before the first one.
     own_hash: Cell<u64>,
     changed: Notify,
-    /// The reader that has last found something new.
+    /// The poller that last reported a change.
     finder: Cell<Option<SocketAddr>>,
 }
 
 impl ListState {
-    /// Whether the list has been read once.
+    /// Whether the list has been read at least once.
     pub(super) fn is_read(&self) -> bool {
         self.own_hash.get() != 0
     }
 
-    /// Waits until another entry finds something new.
+    /// Waits until another entry reports a change.
     async fn change_found(&self) {
         while self.finder.get().is_none() {
             self.changed.notified().await;
         }
     }
 
-    /// Takes over what another entry has found; tells whether that is what this one knows.
+    /// Records another entry's read of the list; returns whether that list equals the one known
+    /// here.
     pub(super) fn record_poll(&self, now: Micros, listed: Listed, from: SocketAddr) -> bool {
         self.pollers.borrow_mut().record(now, listed.rank);
         let same = listed.hash == self.own_hash.get();
@@ -68,7 +69,7 @@
     }
 }
 
-/// Follows the list for as long as the process lives.
+/// Follows the list for as long as the process runs.
 pub(super) async fn follow(ctx: Ctx) {
     let (addr, rank) = {
         let s = ctx.node.settings.borrow();
@@ -85,8 +86,8 @@
             }
         }
         let started = ctx.now();
-        // A call may hang for longer than a target that leaves may still be used; who has found
-        // something new meanwhile is asked instead.
+        // A call may hang for longer than a leaving target may still be used, so a change reported
+        // by another entry meanwhile is fetched from that entry.
         let read = tokio::select! {
             biased;
             read = read(&ctx, &mut store) => read,
@@ -119,7 +120,8 @@
     }
 }
 
-/// Reads the list from the store, or its changes where reading it in whole takes several calls.
+/// Reads the list from the store, or only its changes if reading the whole list takes several
+/// calls.
 async fn read(ctx: &Ctx, store: &mut Store) -> Result<peer::List, StoreError> {
     let from = {
         let world = ctx.node.world.borrow();
@@ -145,9 +147,9 @@
     })
 }
 
-/// Asks the reader that has found something new. If all entries read instead, each change of the list
-/// would be as many calls to the store as there are entries: 11 and 15 in a hundred of all calls of two
-/// fleets with 31 and 28 entries on a day with many crashes.
+/// Fetches the list from the poller that reported a change. If all entries read the store instead,
+/// each change of the list would cost one call per entry: 11 % and 15 % of all calls of two fleets
+/// with 31 and 28 entries on a day with many crashes.
 async fn fetch_from(ctx: &Ctx, finder: SocketAddr) -> bool {
     match peer::targets(&ctx.node, [finder]).await {
         Some(list) => adopt(ctx, list),
@@ -155,7 +157,7 @@
     }
 }
 
-/// Takes over the list as another entry has read it, if that was after this one's last reading; tells
+/// Applies the list that another entry has read, if it is newer than the one known here; returns
 /// whether it was.
 fn adopt(ctx: &Ctx, list: peer::List) -> bool {
     let own = {
@@ -172,7 +174,7 @@
     false
 }
 
-/// Takes over a list, and tells of it if it says something new or lacks targets that are kept.
+/// Applies a list, and logs it if it has changed or lacks targets that are kept.
 fn apply(ctx: &Ctx, list: peer::List, source: &str) {
     let (at, position) = (list.at, list.rows.at);
     let targets = {
@@ -197,7 +199,7 @@
     }
 }
 
-/// Tells of a list.
+/// Logs a list.
 fn log_listed(ctx: &Ctx, source: &str, targets: usize, at: Micros, taken: bool) {
     log::event(&Event::Listed {
         source,
@@ -208,7 +210,7 @@
     });
 }
 
-/// Tells the other entries what was found, if this one is a reader.
+/// Sends the hash of the list to the other entries, if this entry is a poller.
 fn announce(ctx: &Ctx, rank: u64) {
     let hash = ctx.list.own_hash.get();
     if !ctx.list.pollers.borrow().should_poll(ctx.now(), rank) {
@@ -226,8 +228,8 @@
     update::send(&ctx.socket, &update, ctx.node.world.borrow().entries());
 }
 
-/// Hash of what decides where requests may go. Weights aren't in it: they change at every engine
-/// with each new version, and sidecars tell of them sooner.
+/// Hash of everything in the list that decides where requests may go. Weights aren't included: they
+/// change at every engine with each new version, and sidecars report them sooner.
 fn list_hash(targets: &[Target]) -> u64 {
     let mut targets: Vec<_> = targets.iter().collect();
     targets.sort_by(|a, b| a.boot.cmp(&b.boot));
@@ -239,12 +241,12 @@
     hash.digest()
 }
 
-/// Waits until the list is to be read again.
+/// Waits until the list has to be read again.
 async fn wait(ctx: &Ctx, rank: u64, era: &mut watch::Receiver<Option<u64>>) {
     let read = ctx.now();
     let draw = rand::rng().random();
     loop {
-        // What others tell meanwhile puts the next read off.
+        // Reads that other entries report meanwhile postpone the next poll.
         let next = ctx.list.pollers.borrow().next_poll(read, rank, draw);
         let now = ctx.now();
         ctx.fleet.borrow_mut().expire(now);
@@ -264,7 +266,7 @@
     }
 }
 
-/// How rows lapse on this platform.
+/// Timing of row expiry on this platform.
 fn row_expiry_config(ctx: &Ctx) -> row_expiry::Config {
     row_expiry::Config {
         heartbeat: ctx.node.settings.borrow().heartbeat.into(),
@@ -272,7 +274,7 @@
     }
 }
 
-/// The targets that can be used; entries that can't be read name none.
+/// Decodes the targets of all rows, and skips and logs rows that are invalid.
 fn decode_targets<'a>(rows: impl Iterator<Item = &'a Row>) -> Vec<Target> {
     let mut targets = Vec::new();
     for row in rows {
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -1,4 +1,4 @@
-//! One target and what an entry believes of it.
+//! One target and the data that an entry has on it.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,50 +16,54 @@
 use crate::agent::AgentId;
 use crate::update::{Held, Update};
 
-/// How long an engine is expected to hold what it was sent to read; a long prompt in a queue.
+/// How long an engine is expected to have the parts of a prompt sent to it; covers a long prompt in
+/// a queue.
 const EXPECTED_TTL: Micros = Micros::from_millis(1_500);
-/// Sendings remembered for a target; more than one entry makes between two words of its sidecar.
+/// Maximum number of recent prompts remembered for a target; more than one entry sends between two
+/// reports of the sidecar.
 const MAX_RECENT_PROMPTS: usize = 64;
-/// Time after which a sidecar's reading counts against newer weights that were learnt otherwise; reports
-/// are up to 0.3 s old.
+/// Time after which a lower version in a report replaces a newer version that is known from another
+/// source. Reports are up to 0.3 s old.
 const REPORT_SETTLE_TIME: Micros = Micros::from_millis(800);
 
-/// What a sidecar last told of its engine.
+/// An agent's last report on its engine.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentReport {
-    /// The agent that sent it.
+    /// The agent that sent the report.
     pub(crate) agent: AgentId,
-    /// When it was heard.
+    /// When the report was received.
     pub at: Micros,
-    /// Whether the engine answers its sidecar.
+    /// Whether the engine answers its agent.
     pub alive: bool,
-    /// Whether it is loading weights.
+    /// Whether the engine is loading weights.
     pub loading: bool,
-    /// Requests whose prompt has been read.
+    /// Requests whose prefill is done.
     pub running: u32,
-    /// Requests whose prompt hasn't been read yet.
+    /// Requests whose prefill is pending.
     pub unread_prompts: u32,
-    /// Tokens of memory that can't yield.
+    /// Tokens of memory that can't be released for other requests.
     pub memory_used: u32,
     /// Tokens of memory in all.
     pub memory_total: u32,
-    /// Whether its turn to load has come: what is sent there now is refused or met by the load.
+    /// Whether the engine's slot to load weights has come: new requests sent there are refused or
+    /// interrupted by the load.
     pub due_to_load: bool,
-    /// For how long it is expected to continue to load them since then, if it is loading.
+    /// Remaining time of the load at the time of the report, if the engine is loading weights.
     pub remaining_load: Option<RemainingLoad>,
-    /// Prompt tokens that it has yet to read, for all entries, by step of urgency.
+    /// Prompt tokens of all entries that the engine has yet to prefill, by tier
+    /// ([`prefill_priority::tier`]).
     pub unread_tokens: UnreadTokens,
 }
 
 impl AgentReport {
-    /// For how long it continues to load weights, if it is loading.
+    /// Remaining time of the load now, if the engine is loading weights.
     pub(super) fn remaining_load_at(&self, now: Micros) -> Option<RemainingLoad> {
         let load = self.remaining_load?;
         let time = (self.at + load.time).since(now);
         Some(RemainingLoad { time, ..load })
     }
 
-    /// What a sidecar's word says of its engine.
+    /// Reads a report from an agent's update.
     pub(super) fn new(now: Micros, update: &Update, from: SocketAddr) -> Self {
         let time = |ms: u32| Micros::from_millis(ms.into());
         let mut unread_tokens = UnreadTokens::default();
@@ -86,43 +90,46 @@
     }
 }
 
-/// A target and what is believed of it.
+/// A target and the data that this entry has on it.
 #[derive(Debug)]
 pub struct Replica {
-    /// As it is listed.
+    /// The target's row in the list.
     pub target: Target,
-    /// Kept connections.
+    /// Idle connections to the target.
     pub(super) connections: ConnectionPool,
-    /// Requests of this entry that are there.
+    /// Requests of this entry that are in flight at the target.
     pub inflight: u32,
-    /// Those of them that are suspected of crashing targets.
+    /// Number of these requests that are suspected of crashing targets.
     pub suspects: u32,
-    /// Prompt tokens of this entry that it has yet to read.
+    /// Prompt tokens of this entry that the target has yet to prefill.
     pub unread_tokens: u32,
-    /// Prompts that this entry has sent of late, which its sidecar may not have counted yet.
+    /// Recent prompts of this entry with their time and tokens, which the target's agent may not
+    /// have counted yet.
     pub recent_prompts: VecDeque<(Micros, u32)>,
-    /// Its own count, and when it came.
+    /// The load that the target itself stated in an answer, and when that was received.
     pub load: Option<(Load, Micros)>,
-    /// What its sidecar told.
+    /// Last report of the target's agent.
     pub agent_report: Option<AgentReport>,
-    /// Versions of its weights.
+    /// Versions of the loaded weights by model.
     pub weights: HashMap<String, u64>,
-    /// Tokens of parts that it holds, by scope and part.
+    /// Tokens of the cached parts, by scope and part.
     pub held: HashMap<(u64, PartId), u32>,
-    /// Parts that it is about to read or fetch, and until when that is believed.
+    /// Parts that the target is about to prefill or fetch, with their tokens and the time until
+    /// which they are expected.
     expected: HashMap<(u64, PartId), (u32, Micros)>,
-    /// How it has done.
+    /// Circuit breaker of the target.
     pub breaker: CircuitBreaker,
-    /// Until when it is kept though the list lacks it.
+    /// Until when the target is kept although the list lacks it.
     pub(super) missing_until: Option<Micros>,
-    /// Whether another target has answered at its address.
+    /// Exclusion of the target after another one has answered at its address.
     pub exclusion: Exclusion,
-    /// Position of its last heartbeat when its sidecar found that its process had ended.
+    /// Position of the target's last heartbeat at the time when its agent found that the process
+    /// had ended.
     pub(super) renewed_at_end: Option<Position>,
-    /// Whether the list names another target at its address that was heard later.
+    /// Whether the list contains a target with the same address and a later heartbeat.
     pub superseded: bool,
     pub(super) epoch: u64,
-    /// When its weights were last found to be newer than believed.
+    /// When the version of the weights was last raised.
     weights_raised_at: Micros,
 }
 
@@ -151,7 +158,7 @@
         }
     }
 
-    /// Whether it is, as far as known, what listens at its address.
+    /// Whether the target is, as far as known, the process that listens at its address.
     pub fn is_present(&self, now: Micros) -> bool {
         let listed_or_kept = self.missing_until.is_none_or(|until| now < until);
         listed_or_kept
@@ -160,12 +167,13 @@
             && self.renewed_at_end.is_none()
     }
 
-    /// Tokens at the beginning of a prompt that it holds under a scope.
+    /// Tokens of a prompt's cached prefix under a scope.
     pub fn holds(&self, scope: u64, parts: &[Part]) -> u32 {
         held_prefix(&self.held, scope, parts)
     }
 
-    /// The same, with what it will hold once it has done what it has to do already.
+    /// Tokens of a prompt's prefix that are cached, or will be once the target's pending work is
+    /// done.
     pub fn will_hold(&self, now: Micros, scope: u64, parts: &[Part]) -> u32 {
         let available = |part: &Part| {
             let key = (scope, part.id);
@@ -176,7 +184,7 @@
         prefix_tokens(parts, available)
     }
 
-    /// Notes a prompt sent to it.
+    /// Records a prompt sent to the target.
     pub fn record_send(&mut self, now: Micros, tokens: u32) {
         self.inflight += 1;
         self.unread_tokens += tokens;
@@ -186,7 +194,8 @@
         }
     }
 
-    /// Tokens yet to read with those sent after a time, which its sidecar hasn't counted yet.
+    /// Adds the prompts sent since `from`, which the target's agent hasn't counted yet, to its
+    /// counts of tokens to prefill.
     pub fn with_unreported(&self, mut unread: UnreadTokens, from: Micros) -> UnreadTokens {
         for (_, tokens) in self
             .recent_prompts
@@ -199,7 +208,7 @@
         unread
     }
 
-    /// Expects it to hold some parts soon.
+    /// Expects the target to hold some parts soon.
     pub fn expect_parts(&mut self, now: Micros, scope: u64, parts: &[Part]) {
         let until = now + EXPECTED_TTL;
         for p in parts {
@@ -207,7 +216,8 @@
         }
     }
 
-    /// Notes that it has read or fetched some parts, or that it won't.
+    /// Records that the target has prefilled or fetched some parts, or, if not `done`, that it
+    /// won't.
     pub fn settle_parts(&mut self, scope: u64, parts: &[Part], done: bool) {
         for p in parts {
             let key = (scope, p.id);
@@ -218,7 +228,8 @@
         }
     }
 
-    /// Notes that its weights are of a version; what it held for another one is gone.
+    /// Records the version of the target's weights if it is newer than the known one; parts of
+    /// older versions are gone then.
     pub fn raise_weights(&mut self, now: Micros, model: &str, version: u64) {
         let known = self.weights.get(model).copied().unwrap_or_default();
         if known < version {
@@ -229,10 +240,10 @@
         }
     }
 
-    /// Takes over a version that its sidecar has read from it. That may be lower than what is believed:
-    /// an order that was given up on is carried out late, and puts older weights in the place of newer
-    /// ones. Its report is some hundred milliseconds old, so that it counts against what has been
-    /// learnt otherwise only after a time.
+    /// Applies a version that the target's agent has read from it. That version may be lower than
+    /// the known one: an order whose sender has given up on it may be carried out late and replace
+    /// newer weights by older ones. Reports are some hundred milliseconds old, so a lower version
+    /// counts only after [`REPORT_SETTLE_TIME`].
     pub fn apply_reported_weights(&mut self, now: Micros, model: &str, version: u64) {
         let known = self.weights.get(model).copied().unwrap_or_default();
         if version < known && now.since(self.weights_raised_at) > REPORT_SETTLE_TIME {
@@ -242,7 +253,8 @@
     }
 }
 
-/// Tokens at the beginning of a prompt that are held; a part counts only if all before it are there.
+/// Tokens of a prompt's cached prefix. A part counts only if all parts before it are cached
+/// completely.
 pub(super) fn held_prefix(held: &HashMap<(u64, PartId), u32>, scope: u64, parts: &[Part]) -> u32 {
     prefix_tokens(parts, |part| {
         held.get(&(scope, part.id)).copied().unwrap_or_default()
@@ -261,16 +273,16 @@
     tokens
 }
 
-/// A store of kept KV cache.
+/// Contents of a KV store.
 #[derive(Debug, Default)]
 pub struct KvStoreContents {
-    /// Tokens of parts that it holds, by scope and part.
+    /// Tokens of the stored parts, by scope and part.
     pub held: HashMap<(u64, PartId), u32>,
     epoch: u64,
 }
 
 impl KvStoreContents {
-    /// Takes over what a follower of the store tells.
+    /// Applies an update of a process that follows the store.
     pub(super) fn apply_update(&mut self, update: &Update) {
         if !update.alive || update.epoch != self.epoch {
             self.held.clear();
@@ -280,7 +292,7 @@
     }
 }
 
-/// Takes over what is told of parts.
+/// Applies changes of cached parts.
 pub(super) fn apply_parts(held: &mut HashMap<(u64, PartId), u32>, parts: &[Held]) {
     for h in parts {
         let key = (h.scope, PartId(h.part));
