--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -1,9 +1,10 @@
-//! A stream from a replica to its caller, over a replica's end if another may go on with it.
+//! Relaying a stream from a replica to its caller, and resuming it on another replica when the
+//! first one fails.
 //!
-//! A stream that may be resumed is passed on in whole events only: what a dying replica left of an
-//! event is dropped, and the next replica begins after the last whole one. Any other stream is passed
-//! on as it comes and cut where its replica cut it or ended within an event, so that it never looks
-//! complete.
+//! A resumable stream is passed on in complete events only: the incomplete event of a failed
+//! replica is dropped, and the next replica starts after the last complete one. Any other stream is
+//! passed on as it arrives, and is cut off where its replica cut it off or ended it within an
+//! event, so that it never looks complete.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,24 +28,25 @@
 use crate::log::{self, Event};
 use crate::meter;
 
-/// Multiple of the longest good pause after which a resumable stream goes to another replica.
+/// Multiple of the route's goal for the gap between events after which a resumable stream is
+/// requested from another replica as well.
 const SILENCE_FACTOR: f64 = 2.0;
-/// Shortest such time, for routes that name no pause.
+/// Least value of that time, for routes without such a goal.
 const MIN_SILENCE: Duration = Duration::from_millis(500);
 
-/// Bytes of the longest end of an event.
+/// Length in bytes of the longest delimiter of events.
 const MAX_DELIMITER: usize = 4;
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
-    /// Its last event has been passed on.
+    /// The last event has been passed on.
     Whole,
-    /// Its replica cut it, and no other went on.
+    /// The replica cut off the stream, and no other replica resumed it.
     Cut,
-    /// Its route's time was over.
+    /// The deadline has passed.
     Overdue,
-    /// Its caller left.
+    /// The caller closed its connection.
     Left,
 }
 
@@ -59,21 +61,23 @@
     }
 }
 
-/// A stream on its way; what it holds at the replica ends with it.
+/// A stream that is being relayed. Dropping it ends the accounting at its replica.
 struct Relay {
     ctx: Ctx,
     job: Job,
     live: Option<LiveAnswer>,
-    /// What has come of an event that isn't whole; of a stream that is passed on as it comes, its end.
+    /// Received bytes of an incomplete event; for a stream that isn't resumable, the last few bytes
+    /// that were passed on.
     tail: BytesMut,
     events: u64,
     first_event_after: Option<Duration>,
-    /// Whether it waits for its replica, however long that is silent.
+    /// Whether a silent replica is waited for until the deadline, as another replica was already
+    /// tried.
     ignores_silence: bool,
     end: End,
 }
 
-/// Passes a stream on.
+/// Relays a stream to its caller.
 pub(super) fn relay(
     ctx: &Ctx,
     connection: &Rc<ConnectionState>,
@@ -107,7 +111,7 @@
     answer
 }
 
-/// What a replica's stream brought.
+/// What was received from a replica.
 enum Received {
     Bytes(Bytes),
     Whole,
@@ -117,7 +121,7 @@
 }
 
 impl Relay {
-    /// The next bytes for the caller; none at the end.
+    /// The next bytes for the caller; `None` at the end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, IncompleteAnswer> {
         loop {
             let received = match self.receive().await {
@@ -151,7 +155,7 @@
         Err(IncompleteAnswer)
     }
 
-    /// Waits for the replica's next bytes.
+    /// Waits for the next bytes from the replica.
     async fn receive(&mut self) -> Received {
         let end = self.job.time_left(self.ctx.now()) + ANSWER_GRACE;
         let silence = self
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Whether another replica may go on with a stream that is silent.
+    /// Whether another replica may take over the stream if the replica is silent.
     fn may_move(&self) -> bool {
         self.job.route.mode == site::Mode::Resumable
             && self.job.run_count + 1 < self.job.route.max_attempts
@@ -184,8 +188,9 @@
 
     fn classify(&self, frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Received {
         match frame {
-            // A stream without a stated length ends with its connection; if that is in the middle of an
-            // event, it isn't whole, and taking it for whole would lose the caller the rest.
+            // A stream without a stated length ends with its connection. If that happens within an
+            // event, the stream is incomplete, and the caller would lose the rest if it counted as
+            // complete.
             None if self.within_event() => Received::Broken("ended within an event"),
             None => Received::Whole,
             Some(Err(_)) => Received::Broken("stream broken"),
@@ -195,7 +200,7 @@
         }
     }
 
-    /// Whether the bytes so far end within an event.
+    /// Whether the bytes received until now end within an event.
     fn within_event(&self) -> bool {
         match self.job.route.mode {
             site::Mode::Resumable => !self.tail.is_empty(),
@@ -203,7 +208,7 @@
         }
     }
 
-    /// What of these bytes goes on now.
+    /// Adds received bytes; returns those that can be passed on now.
     fn forward(&mut self, bytes: Bytes) -> Option<Bytes> {
         if bytes.is_empty() {
             return None;
@@ -228,7 +233,7 @@
         Some(events)
     }
 
-    /// Notes the first event: the replica has read the prompt and holds it now.
+    /// Records the first event: the replica has prefilled the prompt and now holds it.
     fn record_first_event(&mut self) {
         let after = self.ctx.now().since(self.job.received_at).into();
         self.first_event_after = Some(after);
@@ -249,7 +254,7 @@
             .record_success(live.in_flight.key());
     }
 
-    /// The replica's stream ended in order; its connection is kept.
+    /// Records that the replica completed the stream, and returns its connection to the pool.
     fn finish(&mut self) {
         self.end = End::Whole;
         suspects::record_success(&self.ctx, &self.job);
@@ -264,12 +269,13 @@
         }
     }
 
-    /// Asks another replica to go on with a stream whose replica is silent, and takes whichever of the two
-    /// speaks first.
+    /// Requests the rest of a stream from another replica because its replica is silent, and
+    /// continues with whichever of the two sends first.
     ///
-    /// A replica that loads weights is silent for seconds and then goes on. Given up on before another
-    /// one had answered, its streams were cut when all others were full or no retry was left: callers
-    /// lost answers that were being made, also while a process stopped as planned.
+    /// A replica that loads weights is silent for seconds and then continues. If a silent replica
+    /// were given up before another one has answered, its streams would be cut off whenever all
+    /// others are full or no retry is left: callers lost answers that were still being generated,
+    /// even while a process was stopped as planned.
     async fn race_other_replica(&mut self) -> Received {
         self.ignores_silence = true;
         let spend = |b: &mut Budget| b.spend(self.ctx.now(), RetryReason::HasRun);
@@ -284,7 +290,7 @@
         let resumed = tokio::select! {
             biased;
             frame = old.response.body_mut().frame() => {
-                // What the other one may have begun ends with its place.
+                // Dropping the other replica's in-flight request ends whatever it may have started.
                 self.job.run_count += 1;
                 self.live = Some(old);
                 return self.classify(frame);
@@ -310,7 +316,7 @@
         Received::Silent
     }
 
-    /// Lets another replica go on.
+    /// Resumes the stream on another replica; returns whether that succeeded.
     async fn continue_elsewhere(&mut self, reason: &'static str) -> bool {
         if let Some(live) = self.live.take() {
             let key = live.in_flight.key();
@@ -391,7 +397,7 @@
     }
 }
 
-/// What became of a try to go on.
+/// Outcome of an attempt to resume a stream.
 enum ResumeOutcome {
     Resumed,
     NotRun,
@@ -414,7 +420,7 @@
     }
 }
 
-/// Where the last whole event ends.
+/// End of the last complete event.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let lf = bytes.windows(2).rposition(|w| w == b"\n\n").map(|i| i + 2);
     let crlf = bytes
@@ -424,7 +430,7 @@
     lf.max(crlf)
 }
 
-/// The id of the last of some whole events.
+/// Id of the last event that has one.
 fn last_id(events: &[u8]) -> Option<String> {
     let lines = events.split(|b| *b == b'\n').rev();
     let id = lines.filter_map(|l| l.strip_prefix(b"id:")).next()?;
--- a/crates/gate/src/entry/request.rs
+++ b/crates/gate/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request once it has been read, and the bodies of answers.
+//! The job that a caller's request becomes, and the bodies of answers.
 
 use std::fmt;
 use std::pin::Pin;
@@ -17,8 +17,8 @@
 use super::fleet::ReplicaKey;
 use super::listen::ConnectionState;
 
-/// An answer that ends before it is whole. The connection to the caller ends with it, so that it
-/// can't be taken for a whole one.
+/// An answer that ended before it was complete. The connection to the caller is closed, so that the
+/// answer doesn't look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the answer was cut short")]
 pub(super) struct IncompleteAnswer;
@@ -30,7 +30,8 @@
 }
 
 impl AnswerBody {
-    /// A body on a caller's connection, which is idle again after it.
+    /// Creates a body that is sent on a caller's connection; dropping the body marks the connection
+    /// as idle.
     pub(super) fn new(
         inner: impl Body<Data = Bytes, Error = IncompleteAnswer> + 'static,
         connection: Rc<ConnectionState>,
@@ -74,64 +75,64 @@
     }
 }
 
-/// A request that has been read and may go to a target.
+/// A request whose head has been checked, and the state of its attempts.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
-    /// Its id.
+    /// Id of the request.
     pub(super) id: String,
-    /// Its route.
+    /// Route that the request matched.
     pub(super) route: Rc<Route>,
-    /// Version of the configuration that decided.
+    /// Version of the configuration in which the route was found.
     pub(super) version: u64,
-    /// The pool that it goes to.
+    /// Pool that the request is sent to.
     pub(super) pool: String,
-    /// The team that sent it, if its route asks for one.
+    /// Team that sent the request, if it has a known API key.
     pub(super) team: Option<String>,
-    /// Whether its team shares cached parts with nobody.
+    /// Whether the team's cached parts aren't shared with other teams.
     pub(super) isolated: bool,
-    /// Rank; 0 goes first.
+    /// Rank of the request; 0 goes first.
     pub(super) rank: u8,
-    /// What it asks a model for.
+    /// Prompt of the request, if it is for a model.
     pub(super) prompt: Option<Prompt>,
-    /// Its method.
+    /// HTTP method.
     pub(super) method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub(super) uri: Uri,
-    /// Its headers.
+    /// Headers from the caller.
     pub(super) headers: HeaderMap,
-    /// Its body.
+    /// Body from the caller.
     pub(super) body: Bytes,
-    /// Fingerprint of its content.
+    /// Fingerprint of the content.
     pub(super) fingerprint: Fingerprint,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has.
     pub(super) last_event_id: Option<String>,
-    /// When it came.
+    /// When the head of the request was received.
     pub(super) received_at: Micros,
-    /// When the caller or the route gives up on it.
+    /// When the caller or the route gives up on the request.
     pub(super) deadline: Micros,
-    /// Targets that it was sent to.
+    /// Targets that the request was sent to, except those that may get it again.
     pub(super) attempted: Vec<ReplicaKey>,
-    /// Those of them that refused it.
+    /// Targets that refused the request.
     pub(super) refused_by: Vec<ReplicaKey>,
-    /// Times it was sent.
+    /// How often the request was sent.
     pub(super) send_count: u32,
-    /// Times it was sent and may have run.
+    /// How often it was sent and may have run.
     pub(super) run_count: u32,
 }
 
 impl Job {
-    /// What is left until it is given up on.
+    /// Time left until the deadline.
     pub(super) fn time_left(&self, now: Micros) -> Duration {
         self.deadline.since(now).into()
     }
 
-    /// Lets targets that refused it be tried again.
+    /// Allows the targets that refused the request to be used again.
     pub(super) fn forget_refusals(&mut self) {
         let refused_by = std::mem::take(&mut self.refused_by);
         self.attempted.retain(|k| !refused_by.contains(k));
     }
 
-    /// Whether it may run once more.
+    /// Whether the request may run at one more target.
     pub(super) fn may_run_again(&self) -> bool {
         self.run_count < self.route.max_attempts
     }
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to a target, up to the head of its answer.
+//! Sending a request to one target, up to the head of its answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,24 +27,26 @@
 use crate::meter;
 use crate::update::Note;
 
-/// A request's place at a target; freed with this value.
+/// Accounting of a request that is in flight at a target. Dropping it removes the request from the
+/// target's counts.
 #[derive(Debug)]
 pub(super) struct InFlight {
     ctx: Ctx,
     key: ReplicaKey,
-    /// The target's agent, if it has been received, and the key of the request that was reported to it.
+    /// Agent to which the request was reported, and the request's key there; `None` if no agent was
+    /// known or once the prefill has been reported as done.
     reported_to: Option<(AgentId, u64)>,
-    /// Tokens that the target has yet to read; none once it has.
+    /// Tokens that the target has yet to prefill; `None` once it has.
     unread_tokens: Option<u32>,
-    /// Parts that it is expected to hold, and their scope.
+    /// Scope and parts that the target is expected to hold soon.
     expected: Option<(u64, Vec<Part>)>,
-    /// Tokens that an idle engine reads for the first event, if that is to be learnt from.
+    /// Tokens that an idle engine prefills for the first event, if that measures the prefill rate.
     pub(super) measured_tokens: Option<u32>,
     /// Whether the request is suspected of crashing targets.
     suspect: bool,
-    /// The target's life.
+    /// Incarnation of the target.
     pub(super) boot: Boot,
-    /// When the request was sent there.
+    /// When the request was sent to the target.
     pub(super) sent_at: Micros,
 }
 
@@ -101,12 +103,12 @@
         }
     }
 
-    /// The target.
+    /// Key of the target.
     pub(super) fn key(&self) -> ReplicaKey {
         self.key
     }
 
-    /// Notes that the target has read the prompt.
+    /// Records that the target has prefilled the prompt.
     pub(super) fn record_prefilled(&mut self) {
         self.settle(true);
     }
@@ -142,33 +144,33 @@
     }
 }
 
-/// An answer whose head has come.
+/// An answer whose head has been received.
 #[derive(Debug)]
 pub(super) struct LiveAnswer {
-    /// The answer.
+    /// The response, with a body that is still arriving.
     pub(super) response: Response<Incoming>,
-    /// What its head tells.
+    /// Decoded head of the answer.
     pub(super) head: AnswerHead,
-    /// The connection that it comes on.
+    /// The connection on which the answer arrives.
     pub(super) connection: Connection,
-    /// The request's place at the target.
+    /// Accounting of the request at the target.
     pub(super) in_flight: InFlight,
 }
 
-/// What became of a sending.
+/// Outcome of sending a request.
 #[derive(Debug)]
 pub(super) enum SendOutcome {
-    /// The head of an answer has come.
+    /// The head of an answer has been received.
     Answer(Box<LiveAnswer>),
-    /// The request did not run, and the target has not even seen it.
+    /// The request did not run, and the target hasn't received it.
     NotDelivered(&'static str),
-    /// The target says that it did not run the request.
+    /// The target answered that it did not run the request.
     NotRun(&'static str),
     /// The request may have run.
     Unknown(&'static str),
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits up to `head_timeout` for the head of its answer.
 pub(super) async fn send(ctx: &Ctx, job: &Job, pick: &Pick, head_timeout: Duration) -> SendOutcome {
     let in_flight = InFlight::new(ctx, job, pick);
     let Some(request) = build_request(ctx, job, pick) else {
@@ -230,7 +232,7 @@
     let (send, conn) = http1::handshake(TokioIo::new(tcp)).await.ok()?;
     metrics::counter!(meter::CONNECTIONS).increment(1);
     let task = tokio::task::spawn_local(async move {
-        // The error reaches whoever waits for an answer on this connection.
+        // The error is also returned to the request that waits for an answer on this connection.
         let _ = conn.await;
     });
     Some(Connection::new(send, task.abort_handle()))
@@ -246,7 +248,7 @@
 ) -> SendOutcome {
     let response = match connection.send.try_send_request(request).await {
         Ok(r) => r,
-        // The request comes back if the connection ended before anything of it was written.
+        // The request is returned if the connection ended before any byte of it was written.
         Err(mut e) => {
             return match e.take_message() {
                 Some(_) => SendOutcome::NotDelivered("connection gone"),
@@ -275,7 +277,8 @@
     }
 }
 
-/// Keeps the connection of an answer that isn't passed on, once its short body is in.
+/// Returns the connection to the pool after an answer that isn't passed on, once its short body has
+/// been read.
 async fn keep_connection(
     ctx: &Ctx,
     key: ReplicaKey,
@@ -292,7 +295,8 @@
     }
 }
 
-/// A refusal by another target at the address, or by the right one with other weights.
+/// Handles a refusal by another target at this address, or by the right target because of its
+/// weights.
 fn handle_misdirected(ctx: &Ctx, pick: &Pick, job: &Job, head: &AnswerHead) -> SendOutcome {
     let same = head.target_id.as_ref().is_none_or(|t| *t == pick.boot.id);
     let (Some(prompt), true) = (&job.prompt, same) else {
@@ -301,7 +305,8 @@
             .record_misdirected(ctx.now(), pick.key);
         return SendOutcome::NotRun("another target has its address");
     };
-    // It doesn't say which weights it has; the newest ones are what it is ordered to load.
+    // The answer doesn't contain the target's version; the newest version is the one that the
+    // target is ordered to load.
     let world = ctx.node.world.borrow();
     let newest = world.named.get(&prompt.model).map(|n| n.newest());
     if let (Some(version), Some(r)) = (newest, ctx.fleet.borrow_mut().replicas.get_mut(pick.key)) {
@@ -310,7 +315,7 @@
     SendOutcome::NotRun("other weights")
 }
 
-/// Takes over what an answer's head tells of its target.
+/// Records what the head of an answer says about its target.
 fn record_head(ctx: &Ctx, pick: &Pick, job: &Job, head: &AnswerHead) {
     let now = ctx.now();
     let mut fleet = ctx.fleet.borrow_mut();
@@ -330,7 +335,7 @@
     Some(format!("{:x}", part.id.0))
 }
 
-/// Tells of a sending.
+/// Logs and counts the sending of a request.
 pub(super) fn log_send(ctx: &Ctx, job: &Job, pick: &Pick, left: Duration) {
     if let Some(age) = pick.load_age {
         meter::span(meter::BELIEF_AGE, age.into());
--- a/crates/gate/src/entry/serve.rs
+++ b/crates/gate/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its head to its answer.
+//! Handling of a caller's request, from its head to the head of its answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,18 +27,18 @@
 use crate::log::{self, Event};
 use crate::meter;
 
-/// Longest time from a process's start in which requests wait for what it doesn't know yet; a slow
-/// store answers its two calls within it.
+/// Time after the process's start up to which requests wait for a configuration and a list of
+/// targets; a slow store answers both calls within that time.
 const MAX_STARTUP_WAIT: Micros = Micros::from_millis(400);
-/// Pause between two looks whether it is known.
+/// Interval between checks whether these are known.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a connection ends without an answer: the request never came in whole.
+/// A request whose body never arrived completely; its connection is closed without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the request was cut short")]
 pub(super) struct IncompleteRequest;
 
-/// Answers a request.
+/// Handles a request and returns its answer.
 pub(super) async fn serve(
     ctx: Ctx,
     connection: Rc<ConnectionState>,
@@ -73,7 +73,8 @@
             }
         },
     };
-    // After a body without a stated length, what follows might be a second reading of that body.
+    // After a body of unstated length, the bytes that follow might be read as another request
+    // although they belong to that body, so the connection is closed.
     if chunked || ctx.node.stopping.get() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -81,16 +82,17 @@
     Ok(response)
 }
 
-/// Waits until a process that has just started knows its configuration and targets. It takes some tens
-/// of milliseconds; a caller who is refused meanwhile comes back after several times that. Fifty callers
-/// were refused so when six entries started at once under 100 requests a second.
+/// Waits until a process that has just started has a configuration and a list of targets. That
+/// takes some tens of milliseconds, and a caller that is refused meanwhile returns only after
+/// several times as long: fifty callers were refused when six entries started at once under 100
+/// requests a second.
 async fn wait_for_startup(ctx: &Ctx) {
     while ctx.now() < MAX_STARTUP_WAIT && (ctx.node.plan().is_none() || !ctx.list.is_read()) {
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Why a body isn't there.
+/// Why a body couldn't be read.
 enum ReadError {
     Incomplete,
     TooLarge,
@@ -105,7 +107,7 @@
     }
 }
 
-/// Finds a request's route and team.
+/// Determines a request's route and team, and creates its job.
 fn prepare(
     ctx: &Ctx,
     received_at: Micros,
@@ -156,7 +158,7 @@
     Ok((plan, job))
 }
 
-/// Draws the pool by the shares' weights.
+/// Draws a pool at random by the weights of the route's shares.
 fn draw_pool(route: &Route) -> Option<String> {
     let total: f64 = route.shares.iter().map(|s| s.weight.max(0.0)).sum();
     let mut drawn = rand::rng().random_range(0.0..1.0) * total;
@@ -167,7 +169,7 @@
     hit.or(route.shares.last()).map(|s| s.pool.clone())
 }
 
-/// Sends a job until a target answers it or nothing more can be done.
+/// Runs a job and returns its answer, or a refusal if no target answers it.
 async fn answer(ctx: &Ctx, connection: &Rc<ConnectionState>, mut job: Job) -> Response<AnswerBody> {
     ctx.retry_budget(&job.pool, |b| b.record_request(ctx.now()));
     meter::span(meter::WAITING, ctx.now().since(job.received_at).into());
