--- a/crates/gate/src/entry/connection_pool.rs
+++ b/crates/gate/src/entry/connection_pool.rs
@@ -1,9 +1,9 @@
-//! Kept connections to one target.
+//! Idle connections to one target.
 //!
-//! A kept connection may have been closed at the other end without this one knowing. What is sent on
-//! it then is lost, and nobody can tell whether it ran. So a connection is used only while it is
-//! younger than the target's own limit by a margin, and for what must not run twice only right after
-//! its last use.
+//! The target may have closed an idle connection without this process having noticed. A request
+//! sent on such a connection is lost, and it is unknown whether it ran. A connection is therefore
+//! reused only if it has been idle for clearly less than the target's idle timeout, and for
+//! requests that must not run twice only shortly after its last use.
 
 use std::time::Duration;
 
@@ -13,19 +13,20 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// A target's limit if it tells none.
+/// Idle timeout assumed for a target that doesn't state one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Part of a target's limit up to which a connection is used.
+/// Fraction of the target's idle timeout up to which a connection is reused.
 const MAX_IDLE_SHARE: f64 = 0.6;
-/// Longest idle time of a connection for what must not run twice.
+/// Longest idle time of a connection that is reused for a request that must not run twice.
 const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(1_500);
-/// Connections kept for a target at most; an entry seldom has more requests at one target at once.
+/// Maximum number of idle connections per target; an entry rarely has more requests at one target
+/// at once.
 const MAX_CONNECTIONS: usize = 32;
 
-/// A connection to a target; it ends with this value.
+/// A connection to a target. Dropping it closes the connection.
 #[derive(Debug)]
 pub(super) struct Connection {
-    /// Sends requests on it.
+    /// Sends requests on the connection.
     pub(super) send: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     idle_timeout: Duration,
@@ -33,7 +34,7 @@
 }
 
 impl Connection {
-    /// A new connection that a task drives.
+    /// Creates a connection that is driven by the task.
     pub(super) fn new(send: SendRequest<Full<Bytes>>, task: AbortHandle) -> Self {
         Self {
             send,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Takes over the target's own limit.
+    /// Sets the idle timeout that the target states.
     pub(super) fn set_idle_timeout(&mut self, idle_timeout: Duration) {
         self.idle_timeout = idle_timeout;
     }
@@ -66,12 +67,12 @@
     }
 }
 
-/// Kept connections, the one used last at the end.
+/// Idle connections, the most recently used last.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionPool(Vec<Connection>);
 
 impl ConnectionPool {
-    /// A connection fit for a request, if there is one.
+    /// Takes a connection that can be used for the request, if there is one.
     pub(super) fn take(&mut self, non_repeatable: bool) -> Option<Connection> {
         self.0.retain(|c| c.is_reusable(false));
         let last = self.0.last()?;
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Keeps a connection whose answer has ended.
+    /// Returns a connection to the pool after its answer has ended.
     pub(super) fn keep(&mut self, mut connection: Connection) {
         if self.0.len() < MAX_CONNECTIONS && !connection.send.is_closed() {
             connection.last_used = Instant::now();
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Ends all of them.
+    /// Closes all connections.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/gate/src/entry/listen.rs
+++ b/crates/gate/src/entry/listen.rs
@@ -1,8 +1,9 @@
-//! Callers' connections: taking them, watching them, closing them.
+//! Connections of callers: accepting, monitoring and closing them.
 //!
-//! A connection is idle, has a head arriving or is busy. Idle ones end after the configuration's
-//! idle limit, and heads that take too long end their connection; neither may happen to a request
-//! that has been read. One task looks over all connections, so that a connection costs no timer.
+//! A connection is idle, receives a head or is busy. Idle connections are closed after the
+//! configured idle timeout, and connections on which a head takes too long are closed too; neither
+//! may happen to a request whose head has been read. A single task checks all connections, so that
+//! no connection needs a timer.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -28,27 +29,27 @@
 use super::{serve, Ctx};
 use crate::log::{self, Event};
 
-/// How often connections are looked over.
+/// Interval between checks of all connections.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause after a connection couldn't be taken, as when descriptors have run out.
+/// Delay after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The HTTP library's least buffer for a head.
+/// Least buffer for a head that the HTTP library accepts.
 const MIN_HEAD_BUFFER: usize = 8_192;
-/// Longest head before a configuration is there.
+/// Longest accepted head while there is no configuration.
 const DEFAULT_MAX_HEAD: usize = 16_384;
 
-/// What a connection does.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// Nothing, since then.
+    /// Idle since the given time.
     Idle(Instant),
-    /// A request's head is arriving, since then.
+    /// Receiving the head of a request since the given time.
     Arriving(Instant),
-    /// A request is read or answered.
+    /// Reading the body of a request or answering it.
     Busy,
 }
 
-/// A connection as seen from outside it.
+/// State of a connection that is shared with the task that checks all of them.
 #[derive(Debug)]
 pub(super) struct ConnectionState {
     phase: Cell<Phase>,
@@ -56,12 +57,12 @@
 }
 
 impl ConnectionState {
-    /// Notes that a request's head is in.
+    /// Records that the head of a request has been received.
     pub(super) fn set_busy(&self) {
         self.phase.set(Phase::Busy);
     }
 
-    /// Notes that an answer has ended.
+    /// Records that an answer has ended.
     pub(super) fn set_idle(&self) {
         self.phase.set(Phase::Idle(Instant::now()));
     }
@@ -72,17 +73,17 @@
 pub(super) struct CallerConnections(Slab<Rc<ConnectionState>>);
 
 impl CallerConnections {
-    /// Whether there is none.
+    /// Whether there are no connections.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Closes those without a request, and others once they have answered theirs.
+    /// Closes connections without a request, and the others once they have answered theirs.
     pub(super) fn close_idle(&self) {
         self.0.iter().for_each(|(_, c)| c.close.notify_one());
     }
 
-    /// Closes those that have been idle or arriving for too long.
+    /// Closes connections that have been idle, or receiving a head, for too long.
     fn close_late(&self, limits: site::Limits) {
         for (_, c) in &self.0 {
             let late = match c.phase.get() {
@@ -97,8 +98,8 @@
     }
 }
 
-/// Takes callers' connections, until the handle ends that, and the platform's questions whether this
-/// process is ready.
+/// Starts to accept connections of callers and the platform's readiness checks. Aborting the
+/// returned handle stops accepting callers.
 pub(super) async fn serve(ctx: &Ctx) -> io::Result<AbortHandle> {
     let (callers, ready) = {
         let s = ctx.node.settings.borrow();
@@ -125,7 +126,7 @@
     Ok(listening.abort_handle())
 }
 
-/// What a port is for.
+/// Purpose of a port.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Port {
     Callers,
@@ -141,7 +142,7 @@
                 continue;
             }
         };
-        // A connection whose options can't be set has ended already.
+        // A connection whose options can't be set has already ended.
         if platform::call::enable_dead_peer_detection(&tcp).is_err() {
             continue;
         }
@@ -166,13 +167,13 @@
         *response.status_mut() = status;
         async move { Ok::<_, Infallible>(response) }
     });
-    // Whoever asked asks again.
+    // A failed readiness check is repeated by the platform.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(tcp), answer)
         .await;
 }
 
-/// Whether the process takes new connections: it knows a configuration and isn't stopping.
+/// Whether the process takes new connections: it has a configuration and isn't stopping.
 pub(super) fn is_ready(ctx: &Ctx) -> bool {
     ctx.node.plan().is_some() && !ctx.node.stopping.get()
 }
@@ -215,7 +216,8 @@
     let mut conn = pin!(conn);
     loop {
         tokio::select! {
-            // Broken connections and torn requests end here; requests that were read log their own end.
+            // Broken connections and incomplete requests end here; the end of a request that was
+            // read completely is logged elsewhere.
             _ = &mut conn => return,
             () = state.close.notified() => match state.phase.get() {
                 Phase::Arriving(_) => return,
@@ -225,7 +227,7 @@
     }
 }
 
-/// A caller's connection that notes when a head begins to arrive.
+/// A caller's connection that records when a head begins to arrive.
 struct MonitoredStream {
     tcp: TcpStream,
     state: Rc<ConnectionState>,
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The process that takes callers' requests and goes to targets directly.
+//! The entry: the process that receives callers' requests and sends them to targets directly.
 
 mod attempts;
 mod candidates;
@@ -46,56 +46,58 @@
 pub use fleet::Fleet;
 pub use replica::Replica;
 
-/// How long a stopping process goes on taking what comes on open connections; the balancer needs
-/// two misses, a second apart, to send nothing new.
+/// How long a stopping process still accepts connections and requests. The load balancer sends it
+/// no new connections after two failed checks, which are a second apart.
 const LAME_DUCK_PERIOD: Duration = Duration::from_millis(2_600);
-/// The end of the grace that is kept for ending the process.
+/// Time at the end of the grace period that is reserved for the exit of the process.
 const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
-/// Pause between two looks whether the sidecars are known yet; short beside a first request's wait.
+/// Interval between checks for known sidecars during startup; short relative to the wait of a first
+/// request.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which sidecars that aren't known have not started with this process.
+/// Time after its start in which an entry checks often for sidecars; those not known by then
+/// weren't started together with it.
 const STARTUP_PERIOD: Micros = Micros::from_secs(4);
-/// Pause between two looks then.
+/// Interval between these checks after the startup period.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An entry's context.
+/// Shared handle to an entry's state.
 pub type Ctx = Rc<Entry>;
 
-/// An entry.
+/// State of an entry.
 #[derive(Debug)]
 pub struct Entry {
-    /// The process.
+    /// State that all kinds of processes have.
     pub node: Shared,
-    /// What it believes of the targets.
+    /// The targets, with the data on each.
     pub fleet: RefCell<Fleet>,
-    /// Its part of each pool's retries.
+    /// This entry's share of each pool's retry budget.
     retry_budgets: RefCell<HashMap<String, retry_budget::Budget>>,
-    /// Who reads the platform's list, and what was found.
+    /// State of following the platform's list of targets.
     list: list::ListState,
-    /// Requests that crash targets.
+    /// Requests that are suspected of crashing targets.
     suspects: RefCell<suspects::Suspects>,
     /// Engines that this entry is the delegate of.
     delegates: RefCell<delegate::Delegates>,
-    /// The work that prompts have brought of late.
+    /// Recent work of long and short prompts.
     recent_work: RefCell<length_partition::RecentWork>,
-    /// How fast engines read, by pool.
+    /// Prefill rates of engines, by pool.
     prefill_rates: RefCell<HashMap<String, PrefillRate>>,
-    /// Receives and sends updates.
+    /// Socket for updates.
     socket: Rc<UdpSocket>,
-    /// Whether it takes no more requests, since it is about to end.
+    /// Whether new requests are refused because the process is about to exit.
     closing: Cell<bool>,
-    /// Its callers' connections.
+    /// Connections of callers.
     connections: RefCell<listen::CallerConnections>,
 }
 
 impl Entry {
-    /// Now, as decisions see it.
+    /// Time since the start of the process.
     fn now(&self) -> Micros {
         self.node.now()
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges.
     fn update_gauges(&self) {
         let fleet = self.fleet.borrow();
         let running: u32 = fleet.replicas.values().map(|r| r.inflight).sum();
@@ -120,8 +122,8 @@
         update::send(&self.socket, &update, [agent.addr]);
     }
 
-    /// Tells the other entries what an engine was sent to read, so that they don't send the same
-    /// opening to be read elsewhere.
+    /// Announces to the other entries which parts an engine is about to prefill, so that they don't
+    /// have the same opening prefilled elsewhere.
     fn announce_expected(&self, engine: std::net::SocketAddr, scope: &Scope, parts: &[Part]) {
         let held = |p: &Part| Held {
             scope: scope.key(),
@@ -137,7 +139,7 @@
         update::send(&self.socket, &update, self.node.world.borrow().entries());
     }
 
-    /// Lets a decision use a pool's pace of reading.
+    /// Calls `f` with the prefill rate of a pool.
     fn prefill_rate<T>(&self, pool: &str, f: impl FnOnce(&mut PrefillRate) -> T) -> T {
         let mut prefill_rates = self.prefill_rates.borrow_mut();
         match prefill_rates.get_mut(pool) {
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Lets a decision use a pool's budget of retries.
+    /// Calls `f` with this entry's retry budget for a pool.
     fn retry_budget<T>(&self, pool: &str, f: impl FnOnce(&mut retry_budget::Budget) -> T) -> T {
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         if !retry_budgets.contains_key(pool) {
@@ -169,7 +171,7 @@
     }
 }
 
-/// Runs an entry until it is told to stop and has served what it took.
+/// Runs an entry until `stop` completes and the accepted requests have been served.
 pub async fn run(
     node: Shared,
     socket: UdpSocket,
@@ -203,11 +205,13 @@
     Ok(())
 }
 
-/// Asks the sidecars that are wanted to tell of their engines, for as long as the process lives.
+/// Subscribes to the selected sidecars and renews the subscriptions for as long as the process
+/// runs.
 ///
-/// A sidecar tells one who asks for the first time all that is held. By itself it tells that every few
-/// seconds only, and until then each subject would be read again, wherever its request goes: after all
-/// processes of nine engines and six entries had been killed at once, 240,000 tokens in four seconds.
+/// A sidecar sends all cached parts to an entry that subscribes for the first time; without a
+/// subscription it sends them only every few seconds. Until an entry has them, it would have each
+/// subject prefilled again wherever a request goes: 240,000 tokens in four seconds after all
+/// processes of nine engines and six entries had been killed at once.
 async fn subscribe(ctx: Ctx) {
     loop {
         let sidecars = select_sidecars(&ctx);
@@ -243,7 +247,7 @@
     }
 }
 
-/// The sidecars that this entry hears.
+/// The sidecars that this entry subscribes to.
 fn select_sidecars(ctx: &Ctx) -> Vec<SocketAddr> {
     let (own, domain) = {
         let s = ctx.node.settings.borrow();
@@ -258,7 +262,7 @@
     subscription::select(sidecars)
 }
 
-/// Takes over what sidecars tell.
+/// Receives and applies updates of other processes.
 async fn receive_updates(ctx: Ctx) {
     loop {
         let (update, from) = update::receive(&ctx.socket).await;
@@ -267,7 +271,7 @@
         if let Some(listed) = update.list {
             let known = ctx.node.era.borrow().unwrap_or_default();
             if listed.era < known {
-                // What it found is from before the store was restored.
+                // This list was read before the store was restored.
                 continue;
             }
             ctx.node.raise_era(listed.era, Source::Peer);
@@ -292,10 +296,11 @@
     }
 }
 
-/// Ends without cutting a request: no longer ready at once, all that comes served a while longer,
-/// then nothing new taken and connections closed as they fall idle. Where the balancer has nobody
-/// else in the domain, it goes on sending to a process that isn't ready; what came too late to be
-/// finished within the grace would be cut with the process.
+/// Stops without cutting off a request. The process reports at once that it isn't ready, but serves
+/// all requests for a while longer; then it refuses new ones and closes connections as they become
+/// idle. A load balancer without another healthy process in the domain keeps sending to one that
+/// isn't ready, so a request accepted too late to finish within the grace period would be cut off
+/// when the process exits.
 async fn shut_down(ctx: &Ctx, stopped_at: Instant, listening: &AbortHandle) {
     ctx.node.stopping.set(true);
     let end = stopped_at + ctx.node.settings.borrow().bounds.grace - EXIT_MARGIN;
@@ -309,6 +314,7 @@
             ctx.connections.borrow().close_idle();
         }
     };
-    // What runs past the grace is cut by the platform a moment later in any case.
+    // The platform kills the process a moment later anyway, so requests that run longer are cut
+    // off.
     let _ = timeout_at(end, emptied).await;
 }
