--- a/crates/gate/src/entry/candidates.rs
+++ b/crates/gate/src/entry/candidates.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Load of an engine as a prompt sees it for which the engine prefills `tokens` tokens.
+    /// Load of an engine for a prompt of which it has to prefill `tokens` tokens.
     fn load(&self, r: &Replica, tokens: u32) -> Load {
         let Some(report) = r
             .agent_report
@@ -102,7 +102,7 @@
             memory_total: report.memory_total,
             loading_ms: report
                 .remaining_load_at(self.now)
-                .map_or(0.0, |left| left.time.as_millis() as f64),
+                .map_or(0.0, |load| load.time.as_millis() as f64),
         }
     }
 
@@ -148,7 +148,7 @@
             fetch_per_token: ms_per_token(self.engine.link_mbps),
             fetch_setup: FETCH_SETUP,
         });
-        let kept = plan.kv_stores().iter().filter_map(|k| {
+        let stores = plan.kv_stores().iter().filter_map(|k| {
             let held = held_prefix(&fleet.kv_stores.get(&k.addr)?.held, scope, parts);
             Some(Source {
                 addr: k.addr,
@@ -159,6 +159,6 @@
                 fetch_setup: FETCH_SETUP,
             })
         });
-        Sources::new(engines.chain(kept))
+        Sources::new(engines.chain(stores))
     }
 }
--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -325,7 +325,7 @@
 }
 
 /// Reports to an engine's sidecar when this entry last sent the engine an order, so that the
-/// sidecar keeps the required time from that order.
+/// sidecar waits long enough after that order before it sends its own.
 fn send_last_order(ctx: &Ctx, key: u64, engine: SocketAddr, sidecar: SocketAddr) {
     let now = ctx.now();
     let lease = Micros::from(ctx.node.settings.borrow().bounds.lease);
--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -242,7 +242,7 @@
         apply_parts(&mut replica.held, &update.parts);
         if update.entry {
             let parts: Vec<_> = update.expected.iter().map(expected_part).collect();
-            let scope = update.expected.first().map_or(0, |report| report.scope);
+            let scope = update.expected.first().map_or(0, |held| held.scope);
             return replica.expect_parts(now, scope, &parts);
         }
         let sidecar = |report: &AgentReport| {
@@ -280,7 +280,7 @@
         *usual_rate *= 1.0 - USUAL_RATE_SMOOTHING;
     }
 
-    /// Records a failure of a target; ejects the target if its circuit breaker opens.
+    /// Records a failure of a target, and logs the ejection if that opens the circuit breaker.
     pub fn record_failure(&mut self, now: Micros, key: ReplicaKey, reason: &str) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -58,7 +58,7 @@
 /// Time after its start in which an entry checks often for sidecars; those not known by then
 /// weren't started together with it.
 const STARTUP_PERIOD: Micros = Micros::from_secs(4);
-/// Interval between these checks after the startup period.
+/// Interval between checks for known sidecars after the startup period.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Shared handle to an entry's state.
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -215,7 +215,7 @@
     worth.then_some(store)
 }
 
-/// The engines of a pool that are reserved for long prompts, if long prefills stall the pool's
+/// The engines of a pool that are reserved for long prompts, if prefills would stall the pool's
 /// streams. The engines are taken from an order that is the same for all entries.
 fn long_engines(
     fleet: &Fleet,
--- a/crates/gate/src/entry/plain.rs
+++ b/crates/gate/src/entry/plain.rs
@@ -47,10 +47,10 @@
 /// Share of a target's slots that would be in use, with penalties for distance and failures.
 fn plain_cost(r: &Replica, domain: &str, now: Micros) -> f64 {
     let load = r.load.filter(|(_, at)| now.since(*at) < LOAD_LIFETIME);
-    let running = load
+    let requests = load
         .map_or(0, |(l, _)| l.running + l.waiting)
         .max(r.inflight);
     let slots = f64::from(r.target.slots.max(1));
-    let far = if r.target.domain == domain { 0.0 } else { 0.1 };
-    ((f64::from(running) + 1.0) / slots + far) * failure_factor(r, now)
+    let distance_penalty = if r.target.domain == domain { 0.0 } else { 0.1 };
+    ((f64::from(requests) + 1.0) / slots + distance_penalty) * failure_factor(r, now)
 }
--- a/crates/gate/src/entry/refuse.rs
+++ b/crates/gate/src/entry/refuse.rs
@@ -45,12 +45,12 @@
     Late {
         /// Wait before the request at the best target.
         wait: Micros,
-        /// By how much that wait is too long.
+        /// By how much that wait would have to fall.
         excess: Micros,
     },
     /// All targets are loading weights and refuse new requests meanwhile.
     Loading {
-        /// Shortest remaining load time of these targets.
+        /// Shortest remaining load time among the targets.
         remaining: RemainingLoad,
     },
     /// The request has crashed the targets that ran it.
@@ -187,7 +187,10 @@
     let retry_after = match r.reason {
         // Without jitter, as this concerns a single request; a shorter time would be wrong.
         Reason::Quarantined { remaining } => Some(remaining.into()),
-        _ => r.reason.retry_after().map(|b| jitter(b, r.time_left)),
+        _ => r
+            .reason
+            .retry_after()
+            .map(|after| jitter(after, r.time_left)),
     };
     let status = r.reason.status();
     meter::count(meter::REFUSALS, "reason", r.reason.name());
@@ -199,7 +202,7 @@
         attempts: r.attempts,
         after_ms: ctx.now().since(r.received_at).as_millis(),
         version: r.version,
-        retry_ms: retry_after.map(|b| b.as_millis() as u64),
+        retry_ms: retry_after.map(|after| after.as_millis() as u64),
         wait_ms: match r.reason {
             Reason::Late { wait, .. } => Some(wait.as_millis()),
             Reason::Loading { remaining } => Some(remaining.time.as_millis()),
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -28,10 +28,11 @@
 use crate::log::{self, Event};
 use crate::meter;
 
-/// Multiple of the route's goal for the gap between events after which a resumable stream is
-/// requested from another replica as well.
+/// Multiple of the route's goal for the gap between events; after a silence of that length, a
+/// resumable stream is requested from another replica as well.
 const SILENCE_FACTOR: f64 = 2.0;
-/// Least value of that time, for routes without such a goal.
+/// Least silence after which a resumable stream is requested from another replica, for routes
+/// without a goal for the gap.
 const MIN_SILENCE: Duration = Duration::from_millis(500);
 
 /// Length in bytes of the longest delimiter of events.
@@ -275,7 +276,7 @@
     /// A replica that loads weights is silent for seconds and then continues. If a silent replica
     /// were given up before another one has answered, its streams would be cut off whenever all
     /// others are full or no retry is left: callers lost answers that were still being generated,
-    /// even while a process was stopped as planned.
+    /// also when a process was stopped as planned.
     async fn race_other_replica(&mut self) -> Received {
         self.ignores_silence = true;
         let spend = |b: &mut Budget| b.spend(self.ctx.now(), RetryReason::HasRun);
@@ -366,6 +367,7 @@
         false
     }
 
+    /// Makes one attempt to resume the stream on another replica.
     async fn resume(&mut self) -> ResumeOutcome {
         let Some(plan) = self.ctx.node.plan() else {
             return ResumeOutcome::NoReplica;
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -19,11 +19,11 @@
 /// How long an engine is expected to have the parts of a prompt sent to it; covers a long prompt in
 /// a queue.
 const EXPECTED_TTL: Micros = Micros::from_millis(1_500);
-/// Maximum number of recent prompts remembered for a target; more than one entry sends between two
+/// Maximum number of recent prompts remembered for a target; an entry sends fewer between two
 /// reports of the sidecar.
 const MAX_RECENT_PROMPTS: usize = 64;
-/// Time after which a lower version in a report replaces a newer version that is known from another
-/// source. Reports are up to 0.3 s old.
+/// Age of a known version from which on a report with a lower version replaces it. Reports are up
+/// to 0.3 s old.
 const REPORT_SETTLE_TIME: Micros = Micros::from_millis(800);
 
 /// An agent's last report on its engine.
@@ -99,7 +99,8 @@
     pub(super) connections: ConnectionPool,
     /// Requests of this entry that are in flight at the target.
     pub inflight: u32,
-    /// Number of these requests that are suspected of crashing targets.
+    /// Number of requests of this entry in flight at the target that are suspected of crashing
+    /// targets.
     pub suspects: u32,
     /// Prompt tokens of this entry that the target has yet to prefill.
     pub unread_tokens: u32,
@@ -128,6 +129,7 @@
     pub(super) renewed_at_end: Option<Position>,
     /// Whether the list contains a target with the same address and a later heartbeat.
     pub superseded: bool,
+    /// Epoch of the target's cache events; a change means that the cached parts are gone.
     pub(super) epoch: u64,
     /// When the version of the weights was last raised.
     weights_raised_at: Micros,
@@ -278,6 +280,7 @@
 pub struct KvStoreContents {
     /// Tokens of the stored parts, by scope and part.
     pub held: HashMap<(u64, PartId), u32>,
+    /// Epoch of the store's events; a change means that the stored parts are gone.
     epoch: u64,
 }
 
--- a/crates/gate/src/entry/restored_list.rs
+++ b/crates/gate/src/entry/restored_list.rs
@@ -18,7 +18,7 @@
 pub(super) struct RestoredList {
     /// Position of the first list that was read in the current era.
     first_list: Option<Position>,
-    /// When that list was read, if the era began with a restore.
+    /// When the first list of the current era was read, if the era began with a restore.
     restored_at: Option<Micros>,
     /// Targets that have left, with their last renewal and the time of their removal.
     left: HashMap<Boot, (Position, Micros)>,
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -64,7 +64,7 @@
             r.record_send(now, pick.prefill_tokens);
             r.suspects += u32::from(suspect);
             let request = xxh3_64(job.id.as_bytes());
-            let agent = r.agent_report.map(|h| (h.agent, request));
+            let agent = r.agent_report.map(|report| (report.agent, request));
             reported_to = agent.filter(|_| expected.is_some());
             if let Some((scope, parts)) = &expected {
                 r.expect_parts(now, *scope, parts);
@@ -182,9 +182,9 @@
         replica.and_then(|r| r.connections.take(!job.route.mode.is_repeatable()))
     };
     let connection = match idle {
-        Some(u) => u,
+        Some(c) => c,
         None => match connect(pick).await {
-            Some(u) => u,
+            Some(c) => c,
             None => {
                 let now = ctx.now();
                 ctx.fleet
@@ -200,7 +200,7 @@
     )
     .await
     {
-        Ok(sent) => sent,
+        Ok(outcome) => outcome,
         Err(_) => SendOutcome::Unknown("silent"),
     }
 }
--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -207,11 +207,11 @@
     let crash = crash_of(&strike);
     let before = record(ctx, fingerprint);
     if before.verdict == Verdict::Convicted && !before.crashes.contains(&crash) {
-        let against = before
+        let replies = before
             .crashes
             .iter()
             .map(|c| strike_update(fingerprint, Some(*c)));
-        against.for_each(|n| update::send(&ctx.socket, &n, [from]));
+        replies.for_each(|reply| update::send(&ctx.socket, &reply, [from]));
         return;
     }
     ctx.suspects
@@ -309,8 +309,8 @@
     send(&update);
     let ctx = Rc::clone(ctx);
     tokio::task::spawn_local(async move {
-        for pause in REPEAT_DELAYS {
-            sleep(pause).await;
+        for delay in REPEAT_DELAYS {
+            sleep(delay).await;
             if !update.strike.is_some_and(|s| still_holds(&ctx, &s)) {
                 return;
             }
--- a/crates/gate/src/entry/usable.rs
+++ b/crates/gate/src/entry/usable.rs
@@ -43,10 +43,10 @@
     };
     let untried = |c: &(ReplicaKey, &Replica)| !job.attempted.contains(&c.0);
     let usable = |c: &(ReplicaKey, &Replica)| c.1.breaker.usable(now) && accepts_requests(c.1, now);
-    let alone = |c: &(ReplicaKey, &Replica)| !suspect || c.1.suspects == 0;
-    let stays = |c: &(ReplicaKey, &Replica)| !is_due_to_load(c.1, now);
-    passing(&|c| untried(c) && usable(c) && stays(c) && alone(c))
-        .or_else(|| passing(&|c| untried(c) && usable(c) && stays(c)))
+    let no_other_suspect = |c: &(ReplicaKey, &Replica)| !suspect || c.1.suspects == 0;
+    let not_due = |c: &(ReplicaKey, &Replica)| !is_due_to_load(c.1, now);
+    passing(&|c| untried(c) && usable(c) && not_due(c) && no_other_suspect(c))
+        .or_else(|| passing(&|c| untried(c) && usable(c) && not_due(c)))
         .or_else(|| passing(&|c| untried(c) && usable(c)))
         .or_else(|| passing(&|c| untried(c)))
         .or_else(|| {
@@ -111,11 +111,11 @@
         r.agent_report
             .is_some_and(|report| now.since(report.at) < REPORT_LIFETIME)
     };
-    let some: Vec<_> = engines.iter().copied().filter(|(_, r)| recent(r)).collect();
-    if some.is_empty() {
+    let reported: Vec<_> = engines.iter().copied().filter(|(_, r)| recent(r)).collect();
+    if reported.is_empty() {
         return engines;
     }
-    some
+    reported
 }
 
 /// Whether a very recent report says that the engine is alive and keeps its cache. A fetch from an
