--- a/crates/gate/src/entry/attempts.rs
+++ b/crates/gate/src/entry/attempts.rs
@@ -79,7 +79,7 @@
         }
         let pick = match pick::pick(ctx, &plan, job) {
             Ok(p) => p,
-            Err(Reason::Loading { remaining }) if worth_waiting(job, ctx.now(), remaining) => {
+            Err(Reason::Loading { remaining }) if is_worth_waiting(job, ctx.now(), remaining) => {
                 // The interval isn't shortened for a load that is overdue: each check would find
                 // the same report until the sidecar sends the next one.
                 sleep(LOADING_POLL_INTERVAL).await;
@@ -118,7 +118,7 @@
 
 /// Whether a job waits for engines that are loading. Requests sent to them meanwhile are refused,
 /// and each such attempt costs the pool a retry.
-fn worth_waiting(job: &Job, now: Micros, remaining: RemainingLoad) -> bool {
+fn is_worth_waiting(job: &Job, now: Micros, remaining: RemainingLoad) -> bool {
     let rest = job.time_left(now).into();
     remaining.is_worth_waiting(rest, job.time_left(job.received_at).into())
 }
@@ -262,9 +262,9 @@
 /// Handles an answer whose head has been received.
 async fn handle_answer(ctx: &Ctx, job: &Job, live: LiveAnswer) -> AttemptOutcome {
     let status = live.response.status();
-    let good = status.is_success();
+    let succeeded = status.is_success();
     let key = live.in_flight.key();
-    if good && (!live.head.signed || live.head.encoded) {
+    if succeeded && (!live.head.signed || live.head.encoded) {
         ctx.fleet
             .borrow_mut()
             .record_failure(ctx.now(), key, "spoiled answer");
@@ -273,7 +273,7 @@
             answer: None,
         };
     }
-    if good && job.route.mode.is_stream() {
+    if succeeded && job.route.mode.is_stream() {
         return AttemptOutcome::Answered(FirstAnswer::Stream(Box::new(live)));
     }
     let left = job.time_left(ctx.now()) + ANSWER_GRACE;
@@ -292,7 +292,7 @@
             };
         }
     };
-    match good || status.is_client_error() {
+    match succeeded || status.is_client_error() {
         true => {
             ctx.fleet.borrow_mut().record_success(key);
             suspects::record_success(ctx, job);
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -40,7 +40,7 @@
     own_hash: Cell<u64>,
     changed: Notify,
     /// The poller that last reported a change.
-    finder: Cell<Option<SocketAddr>>,
+    change_reporter: Cell<Option<SocketAddr>>,
 }
 
 impl ListState {
@@ -51,7 +51,7 @@
 
     /// Waits until another entry reports a change.
     async fn change_found(&self) {
-        while self.finder.get().is_none() {
+        while self.change_reporter.get().is_none() {
             self.changed.notified().await;
         }
     }
@@ -62,7 +62,7 @@
         self.pollers.borrow_mut().record(now, listed.rank);
         let same = listed.hash == self.own_hash.get();
         if !same {
-            self.finder.set(Some(from));
+            self.change_reporter.set(Some(from));
             self.changed.notify_one();
         }
         same
@@ -79,8 +79,8 @@
     let mut dependency = Dependency::new("list");
     let mut era = ctx.node.era.subscribe();
     loop {
-        if let Some(finder) = ctx.list.finder.take() {
-            if fetch_from(&ctx, finder).await {
+        if let Some(change_reporter) = ctx.list.change_reporter.take() {
+            if fetch_from(&ctx, change_reporter).await {
                 wait(&ctx, rank, &mut era).await;
                 continue;
             }
@@ -150,8 +150,8 @@
 /// Fetches the list from the poller that reported a change. If all entries read the store instead,
 /// each change of the list would cost one call per entry: 11 % and 15 % of all calls of two fleets
 /// with 31 and 28 entries on a day with many crashes.
-async fn fetch_from(ctx: &Ctx, finder: SocketAddr) -> bool {
-    match peer::targets(&ctx.node, [finder]).await {
+async fn fetch_from(ctx: &Ctx, change_reporter: SocketAddr) -> bool {
+    match peer::targets(&ctx.node, [change_reporter]).await {
         Some(list) => adopt(ctx, list),
         None => false,
     }
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -211,8 +211,9 @@
     let held = &fleet.kv_stores.get(&store)?.held;
     let missing = prompt.shared_tokens() - held_prefix(held, scope, prompt.shared());
     let own = prompt.input_tokens.saturating_sub(prompt.shared_tokens());
-    let worth = missing >= MIN_SAVED_TOKENS && f64::from(own) <= f64::from(missing) * MAX_OWN_RATIO;
-    worth.then_some(store)
+    let worth_saving =
+        missing >= MIN_SAVED_TOKENS && f64::from(own) <= f64::from(missing) * MAX_OWN_RATIO;
+    worth_saving.then_some(store)
 }
 
 /// The engines of a pool that are reserved for long prompts, if prefills would stall the pool's
--- a/crates/gate/src/entry/refuse.rs
+++ b/crates/gate/src/entry/refuse.rs
@@ -215,8 +215,8 @@
     if let Some(retry_after) = retry_after {
         headers.insert(RETRY_AFTER, platform::caller::retry_after(retry_after));
     }
-    // The head or body wasn't read to its end, so the next request on the connection couldn't be
-    // told apart from the rest.
+    // The rest of the head or body hasn't been read and couldn't be distinguished from the next
+    // request on the connection.
     if matches!(r.reason, Reason::Malformed | Reason::TooLarge) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -72,8 +72,8 @@
     tail: BytesMut,
     events: u64,
     first_event_after: Option<Duration>,
-    /// Whether a silent replica is waited for until the deadline, as another replica was already
-    /// tried.
+    /// Whether a silent replica is waited for until the deadline, because another replica has been
+    /// requested already.
     ignores_silence: bool,
     end: End,
 }
@@ -383,8 +383,8 @@
         let head_timeout = left + ANSWER_GRACE;
         match send::send(&self.ctx, &self.job, &pick, head_timeout).await {
             SendOutcome::Answer(live) => {
-                let good = live.response.status().is_success();
-                if good && live.head.signed && !live.head.encoded {
+                let succeeded = live.response.status().is_success();
+                if succeeded && live.head.signed && !live.head.encoded {
                     self.live = Some(*live);
                     return ResumeOutcome::Resumed;
                 }
--- a/crates/gate/src/entry/request.rs
+++ b/crates/gate/src/entry/request.rs
@@ -110,7 +110,7 @@
     pub(super) received_at: Micros,
     /// When the caller or the route gives up on the request.
     pub(super) deadline: Micros,
-    /// Targets that the request was sent to, except those that may get it again.
+    /// Targets that the request was sent to, without those that may receive it again.
     pub(super) attempted: Vec<ReplicaKey>,
     /// Targets that refused the request.
     pub(super) refused_by: Vec<ReplicaKey>,
--- a/crates/gate/src/entry/restored_list.rs
+++ b/crates/gate/src/entry/restored_list.rs
@@ -13,7 +13,7 @@
 /// How long a target that has left is remembered; longer than the age of any copy.
 const LEFT_TTL: Micros = Micros::from_secs(60);
 
-/// What is needed to tell rows of a copy from newer ones.
+/// Data by which rows of a copy are distinguished from newer rows.
 #[derive(Debug, Default)]
 pub(super) struct RestoredList {
     /// Position of the first list that was read in the current era.
--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -61,10 +61,8 @@
     }
 }
 
-/// Fingerprint of a request, the same for all requests of one team with the same content.
-///
-/// The weights aren't part of it: only another crash could show whether new weights still have the
-/// fault.
+/// Fingerprint of a request, the same for all requests of one team with the same method, path and
+/// content.
 pub(super) fn fingerprint(job: &Job) -> Fingerprint {
     let mut hash = Xxh3::new();
     hash.update(job.method.as_str().as_bytes());
