--- a/crates/gate/src/entry/attempts.rs
+++ b/crates/gate/src/entry/attempts.rs
@@ -200,10 +200,10 @@
     let end = job.time_left(ctx.now()) + ANSWER_GRACE;
     // Without a retry left, giving up on this target would lose its answer, however soon it came.
     let has_retry = ctx.retry_budget(&job.pool, |b| b.remaining() >= 1.0);
-    let may_retry = has_retry && job.run_count + 1 < job.route.max_attempts;
+    let can_retry = has_retry && job.run_count + 1 < job.route.max_attempts;
     match job.route.mode {
-        Mode::Idempotent if may_retry => job.route.latency_goal.mul_f64(IDEMPOTENT_SHARE).min(end),
-        Mode::Resumable if may_retry => {
+        Mode::Idempotent if can_retry => job.route.latency_goal.mul_f64(IDEMPOTENT_SHARE).min(end),
+        Mode::Resumable if can_retry => {
             let estimate = Duration::from_secs_f64(pick.estimate.clamp(0.0, 60_000.0) / 1e3);
             (STREAM_SLACK + estimate * 2).min(end)
         }
--- a/crates/gate/src/entry/candidates.rs
+++ b/crates/gate/src/entry/candidates.rs
@@ -31,11 +31,16 @@
 /// Data that is the same for all candidates of one prompt.
 pub(super) struct CandidateBuilder<'a> {
     pub(super) now: Micros,
+    /// Failure domain of this entry.
     pub(super) domain: &'a str,
     pub(super) prompt: &'a Prompt,
+    /// Properties of the pool's engines.
     pub(super) engine: Engine,
+    /// Versions of the model's weights that the operator has announced.
     pub(super) announced: &'a Versions,
+    /// Id of the prompt's last shared part.
     pub(super) subject: u64,
+    /// Penalty in milliseconds of the last engine in the subject's own order.
     pub(super) max_order_penalty: f64,
     /// Milliseconds to prefill a token.
     pub(super) prefill_per_token: f64,
--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -65,13 +65,17 @@
 /// What an entry has recorded about the agents of engines, by the key of the engine's address.
 #[derive(Debug, Default)]
 pub(super) struct Delegates {
+    /// Delegates that run in this process.
     own: HashMap<u64, Delegate>,
+    /// Last report on each engine by another process.
     last_reports: HashMap<u64, LastReport>,
+    /// Last orders of delegates that were stopped.
     last_orders: HashMap<u64, LastOrder>,
     /// When each incarnation was first seen in the list.
     first_listed: HashMap<Boot, Micros>,
     /// When the last datagram from another process was received.
     last_datagram: Micros,
+    /// When the delegates were last checked.
     last_check: Micros,
     /// Since when this process has been running without a pause.
     running_since: Micros,
--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -28,6 +28,7 @@
 pub struct Fleet {
     /// The targets.
     pub replicas: SlotMap<ReplicaKey, Replica>,
+    /// Keys of the targets, by incarnation.
     keys: HashMap<Boot, ReplicaKey>,
     /// When the list was last read or confirmed to be unchanged.
     pub(super) list_confirmed_at: Micros,
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -35,9 +35,11 @@
 /// An entry's view of the list, and of the entries that poll it.
 #[derive(Debug, Default)]
 pub(super) struct ListState {
+    /// Entries that have recently polled the list.
     pollers: RefCell<Pollers>,
     /// Hash of the list that this entry last applied; 0 before the first one.
     own_hash: Cell<u64>,
+    /// Notified when another entry reports a change.
     changed: Notify,
     /// The poller that last reported a change.
     change_reporter: Cell<Option<SocketAddr>>,
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -66,11 +66,13 @@
 struct Relay {
     ctx: Ctx,
     job: Job,
+    /// The replica's answer; `None` while there is no replica.
     live: Option<LiveAnswer>,
     /// Received bytes of an incomplete event; for a stream that isn't resumable, the last few bytes
     /// that were passed on.
     tail: BytesMut,
     events: u64,
+    /// Time from the arrival of the request to the first event.
     first_event_after: Option<Duration>,
     /// Whether a silent replica is waited for until the deadline, because another replica has been
     /// requested already.
