--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -245,7 +245,7 @@
     /// Applies a version that the target's agent has read from it. That version may be lower than
     /// the known one: an order whose sender has given up on it may be carried out late and replace
     /// newer weights by older ones. Reports are some hundred milliseconds old, so a lower version
-    /// counts only after [`REPORT_SETTLE_TIME`].
+    /// counts only after `REPORT_SETTLE_TIME`.
     pub fn apply_reported_weights(&mut self, now: Micros, model: &str, version: u64) {
         let known = self.weights.get(model).copied().unwrap_or_default();
         if version < known && now.since(self.weights_raised_at) > REPORT_SETTLE_TIME {
