--- /dev/null
+++ b/crates/gate/src/entry/attempts.rs
@@ -0,0 +1,347 @@
+//! The attempts to run a job, until there is an answer to pass on.
+//!
+//! A job that may have run is sent again only if running it twice does no harm. A job that ran
+//! nowhere is sent again while there is time. Retries after an attempt that reached a target are
+//! taken from the pool's retry budget.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::{Response, StatusCode};
+use model::Micros;
+use platform::replica;
+use policy::loading::RemainingLoad;
+use policy::retry_budget::RetryReason;
+use site::{Boot, Mode};
+use tokio::time::{sleep, timeout};
+
+use super::pick::{self, Pick};
+use super::refuse::Reason;
+use super::request::Job;
+use super::send::{self, LiveAnswer, SendOutcome};
+use super::{suspects, Ctx};
+use crate::log::{self, Event};
+use crate::meter;
+
+/// How long a request waits beyond its deadline for the target's own answer.
+pub(super) const ANSWER_GRACE: Duration = Duration::from_millis(100);
+/// Maximum size of an answer that is collected before it is passed on; plain services answer with
+/// kilobytes.
+const MAX_ANSWER: usize = 4 << 20;
+/// Fraction of the latency goal after which an idempotent request is sent to another target. Usual
+/// requests take a fifth of the goal, and the second target needs time too.
+const IDEMPOTENT_SHARE: f64 = 0.6;
+/// Time beyond twice the estimate after which a resumable stream without an event moves to another
+/// replica. A replica that is merely slow must keep the stream: with 0.6 s in total, four in ten
+/// streams of a fleet in which a quarter of the engines were unreachable were started twice, which
+/// doubled the load of the others.
+const STREAM_SLACK: Duration = Duration::from_millis(1_200);
+/// Least remaining time for an attempt; no target answers in less.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
+
+/// Interval between checks whether an engine has finished loading; sidecars check as often.
+const LOADING_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// First usable answer to a job.
+pub(super) enum FirstAnswer {
+    /// A stream, which is passed on event by event.
+    Stream(Box<LiveAnswer>),
+    /// A complete answer.
+    Whole(Response<Bytes>),
+}
+
+/// Outcome of one attempt.
+enum AttemptOutcome {
+    Answered(FirstAnswer),
+    /// The request did not run; `delivered` is false if the target hasn't received it either.
+    NotRun {
+        delivered: bool,
+        reason: &'static str,
+    },
+    /// The request may have run; `answer` is the target's answer, if it gave one.
+    Ran {
+        reason: &'static str,
+        answer: Option<Response<Bytes>>,
+    },
+}
+
+/// Sends a job to one target after another until one answers it or no further attempt is possible.
+pub(super) async fn first_answer(ctx: &Ctx, job: &mut Job) -> Result<FirstAnswer, Reason> {
+    let mut last: Option<Response<Bytes>> = None;
+    loop {
+        let plan = ctx.node.plan().ok_or(Reason::Unconfigured)?;
+        if job.time_left(ctx.now()) < MIN_TIME_LEFT {
+            return last.map(FirstAnswer::Whole).ok_or(timed_out(job));
+        }
+        if !suspects::may_run(ctx, job) {
+            return Err(quarantined(ctx, job));
+        }
+        let pick = match pick::pick(ctx, &plan, job) {
+            Ok(p) => p,
+            Err(Reason::Loading { remaining }) if is_worth_waiting(job, ctx.now(), remaining) => {
+                // The interval isn't shortened for a load that is overdue: each check would find
+                // the same report until the sidecar sends the next one.
+                sleep(LOADING_POLL_INTERVAL).await;
+                job.forget_refusals();
+                continue;
+            }
+            Err(reason) if job.run_count == 0 => return Err(reason),
+            Err(_) => return last.map(FirstAnswer::Whole).ok_or(Reason::Unknown),
+        };
+        let outcome = attempt(ctx, job, &pick).await;
+        let mut status = None;
+        let (delivered, ran, reason) = match outcome {
+            AttemptOutcome::Answered(found) => return Ok(found),
+            AttemptOutcome::NotRun { delivered, reason } => {
+                job.refused_by.push(pick.key);
+                (delivered, false, reason)
+            }
+            AttemptOutcome::Ran { reason, answer } => {
+                job.run_count += 1;
+                status = answer.as_ref().map(Response::status);
+                last = answer.or(last);
+                (true, true, reason)
+            }
+        };
+        log_failed(job, &pick.boot, reason, status, ran);
+        if !may_retry(ctx, job, delivered, ran) {
+            let reason = match job.run_count {
+                0 => Reason::NotRun,
+                _ if job.time_left(ctx.now()) < MIN_TIME_LEFT => Reason::Overdue,
+                _ => Reason::Unknown,
+            };
+            return last.map(FirstAnswer::Whole).ok_or(reason);
+        }
+    }
+}
+
+/// Whether a job waits for engines that are loading. Requests sent to them meanwhile are refused,
+/// and each such attempt costs the pool a retry.
+fn is_worth_waiting(job: &Job, now: Micros, remaining: RemainingLoad) -> bool {
+    let rest = job.time_left(now).into();
+    remaining.is_worth_waiting(rest, job.time_left(job.received_at).into())
+}
+
+fn quarantined(ctx: &Ctx, job: &Job) -> Reason {
+    match job.run_count {
+        0 => Reason::Quarantined {
+            remaining: suspects::time_to_retry(ctx, job),
+        },
+        _ => Reason::Unknown,
+    }
+}
+
+fn timed_out(job: &Job) -> Reason {
+    match job.run_count {
+        0 => Reason::Expired,
+        _ => Reason::Overdue,
+    }
+}
+
+/// Logs a failed attempt.
+pub(super) fn log_failed(
+    job: &Job,
+    boot: &Boot,
+    reason: &'static str,
+    status: Option<StatusCode>,
+    ran: bool,
+) {
+    meter::count(meter::FAILED_TRIES, "reason", reason);
+    log::event(&Event::Tried {
+        request: &job.id,
+        target: &boot.id,
+        attempt: job.send_count,
+        reason,
+        status: status.map(|s| s.as_u16()),
+        ran,
+    });
+}
+
+/// Logs why a job isn't sent again, if that can't be seen from its answer.
+pub(super) fn log_no_retry(job: &Job, reason: &str) {
+    log::event(&Event::Tried {
+        request: &job.id,
+        target: "",
+        attempt: job.send_count,
+        reason,
+        status: None,
+        ran: job.run_count > 0,
+    });
+}
+
+/// Whether a job may be sent again.
+fn may_retry(ctx: &Ctx, job: &Job, delivered: bool, ran: bool) -> bool {
+    let harmless = !ran || matches!(job.route.mode, Mode::Idempotent | Mode::Resumable);
+    if !harmless {
+        return false;
+    }
+    if !job.may_run_again() {
+        log_no_retry(job, "no try left");
+        return false;
+    }
+    if job.time_left(ctx.now()) < MIN_TIME_LEFT {
+        return false;
+    }
+    // A retry after an attempt that reached no target isn't taken from the budget.
+    let retry_reason = match job.run_count {
+        0 => RetryReason::NotRun,
+        _ => RetryReason::HasRun,
+    };
+    let spent = !delivered || ctx.retry_budget(&job.pool, |b| b.spend(ctx.now(), retry_reason));
+    if !spent {
+        log_no_retry(job, "no retry left");
+    }
+    spent
+}
+
+/// How long an attempt waits for the head of an answer.
+fn head_timeout(ctx: &Ctx, job: &Job, pick: &Pick) -> Duration {
+    let end = job.time_left(ctx.now()) + ANSWER_GRACE;
+    // Without a retry left, giving up on this target would lose its answer, however soon it came.
+    let has_retry = ctx.retry_budget(&job.pool, |b| b.remaining() >= 1.0);
+    let can_retry = has_retry && job.run_count + 1 < job.route.max_attempts;
+    match job.route.mode {
+        Mode::Idempotent if can_retry => job.route.latency_goal.mul_f64(IDEMPOTENT_SHARE).min(end),
+        Mode::Resumable if can_retry => {
+            let estimate = Duration::from_secs_f64(pick.estimate.clamp(0.0, 60_000.0) / 1e3);
+            (STREAM_SLACK + estimate * 2).min(end)
+        }
+        _ => end,
+    }
+}
+
+async fn attempt(ctx: &Ctx, job: &mut Job, pick: &Pick) -> AttemptOutcome {
+    job.attempted.push(pick.key);
+    job.send_count += 1;
+    let sent_at = ctx.now();
+    send::log_send(ctx, job, pick, job.time_left(sent_at));
+    let sent = send::send(ctx, job, pick, head_timeout(ctx, job, pick)).await;
+    let now = ctx.now();
+    match sent {
+        SendOutcome::Answer(live) => handle_answer(ctx, job, *live).await,
+        SendOutcome::NotDelivered(reason) => AttemptOutcome::NotRun {
+            delivered: false,
+            reason,
+        },
+        SendOutcome::NotRun(reason) => {
+            if reason == "full" {
+                ctx.fleet.borrow_mut().record_failure(now, pick.key, reason);
+            }
+            if has_newer_weights(ctx, job, pick) {
+                job.attempted.retain(|k| *k != pick.key);
+            }
+            AttemptOutcome::NotRun {
+                delivered: true,
+                reason,
+            }
+        }
+        SendOutcome::Unknown(reason) => {
+            ctx.fleet.borrow_mut().record_failure(now, pick.key, reason);
+            suspects::record_broken_answer(ctx, job, &pick.boot, sent_at);
+            AttemptOutcome::Ran {
+                reason,
+                answer: None,
+            }
+        }
+    }
+}
+
+/// Whether the target is now known to have newer weights than the attempt required. It may be the
+/// only target, and accepts the job with the newer weights.
+fn has_newer_weights(ctx: &Ctx, job: &Job, pick: &Pick) -> bool {
+    let (Some(prompt), Some(asked)) = (&job.prompt, pick.weights) else {
+        return false;
+    };
+    let fleet = ctx.fleet.borrow();
+    let replica = fleet.replicas.get(pick.key);
+    let known = replica.and_then(|r| r.weights.get(&prompt.model));
+    known.is_some_and(|version| *version > asked)
+}
+
+/// Handles an answer whose head has been received.
+async fn handle_answer(ctx: &Ctx, job: &Job, live: LiveAnswer) -> AttemptOutcome {
+    let status = live.response.status();
+    let succeeded = status.is_success();
+    let key = live.in_flight.key();
+    if succeeded && (!live.head.signed || live.head.encoded) {
+        ctx.fleet
+            .borrow_mut()
+            .record_failure(ctx.now(), key, "spoiled answer");
+        return AttemptOutcome::Ran {
+            reason: "spoiled answer",
+            answer: None,
+        };
+    }
+    if succeeded && job.route.mode.is_stream() {
+        return AttemptOutcome::Answered(FirstAnswer::Stream(Box::new(live)));
+    }
+    let left = job.time_left(ctx.now()) + ANSWER_GRACE;
+    let not_run = live.head.not_run;
+    let (boot, sent_at) = (live.in_flight.boot.clone(), live.in_flight.sent_at);
+    let whole = match timeout(left, collect(ctx, live)).await {
+        Ok(Some(w)) => w,
+        _ => {
+            ctx.fleet
+                .borrow_mut()
+                .record_failure(ctx.now(), key, "cut answer");
+            suspects::record_broken_answer(ctx, job, &boot, sent_at);
+            return AttemptOutcome::Ran {
+                reason: "cut answer",
+                answer: None,
+            };
+        }
+    };
+    match succeeded || status.is_client_error() {
+        true => {
+            ctx.fleet.borrow_mut().record_success(key);
+            suspects::record_success(ctx, job);
+        }
+        false => ctx
+            .fleet
+            .borrow_mut()
+            .record_failure(ctx.now(), key, "error answer"),
+    }
+    match status {
+        // These statuses promise that the request didn't run, but only if the target itself sent
+        // them.
+        StatusCode::SERVICE_UNAVAILABLE
+        | StatusCode::TOO_MANY_REQUESTS
+        | StatusCode::REQUEST_TIMEOUT
+            if !not_run =>
+        {
+            AttemptOutcome::Ran {
+                reason: "refusal without a promise",
+                answer: None,
+            }
+        }
+        s if s.is_server_error() => AttemptOutcome::Ran {
+            reason: "error answer",
+            answer: Some(whole),
+        },
+        _ => AttemptOutcome::Answered(FirstAnswer::Whole(whole)),
+    }
+}
+
+/// Collects a complete answer and returns its connection to the pool.
+async fn collect(ctx: &Ctx, live: LiveAnswer) -> Option<Response<Bytes>> {
+    let LiveAnswer {
+        response,
+        head,
+        connection,
+        in_flight,
+    } = live;
+    let (mut parts, body) = response.into_parts();
+    let body = Limited::new(body, MAX_ANSWER)
+        .collect()
+        .await
+        .ok()?
+        .to_bytes();
+    if !head.closes {
+        if let Some(r) = ctx.fleet.borrow_mut().replicas.get_mut(in_flight.key()) {
+            r.connections.keep(connection);
+        }
+    }
+    parts.headers = replica::answer_headers(&parts.headers);
+    Some(Response::from_parts(parts, body))
+}
--- /dev/null
+++ b/crates/gate/src/entry/connection_pool.rs
@@ -0,0 +1,97 @@
+//! Idle connections to one target.
+//!
+//! The target may have closed an idle connection without this process having noticed. A request
+//! sent on such a connection is lost, and it is unknown whether it ran. A connection is therefore
+//! reused only if it has been idle for clearly less than the target's idle timeout, and for
+//! requests that must not run twice only shortly after its last use.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::client::conn::http1::SendRequest;
+use tokio::task::AbortHandle;
+use tokio::time::Instant;
+
+/// Idle timeout assumed for a target that doesn't state one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Fraction of the target's idle timeout up to which a connection is reused.
+const MAX_IDLE_SHARE: f64 = 0.6;
+/// Longest idle time of a connection that is reused for a request that must not run twice.
+const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(1_500);
+/// Maximum number of idle connections per target; an entry rarely has more requests at one target
+/// at once.
+const MAX_CONNECTIONS: usize = 32;
+
+/// A connection to a target. Dropping it closes the connection.
+#[derive(Debug)]
+pub(super) struct Connection {
+    /// Sends requests on the connection.
+    pub(super) send: SendRequest<Full<Bytes>>,
+    task: AbortHandle,
+    idle_timeout: Duration,
+    last_used: Instant,
+}
+
+impl Connection {
+    /// Creates a connection that is driven by the task.
+    pub(super) fn new(send: SendRequest<Full<Bytes>>, task: AbortHandle) -> Self {
+        Self {
+            send,
+            task,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
+            last_used: Instant::now(),
+        }
+    }
+
+    /// Sets the idle timeout that the target states.
+    pub(super) fn set_idle_timeout(&mut self, idle_timeout: Duration) {
+        self.idle_timeout = idle_timeout;
+    }
+
+    fn is_reusable(&self, non_repeatable: bool) -> bool {
+        let max_idle = match non_repeatable {
+            true => self
+                .idle_timeout
+                .mul_f64(MAX_IDLE_SHARE)
+                .min(MAX_IDLE_NON_REPEATABLE),
+            false => self.idle_timeout.mul_f64(MAX_IDLE_SHARE),
+        };
+        self.last_used.elapsed() < max_idle && self.send.is_ready()
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+/// Idle connections, the most recently used last.
+#[derive(Debug, Default)]
+pub(super) struct ConnectionPool(Vec<Connection>);
+
+impl ConnectionPool {
+    /// Takes a connection that can be used for the request, if there is one.
+    pub(super) fn take(&mut self, non_repeatable: bool) -> Option<Connection> {
+        self.0.retain(|c| c.is_reusable(false));
+        let last = self.0.last()?;
+        match last.is_reusable(non_repeatable) {
+            true => self.0.pop(),
+            false => None,
+        }
+    }
+
+    /// Returns a connection to the pool after its answer has ended.
+    pub(super) fn keep(&mut self, mut connection: Connection) {
+        if self.0.len() < MAX_CONNECTIONS && !connection.send.is_closed() {
+            connection.last_used = Instant::now();
+            self.0.push(connection);
+        }
+    }
+
+    /// Closes all connections.
+    pub(super) fn clear(&mut self) {
+        self.0.clear();
+    }
+}
--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -1,4 +1,4 @@
-//! All targets, as the list and sidecars tell them.
+//! All targets, as the platform's list and agents' updates describe them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,310 +8,333 @@
 use site::{Boot, Part, PartId, State, Target};
 use slotmap::{new_key_type, SlotMap};
 
-use super::copy::Copy;
-use super::replica::{take_over, Heard, KeptStore, Replica};
-use super::usable::HEARD;
+use super::replica::{apply_parts, AgentReport, KvStoreContents, Replica};
+use super::restored_list::RestoredList;
+use super::usable::REPORT_LIFETIME;
 use crate::agent::AgentId;
 use crate::log::{self, Event};
 use crate::update::{Held, Update};
 
 new_key_type! {
-    /// A target.
-    pub struct Key;
+    /// Key of a target in [`Fleet::replicas`].
+    pub struct ReplicaKey;
 }
 
-/// Weight of a new answer in what is usual for a pool.
-const USUAL: f64 = 0.02;
+/// Weight of a new answer in a pool's usual failure rate.
+const USUAL_RATE_SMOOTHING: f64 = 0.02;
 
-/// All targets.
+/// All targets that an entry has data on.
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// The targets.
-    pub replicas: SlotMap<Key, Replica>,
-    boots: HashMap<Boot, Key>,
-    /// When the list was last read, or told to be as it was.
-    pub(super) listed: Micros,
-    /// When reading it last failed.
-    failed: Micros,
-    /// Stores of kept KV cache, by address.
-    pub kept: HashMap<SocketAddr, KeptStore>,
-    /// Lives of targets that have ended and haven't been looked at yet.
-    pub(super) ended: Vec<Boot>,
-    /// Part of answers that usually fail, by pool.
-    usual: HashMap<String, f64>,
-    /// What a restore of the store has made of the list.
-    copy: Copy,
+    pub replicas: SlotMap<ReplicaKey, Replica>,
+    /// Keys of the targets, by incarnation.
+    keys: HashMap<Boot, ReplicaKey>,
+    /// When the list was last read or confirmed to be unchanged.
+    pub(super) list_confirmed_at: Micros,
+    /// When a read of the list last failed.
+    list_failed_at: Micros,
+    /// Contents of the KV stores, by address.
+    pub kv_stores: HashMap<SocketAddr, KvStoreContents>,
+    /// Targets that have ended and for which [`super::suspects::record_ended_targets`] hasn't run
+    /// yet.
+    pub(super) ended_targets: Vec<Boot>,
+    /// Usual share of failed answers, by pool.
+    usual_failure_rates: HashMap<String, f64>,
+    /// State that keeps a restored list from overriding what is known.
+    restored_list: RestoredList,
 }
 
 impl Fleet {
-    /// Takes over the platform's list as it was at some time and position.
-    pub fn list(
+    /// Applies the platform's list as it was at time `at` and position `position`.
+    pub fn apply_list(
         &mut self,
         at: Micros,
         position: Position,
         targets: Vec<Target>,
         config: &row_expiry::Config,
     ) {
-        self.copy.read(at, position);
-        let targets = targets.into_iter().map(|t| self.copy.place(t));
-        let listed = targets.filter(|t| !self.copy.has_left(t));
+        self.restored_list.record_read(at, position);
+        let targets = targets
+            .into_iter()
+            .map(|t| self.restored_list.adjust_era(t));
+        let listed = targets.filter(|t| !self.restored_list.has_left(t));
         let listed: HashMap<_, _> = listed.map(|t| (t.boot.clone(), t)).collect();
         let gap = row_expiry::Gap {
-            known: self.listed,
+            known: self.list_confirmed_at,
             read: at,
-            failed: self.failed > self.listed,
-            restored: self.copy.restored(),
+            failed: self.list_failed_at > self.list_confirmed_at,
+            restored: self.restored_list.restored_at(),
         };
-        // Kept only where its row may have lapsed, and until a time: kept for any absence soon after the
-        // store's return, a target that had left got requests until the next read, and they were lost.
-        let lapsed = row_expiry::retain_until(config, &gap);
+        // A missing target is kept only if its row may have expired, and only until a fixed time.
+        // When any target missing soon after the store's return was kept, one that had left
+        // received requests until the next read, and those were lost.
+        let keep_until = row_expiry::retain_until(config, &gap);
         let missing: Vec<_> = self
-            .boots
+            .keys
             .iter()
             .filter(|(b, _)| !listed.contains_key(b))
             .map(|(b, k)| (b.clone(), *k))
             .collect();
         for (boot, key) in missing {
-            // Another life of the same target has taken this one's place for good.
-            let reborn = listed.keys().any(|b| b.id == boot.id);
-            match lapsed {
-                _ if reborn => self.remove(&boot, key),
-                Some(until) => self.miss(key, until),
-                // Missing before, it is kept until the time that was set then.
-                None if self.replicas.get(key).is_some_and(|r| r.missing.is_some()) => {}
+            // A new incarnation of the same target has replaced this one for good.
+            let replaced = listed.keys().any(|b| b.id == boot.id);
+            match keep_until {
+                _ if replaced => self.remove(&boot, key),
+                Some(until) => self.keep_missing(key, until),
+                // A target that was already missing is kept until the time that was set then.
+                None if self
+                    .replicas
+                    .get(key)
+                    .is_some_and(|r| r.missing_until.is_some()) => {}
                 None => self.remove(&boot, key),
             }
         }
-        self.listed = at.max(self.listed);
-        listed.into_values().for_each(|t| self.enter(at, t));
+        self.list_confirmed_at = at.max(self.list_confirmed_at);
+        listed.into_values().for_each(|t| self.upsert(at, t));
         self.expire(at);
-        self.supersede();
+        self.mark_superseded();
     }
 
-    /// Keeps a target until a time though the list lacks it.
-    fn miss(&mut self, key: Key, until: Micros) {
+    /// Keeps a target that is missing from the list until a given time.
+    fn keep_missing(&mut self, key: ReplicaKey, until: Micros) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        if replica.missing.replace(until).is_none() {
-            tell(&replica.target, "missing");
+        if replica.missing_until.replace(until).is_none() {
+            log_state(&replica.target, "missing");
         }
     }
 
-    /// Removes targets that the list lacks and that aren't kept any longer.
+    /// Removes targets that are missing from the list and whose time has passed.
     pub fn expire(&mut self, now: Micros) {
-        let over = |r: &Replica| r.missing.is_some_and(|until| now >= until);
-        let over: Vec<_> = self.replicas.iter().filter(|(_, r)| over(r)).collect();
-        let over: Vec<_> = over
+        let expired = |r: &Replica| r.missing_until.is_some_and(|until| now >= until);
+        let expired: Vec<_> = self.replicas.iter().filter(|(_, r)| expired(r)).collect();
+        let expired: Vec<_> = expired
             .iter()
             .map(|(k, r)| (r.target.boot.clone(), *k))
             .collect();
-        for (boot, key) in over {
+        for (boot, key) in expired {
             self.remove(&boot, key);
         }
     }
 
-    /// Marks the targets at whose address the list names one that was heard later. A crashed target's
-    /// entry lasts some seconds beyond the start of its successor; until it lapsed, each entry sent a
-    /// request or two to the former one and took what the sidecar told of the new one for the former's.
-    fn supersede(&mut self) {
+    /// Marks targets as superseded if the list contains a target with the same address and a later
+    /// heartbeat. The row of a crashed target remains in the list for some seconds after its
+    /// successor has started. Without this mark, each entry sent a request or two to the former
+    /// target until its row expired, and applied the sidecar's reports on the new target to the
+    /// former one.
+    fn mark_superseded(&mut self) {
         let mut latest: HashMap<SocketAddr, Position> = HashMap::new();
         for r in self
             .replicas
             .values()
-            .filter(|r| !r.misdirected.is_excluded())
+            .filter(|r| !r.exclusion.is_excluded())
         {
-            let heard = latest.entry(r.target.addr).or_default();
-            *heard = r.target.renewed.max(*heard);
+            let renewed = latest.entry(r.target.addr).or_default();
+            *renewed = r.target.renewed.max(*renewed);
         }
         for r in self.replicas.values_mut() {
             let later = latest.get(&r.target.addr).copied().unwrap_or_default();
             let superseded = r.target.renewed < later;
             if superseded && !r.superseded {
-                self.ended.push(r.target.boot.clone());
-                r.idle.clear();
-                tell(&r.target, "superseded");
+                self.ended_targets.push(r.target.boot.clone());
+                r.connections.clear();
+                log_state(&r.target, "superseded");
             }
             r.superseded = superseded;
         }
     }
 
-    fn enter(&mut self, now: Micros, target: Target) {
-        self.copy.entered(&target.boot);
-        let Some(key) = self.boots.get(&target.boot).copied() else {
-            tell(&target, "ready");
+    fn upsert(&mut self, now: Micros, target: Target) {
+        self.restored_list.record_listed(&target.boot);
+        let Some(key) = self.keys.get(&target.boot).copied() else {
+            log_state(&target, "ready");
             let boot = target.boot.clone();
             let key = self.replicas.insert(Replica::new(target));
-            self.boots.insert(boot, key);
+            self.keys.insert(boot, key);
             return;
         };
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        if self.copy.is_older(&target, &replica.target) {
-            // A copy's row is older than what is known, but one that drains may have been written since.
-            replica.missing = None;
+        if self.restored_list.is_older(&target, &replica.target) {
+            // A row restored from a copy is older than the known one, but a draining state may have
+            // been written after the restore.
+            replica.missing_until = None;
             if target.state == State::Draining {
                 replica.target.state = target.state;
             }
             return;
         }
         for w in &target.weights {
-            replica.loaded(now, &w.model, w.version);
+            replica.raise_weights(now, &w.model, w.version);
         }
         if replica.target.state != target.state {
-            tell(&target, word(target.state));
+            log_state(&target, state_name(target.state));
         }
-        if replica.over.is_some_and(|at| target.renewed > at) {
-            // A heartbeat since then: what ended wasn't this one.
-            replica.over = None;
+        if replica.renewed_at_end.is_some_and(|at| target.renewed > at) {
+            // The target has sent a heartbeat since, so it was another process that ended.
+            replica.renewed_at_end = None;
         }
-        if replica.misdirected.listed(now, target.renewed) {
-            tell(&target, "renewed");
+        if replica.exclusion.listed(now, target.renewed) {
+            log_state(&target, "renewed");
         }
-        replica.missing = None;
+        replica.missing_until = None;
         replica.target = target;
     }
 
-    /// Notes that the list is as it was last read.
-    pub fn confirm(&mut self, now: Micros) {
-        self.listed = now;
+    /// Records that the list is unchanged since it was last read.
+    pub fn confirm_list(&mut self, now: Micros) {
+        self.list_confirmed_at = now;
     }
 
-    /// Notes that the list couldn't be read.
-    pub fn fail(&mut self, now: Micros) {
-        self.failed = now;
+    /// Records that a read of the list failed.
+    pub fn record_list_failure(&mut self, now: Micros) {
+        self.list_failed_at = now;
     }
 
-    /// Targets that are kept though the list lacks them.
-    pub(super) fn missing(&self) -> usize {
+    /// Number of targets that are kept although the list lacks them.
+    pub(super) fn missing_count(&self) -> usize {
         self.replicas
             .values()
-            .filter(|r| r.missing.is_some())
+            .filter(|r| r.missing_until.is_some())
             .count()
     }
 
-    fn remove(&mut self, boot: &Boot, key: Key) {
-        self.boots.remove(boot);
+    fn remove(&mut self, boot: &Boot, key: ReplicaKey) {
+        self.keys.remove(boot);
         if let Some(replica) = self.replicas.remove(key) {
-            self.copy.left(self.listed, &replica.target);
-            tell(&replica.target, "gone");
-            self.ended.push(boot.clone());
+            self.restored_list
+                .record_left(self.list_confirmed_at, &replica.target);
+            log_state(&replica.target, "gone");
+            self.ended_targets.push(boot.clone());
         }
     }
 
-    /// Takes over what a sidecar told.
-    pub fn hear(&mut self, now: Micros, update: &Update, from: SocketAddr) {
+    /// Applies an update of an agent or of another entry.
+    pub fn apply_update(&mut self, now: Micros, update: &Update, from: SocketAddr) {
         let Ok(addr) = update.engine.parse::<SocketAddr>() else {
             return;
         };
         if update.kept {
-            return self.kept.entry(addr).or_default().hear(update);
+            return self.kv_stores.entry(addr).or_default().apply_update(update);
         }
-        let there = |r: &&mut Replica| r.target.addr == addr && r.there(now);
-        let Some(replica) = self.replicas.values_mut().find(there) else {
+        let at_address = |r: &&mut Replica| r.target.addr == addr && r.is_present(now);
+        let Some(replica) = self.replicas.values_mut().find(at_address) else {
             return;
         };
         for w in &update.weights {
-            replica.reported(now, &w.model, w.version);
+            replica.apply_reported_weights(now, &w.model, w.version);
         }
         if update.ended {
-            // Until it is listed again its successor may listen there already and refuse what is
-            // meant for it; each such try would be one retry less for streams that its end has cut.
-            replica.over = Some(replica.target.renewed);
-            replica.idle.clear();
-            self.ended.push(replica.target.boot.clone());
-            return tell(&replica.target, "ended");
+            // Until the target is listed again, its successor may listen at the address and refuse
+            // requests for this target. Each such attempt would use up a retry that streams cut by
+            // the target's end need.
+            replica.renewed_at_end = Some(replica.target.renewed);
+            replica.connections.clear();
+            self.ended_targets.push(replica.target.boot.clone());
+            return log_state(&replica.target, "ended");
         }
         if !update.entry && update.epoch != replica.epoch {
             replica.epoch = update.epoch;
             replica.held.clear();
         }
-        take_over(&mut replica.held, &update.parts);
+        apply_parts(&mut replica.held, &update.parts);
         if update.entry {
-            let parts: Vec<_> = update.expected.iter().map(part).collect();
-            let scope = update.expected.first().map_or(0, |h| h.scope);
-            return replica.expect(now, scope, &parts);
+            let parts: Vec<_> = update.expected.iter().map(expected_part).collect();
+            let scope = update.expected.first().map_or(0, |held| held.scope);
+            return replica.expect_parts(now, scope, &parts);
         }
-        let sidecar = |h: &Heard| h.agent.delegate == 0 && now.since(h.at) < HEARD;
-        if update.delegate != 0 && replica.heard.as_ref().is_some_and(sidecar) {
+        let sidecar = |report: &AgentReport| {
+            report.agent.delegate == 0 && now.since(report.at) < REPORT_LIFETIME
+        };
+        if update.delegate != 0 && replica.agent_report.as_ref().is_some_and(sidecar) {
             return;
         }
-        replica.heard = Some(Heard::new(now, update, from));
+        replica.agent_report = Some(AgentReport::new(now, update, from));
     }
 
-    /// The life of the engine beside a sidecar.
-    pub fn life(&self, now: Micros, sidecar: SocketAddr) -> Option<&Boot> {
+    /// Incarnation of the engine that the sidecar at this address reports on.
+    pub fn incarnation(&self, now: Micros, sidecar: SocketAddr) -> Option<&Boot> {
         let agent = AgentId {
             addr: sidecar,
             delegate: 0,
         };
-        let beside = |r: &&Replica| r.there(now) && r.heard.is_some_and(|h| h.agent == agent);
-        let replica = self.replicas.values().find(beside)?;
+        let reports_on = |r: &&Replica| {
+            r.is_present(now) && r.agent_report.is_some_and(|report| report.agent == agent)
+        };
+        let replica = self.replicas.values().find(reports_on)?;
         Some(&replica.target.boot)
     }
 
-    /// Notes a target's good answer.
-    pub fn good(&mut self, key: Key) {
+    /// Records a successful answer of a target.
+    pub fn record_success(&mut self, key: ReplicaKey) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
         replica.breaker.success(&circuit_breaker::Config::default());
-        let usual = self.usual.entry(replica.target.pool.clone()).or_default();
-        *usual *= 1.0 - USUAL;
+        let usual_rate = self
+            .usual_failure_rates
+            .entry(replica.target.pool.clone())
+            .or_default();
+        *usual_rate *= 1.0 - USUAL_RATE_SMOOTHING;
     }
 
-    /// Notes a target's failure.
-    pub fn bad(&mut self, now: Micros, key: Key, reason: &str) {
+    /// Records a failure of a target, and logs the ejection if that opens the circuit breaker.
+    pub fn record_failure(&mut self, now: Micros, key: ReplicaKey, reason: &str) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        let usual = self.usual.entry(replica.target.pool.clone()).or_default();
-        let before = replica.breaker.usable(now);
+        let usual_rate = self
+            .usual_failure_rates
+            .entry(replica.target.pool.clone())
+            .or_default();
+        let was_usable = replica.breaker.usable(now);
         replica
             .breaker
-            .failure(&circuit_breaker::Config::default(), now, *usual);
-        *usual += (1.0 - *usual) * USUAL;
-        if before && !replica.breaker.usable(now) {
-            left_out(replica, reason);
+            .failure(&circuit_breaker::Config::default(), now, *usual_rate);
+        *usual_rate += (1.0 - *usual_rate) * USUAL_RATE_SMOOTHING;
+        if was_usable && !replica.breaker.usable(now) {
+            log_ejected(replica, reason);
         }
     }
 
-    /// Notes that another target has a target's address. The list names the old one for some seconds
-    /// more; each request sent there would be refused and cost a retry.
-    pub fn replaced(&mut self, now: Micros, key: Key) {
+    /// Records that another target answers at a target's address. The list contains the former
+    /// target for some seconds more, and each request sent to it would be refused and cost a retry.
+    pub fn record_misdirected(&mut self, now: Micros, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.misdirected.exclude(now);
-            replica.idle.clear();
-            left_out(replica, "another target has its address");
+            replica.exclusion.exclude(now);
+            replica.connections.clear();
+            log_ejected(replica, "another target has its address");
         }
-        self.supersede();
+        self.mark_superseded();
     }
 
-    /// Notes that a target can't be reached.
-    pub fn unreachable(&mut self, now: Micros, key: Key, reason: &str) {
+    /// Records that a target can't be reached.
+    pub fn record_unreachable(&mut self, now: Micros, key: ReplicaKey, reason: &str) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        replica.idle.clear();
-        let before = replica.breaker.usable(now);
+        replica.connections.clear();
+        let was_usable = replica.breaker.usable(now);
         replica
             .breaker
             .unreachable(&circuit_breaker::Config::default(), now);
-        if before {
-            left_out(replica, reason);
+        if was_usable {
+            log_ejected(replica, reason);
         }
     }
 }
 
-fn part(held: &Held) -> Part {
+fn expected_part(held: &Held) -> Part {
     Part {
         id: PartId(held.part),
         tokens: held.tokens,
     }
 }
 
-fn left_out(replica: &Replica, reason: &str) {
+fn log_ejected(replica: &Replica, reason: &str) {
     log::event(&Event::LeftOut {
         target: &replica.target.boot.id,
         reason,
@@ -319,14 +342,14 @@
     });
 }
 
-fn word(state: State) -> &'static str {
+fn state_name(state: State) -> &'static str {
     match state {
         State::Ready => "ready",
         State::Draining => "draining",
     }
 }
 
-fn tell(target: &Target, state: &str) {
+fn log_state(target: &Target, state: &str) {
     log::event(&Event::Target {
         target: &target.boot.id,
         addr: target.addr.to_string(),
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -1,10 +1,10 @@
 //! Following the platform's list of targets.
 //!
-//! The list changes with every heartbeat of every target, so a call held open would be answered all
-//! the time. It is read in whole a few times a second instead, by a few entries at a time
-//! ([`policy::pollers`]); the others ask one of them for it when it has found something new. A target
-//! that leaves must get nothing new two seconds after it said so: the pause, a reader's word, a slow
-//! answer and the requests under way fit into that.
+//! The list changes with every heartbeat of every target, so a long poll would return all the time.
+//! Instead, a few entries at a time read the whole list a few times a second ([`policy::pollers`]),
+//! and the others fetch it from one of them when it has changed. A target that leaves must receive
+//! no new requests from two seconds later on; the poll interval, a poller's datagram, a slow answer
+//! and the requests already under way fit into that time.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -29,46 +29,49 @@
 use crate::update::{self, Listed, Update};
 use crate::world::Source;
 
-/// Pause after a read that failed.
-const AGAIN: Duration = Duration::from_millis(250);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// What entries tell one another of the list.
+/// An entry's view of the list, and of the entries that poll it.
 #[derive(Debug, Default)]
-pub(super) struct Shared {
+pub(super) struct ListState {
+    /// Entries that have recently polled the list.
     pollers: RefCell<Pollers>,
-    /// Hash of the list as this entry last read it; 0 before.
-    own: Cell<u64>,
+    /// Hash of the list that this entry last applied; 0 before the first one.
+    own_hash: Cell<u64>,
+    /// Notified when another entry reports a change.
     changed: Notify,
-    /// The reader that has last found something new.
-    finder: Cell<Option<SocketAddr>>,
+    /// The poller that last reported a change.
+    change_reporter: Cell<Option<SocketAddr>>,
 }
 
-impl Shared {
-    /// Whether the list has been read once.
-    pub(super) fn read(&self) -> bool {
-        self.own.get() != 0
+impl ListState {
+    /// Whether the list has been read at least once.
+    pub(super) fn is_read(&self) -> bool {
+        self.own_hash.get() != 0
     }
 
-    /// Waits until another entry finds something new.
-    async fn found(&self) {
-        while self.finder.get().is_none() {
+    /// Waits until another entry reports a change.
+    async fn change_found(&self) {
+        while self.change_reporter.get().is_none() {
             self.changed.notified().await;
         }
     }
 
-    /// Takes over what another entry has found; tells whether that is what this one knows.
-    pub(super) fn hear(&self, now: Micros, listed: Listed, from: SocketAddr) -> bool {
+    /// Records another entry's read of the list; returns whether that list equals the one known
+    /// here.
+    pub(super) fn record_poll(&self, now: Micros, listed: Listed, from: SocketAddr) -> bool {
         self.pollers.borrow_mut().record(now, listed.rank);
-        let same = listed.hash == self.own.get();
+        let same = listed.hash == self.own_hash.get();
         if !same {
-            self.finder.set(Some(from));
+            self.change_reporter.set(Some(from));
             self.changed.notify_one();
         }
         same
     }
 }
 
-/// Follows the list for as long as the process lives.
+/// Follows the list for as long as the process runs.
 pub(super) async fn follow(ctx: Ctx) {
     let (addr, rank) = {
         let s = ctx.node.settings.borrow();
@@ -78,19 +81,19 @@
     let mut dependency = Dependency::new("list");
     let mut era = ctx.node.era.subscribe();
     loop {
-        if let Some(finder) = ctx.list.finder.take() {
-            if ask(&ctx, finder).await {
+        if let Some(change_reporter) = ctx.list.change_reporter.take() {
+            if fetch_from(&ctx, change_reporter).await {
                 wait(&ctx, rank, &mut era).await;
                 continue;
             }
         }
-        let asked = ctx.now();
-        // A call may hang for longer than a target that leaves may still be used; who has found
-        // something new meanwhile is asked instead.
+        let started = ctx.now();
+        // A call may hang for longer than a leaving target may still be used, so a change reported
+        // by another entry meanwhile is fetched from that entry.
         let read = tokio::select! {
             biased;
             read = read(&ctx, &mut store) => read,
-            () = ctx.list.found() => continue,
+            () = ctx.list.change_found() => continue,
         };
         note_era(&ctx.node, &mut store);
         if matches!(read, Err(StoreError::Gone | StoreError::OutdatedEra(..))) {
@@ -99,27 +102,28 @@
         }
         dependency.note(&read);
         let now = ctx.now();
-        meter::span(meter::STORE, now.since(asked).into());
-        ctx.gauges();
+        meter::span(meter::STORE, now.since(started).into());
+        ctx.update_gauges();
         match read {
             Ok(list) => {
-                take(&ctx, list, "store");
-                tell(&ctx, rank);
+                apply(&ctx, list, "store");
+                announce(&ctx, rank);
                 wait(&ctx, rank, &mut era).await;
             }
             Err(_) => {
-                ctx.fleet.borrow_mut().fail(now);
+                ctx.fleet.borrow_mut().record_list_failure(now);
                 let entries: Vec<_> = ctx.node.world.borrow().entries().collect();
                 if let Some(list) = peer::targets(&ctx.node, entries).await {
                     adopt(&ctx, list);
                 }
-                sleep(AGAIN).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Reads the list from the store, or its changes where reading it in whole takes several calls.
+/// Reads the list from the store, or only its changes if reading the whole list takes several
+/// calls.
 async fn read(ctx: &Ctx, store: &mut Store) -> Result<peer::List, StoreError> {
     let from = {
         let world = ctx.node.world.borrow();
@@ -145,17 +149,17 @@
     })
 }
 
-/// Asks the reader that has found something new. If all entries read instead, each change of the list
-/// would be as many calls to the store as there are entries: 11 and 15 in a hundred of all calls of two
-/// fleets with 31 and 28 entries on a day with many crashes.
-async fn ask(ctx: &Ctx, finder: SocketAddr) -> bool {
-    match peer::targets(&ctx.node, [finder]).await {
+/// Fetches the list from the poller that reported a change. If all entries read the store instead,
+/// each change of the list would cost one call per entry: 11 % and 15 % of all calls of two fleets
+/// with 31 and 28 entries on a day with many crashes.
+async fn fetch_from(ctx: &Ctx, change_reporter: SocketAddr) -> bool {
+    match peer::targets(&ctx.node, [change_reporter]).await {
         Some(list) => adopt(ctx, list),
         None => false,
     }
 }
 
-/// Takes over the list as another entry has read it, if that was after this one's last reading; tells
+/// Applies the list that another entry has read, if it is newer than the one known here; returns
 /// whether it was.
 fn adopt(ctx: &Ctx, list: peer::List) -> bool {
     let own = {
@@ -164,16 +168,16 @@
     };
     if own.is_none_or(|own| list.rows.at > own) {
         ctx.node.raise_era(list.rows.at.era, Source::Peer);
-        take(ctx, list, "peer");
+        apply(ctx, list, "peer");
         return true;
     }
     let listed = ctx.fleet.borrow().replicas.len();
-    note(ctx, "peer", listed, list.at, false);
+    log_listed(ctx, "peer", listed, list.at, false);
     false
 }
 
-/// Takes over a list, and tells of it if it says something new or lacks targets that are kept.
-fn take(ctx: &Ctx, list: peer::List, source: &str) {
+/// Applies a list, and logs it if it has changed or lacks targets that are kept.
+fn apply(ctx: &Ctx, list: peer::List, source: &str) {
     let (at, position) = (list.at, list.rows.at);
     let targets = {
         let mut world = ctx.node.world.borrow_mut();
@@ -182,33 +186,35 @@
             true => own.merge(at, list.rows),
             false => own.replace(at, list.rows),
         }
-        targets(own.rows())
+        decode_targets(own.rows())
     };
     let listed = targets.len();
-    let known = ctx.list.own.replace(hash(&targets));
-    let config = lapse_config(ctx);
-    ctx.fleet.borrow_mut().list(at, position, targets, &config);
-    suspects::ended(ctx);
-    let missing = ctx.fleet.borrow().missing() > 0;
-    if missing || ctx.list.own.get() != known {
-        note(ctx, source, listed, at, true);
+    let previous = ctx.list.own_hash.replace(list_hash(&targets));
+    let config = row_expiry_config(ctx);
+    ctx.fleet
+        .borrow_mut()
+        .apply_list(at, position, targets, &config);
+    suspects::record_ended_targets(ctx);
+    let missing = ctx.fleet.borrow().missing_count() > 0;
+    if missing || ctx.list.own_hash.get() != previous {
+        log_listed(ctx, source, listed, at, true);
     }
 }
 
-/// Tells of a list.
-fn note(ctx: &Ctx, source: &str, targets: usize, at: Micros, taken: bool) {
+/// Logs a list.
+fn log_listed(ctx: &Ctx, source: &str, targets: usize, at: Micros, taken: bool) {
     log::event(&Event::Listed {
         source,
         targets,
-        missing: ctx.fleet.borrow().missing(),
+        missing: ctx.fleet.borrow().missing_count(),
         list_ms: ctx.now().since(at).as_millis(),
         taken,
     });
 }
 
-/// Tells the other entries what was found, if this one is a reader.
-fn tell(ctx: &Ctx, rank: u64) {
-    let hash = ctx.list.own.get();
+/// Sends the hash of the list to the other entries, if this entry is a poller.
+fn announce(ctx: &Ctx, rank: u64) {
+    let hash = ctx.list.own_hash.get();
     if !ctx.list.pollers.borrow().should_poll(ctx.now(), rank) {
         return;
     }
@@ -224,9 +230,9 @@
     update::send(&ctx.socket, &update, ctx.node.world.borrow().entries());
 }
 
-/// Hash of what decides where requests may go. Weights aren't in it: they change at every engine
-/// with each new version, and sidecars tell of them sooner.
-fn hash(targets: &[Target]) -> u64 {
+/// Hash of everything in the list that decides where requests may go. Weights aren't included: they
+/// change at every engine with each new version, and sidecars report them sooner.
+fn list_hash(targets: &[Target]) -> u64 {
     let mut targets: Vec<_> = targets.iter().collect();
     targets.sort_by(|a, b| a.boot.cmp(&b.boot));
     let mut hash = Xxh3::new();
@@ -237,12 +243,12 @@
     hash.digest()
 }
 
-/// Waits until the list is to be read again.
+/// Waits until the list has to be read again.
 async fn wait(ctx: &Ctx, rank: u64, era: &mut watch::Receiver<Option<u64>>) {
     let read = ctx.now();
     let draw = rand::rng().random();
     loop {
-        // What others tell meanwhile puts the next read off.
+        // Reads that other entries report meanwhile postpone the next poll.
         let next = ctx.list.pollers.borrow().next_poll(read, rank, draw);
         let now = ctx.now();
         ctx.fleet.borrow_mut().expire(now);
@@ -262,16 +268,16 @@
     }
 }
 
-/// How rows lapse on this platform.
-fn lapse_config(ctx: &Ctx) -> row_expiry::Config {
+/// Timing of row expiry on this platform.
+fn row_expiry_config(ctx: &Ctx) -> row_expiry::Config {
     row_expiry::Config {
         heartbeat: ctx.node.settings.borrow().heartbeat.into(),
         ..row_expiry::Config::default()
     }
 }
 
-/// The targets that can be used; entries that can't be read name none.
-fn targets<'a>(rows: impl Iterator<Item = &'a Row>) -> Vec<Target> {
+/// Decodes the targets of all rows, and skips and logs rows that are invalid.
+fn decode_targets<'a>(rows: impl Iterator<Item = &'a Row>) -> Vec<Target> {
     let mut targets = Vec::new();
     for row in rows {
         let Some(value) = &row.value else {
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -1,9 +1,10 @@
-//! The process that takes callers' requests and goes to targets directly.
+//! The entry: the process that receives callers' requests and sends them to targets directly.
 
-mod copy;
+mod attempts;
+mod candidates;
+mod connection_pool;
 mod delegate;
 mod fleet;
-mod idle;
 mod list;
 mod listen;
 mod pick;
@@ -12,12 +13,11 @@
 mod relay;
 mod replica;
 mod request;
+mod restored_list;
 mod send;
 mod serve;
 mod suspects;
-mod tries;
 mod usable;
-mod view;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -46,61 +46,63 @@
 pub use fleet::Fleet;
 pub use replica::Replica;
 
-/// How long a stopping process goes on taking what comes on open connections; the balancer needs
-/// two misses, a second apart, to send nothing new.
-const LAME: Duration = Duration::from_millis(2_600);
-/// The end of the grace that is kept for ending the process.
-const MARGIN: Duration = Duration::from_millis(300);
+/// How long a stopping process still accepts connections and requests. The load balancer sends it
+/// no new connections after two failed checks, which are a second apart.
+const LAME_DUCK_PERIOD: Duration = Duration::from_millis(2_600);
+/// Time at the end of the grace period that is reserved for the exit of the process.
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
-/// Pause between two looks whether the sidecars are known yet; short beside a first request's wait.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time after which sidecars that aren't known have not started with this process.
-const START: Micros = Micros::from_secs(4);
-/// Pause between two looks then.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Interval between checks for known sidecars during startup; short relative to the wait of a first
+/// request.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after its start in which an entry checks often for sidecars; those not known by then
+/// weren't started together with it.
+const STARTUP_PERIOD: Micros = Micros::from_secs(4);
+/// Interval between checks for known sidecars after the startup period.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An entry's context.
+/// Shared handle to an entry's state.
 pub type Ctx = Rc<Entry>;
 
-/// An entry.
+/// State of an entry.
 #[derive(Debug)]
 pub struct Entry {
-    /// The process.
+    /// State that all kinds of processes have.
     pub node: Shared,
-    /// What it believes of the targets.
+    /// The targets, with the data on each.
     pub fleet: RefCell<Fleet>,
-    /// Its part of each pool's retries.
-    budgets: RefCell<HashMap<String, retry_budget::Budget>>,
-    /// Who reads the platform's list, and what was found.
-    list: list::Shared,
-    /// Requests that crash targets.
+    /// This entry's share of each pool's retry budget.
+    retry_budgets: RefCell<HashMap<String, retry_budget::Budget>>,
+    /// State of following the platform's list of targets.
+    list: list::ListState,
+    /// Requests that are suspected of crashing targets.
     suspects: RefCell<suspects::Suspects>,
     /// Engines that this entry is the delegate of.
     delegates: RefCell<delegate::Delegates>,
-    /// The work that prompts have brought of late.
-    work: RefCell<length_partition::RecentWork>,
-    /// How fast engines read, by pool.
+    /// Recent work of long and short prompts.
+    recent_work: RefCell<length_partition::RecentWork>,
+    /// Prefill rates of engines, by pool.
     prefill_rates: RefCell<HashMap<String, PrefillRate>>,
-    /// Receives and sends updates.
+    /// Socket for updates.
     socket: Rc<UdpSocket>,
-    /// Whether it takes no more requests, since it is about to end.
+    /// Whether new requests are refused because the process is about to exit.
     closing: Cell<bool>,
-    /// Its callers' connections.
-    connections: RefCell<listen::Connections>,
+    /// Connections of callers.
+    connections: RefCell<listen::CallerConnections>,
 }
 
 impl Entry {
-    /// Now, as decisions see it.
+    /// Time since the start of the process.
     fn now(&self) -> Micros {
         self.node.now()
     }
 
-    /// Brings the gauges up to date.
-    fn gauges(&self) {
+    /// Updates the gauges.
+    fn update_gauges(&self) {
         let fleet = self.fleet.borrow();
         let running: u32 = fleet.replicas.values().map(|r| r.inflight).sum();
         meter::set(meter::RUNNING, running.into());
-        for (pool, budget) in self.budgets.borrow().iter() {
+        for (pool, budget) in self.retry_budgets.borrow().iter() {
             metrics::gauge!(meter::RETRIES, "pool" => pool.clone()).set(budget.remaining());
         }
         let world = self.node.world.borrow();
@@ -120,9 +122,9 @@
         update::send(&self.socket, &update, [agent.addr]);
     }
 
-    /// Tells the other entries what an engine was sent to read, so that they don't send the same
-    /// opening to be read elsewhere.
-    fn tell_expected(&self, engine: std::net::SocketAddr, scope: &Scope, parts: &[Part]) {
+    /// Announces to the other entries which parts an engine is about to prefill, so that they don't
+    /// have the same opening prefilled elsewhere.
+    fn announce_expected(&self, engine: std::net::SocketAddr, scope: &Scope, parts: &[Part]) {
         let held = |p: &Part| Held {
             scope: scope.key(),
             part: p.id.0,
@@ -137,19 +139,19 @@
         update::send(&self.socket, &update, self.node.world.borrow().entries());
     }
 
-    /// Lets a decision use a pool's pace of reading.
-    fn prefill_rate<T>(&self, pool: &str, use_it: impl FnOnce(&mut PrefillRate) -> T) -> T {
+    /// Calls `f` with the prefill rate of a pool.
+    fn prefill_rate<T>(&self, pool: &str, f: impl FnOnce(&mut PrefillRate) -> T) -> T {
         let mut prefill_rates = self.prefill_rates.borrow_mut();
         match prefill_rates.get_mut(pool) {
-            Some(p) => use_it(p),
-            None => use_it(prefill_rates.entry(pool.to_owned()).or_default()),
+            Some(p) => f(p),
+            None => f(prefill_rates.entry(pool.to_owned()).or_default()),
         }
     }
 
-    /// Lets a decision use a pool's budget of retries.
-    fn budget<T>(&self, pool: &str, use_it: impl FnOnce(&mut retry_budget::Budget) -> T) -> T {
-        let mut budgets = self.budgets.borrow_mut();
-        if !budgets.contains_key(pool) {
+    /// Calls `f` with this entry's retry budget for a pool.
+    fn retry_budget<T>(&self, pool: &str, f: impl FnOnce(&mut retry_budget::Budget) -> T) -> T {
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        if !retry_budgets.contains_key(pool) {
             let bounds = self.node.settings.borrow().bounds;
             let config = retry_budget::Config {
                 ratio: bounds.retry_ratio,
@@ -157,19 +159,19 @@
                 entries: self.node.world.borrow().entries().count() + 1,
                 window: bounds.retry_window.into(),
             };
-            budgets.insert(pool.to_owned(), retry_budget::Budget::new(config));
+            retry_budgets.insert(pool.to_owned(), retry_budget::Budget::new(config));
         }
-        match budgets.get_mut(pool) {
+        match retry_budgets.get_mut(pool) {
             Some(b) => {
                 b.set_entries(self.node.world.borrow().entries().count() + 1);
-                use_it(b)
+                f(b)
             }
             None => unreachable!("inserted above"),
         }
     }
 }
 
-/// Runs an entry until it is told to stop and has served what it took.
+/// Runs an entry until `stop` completes and the accepted requests have been served.
 pub async fn run(
     node: Shared,
     socket: UdpSocket,
@@ -178,19 +180,19 @@
     let ctx: Ctx = Rc::new(Entry {
         node,
         fleet: RefCell::default(),
-        budgets: RefCell::default(),
-        list: list::Shared::default(),
+        retry_budgets: RefCell::default(),
+        list: list::ListState::default(),
         suspects: RefCell::default(),
         delegates: RefCell::default(),
-        work: RefCell::default(),
+        recent_work: RefCell::default(),
         prefill_rates: RefCell::default(),
         socket: Rc::new(socket),
         closing: Cell::new(false),
         connections: RefCell::default(),
     });
     tokio::task::spawn_local(list::follow(Rc::clone(&ctx)));
-    tokio::task::spawn_local(hear(Rc::clone(&ctx)));
-    tokio::task::spawn_local(ask(Rc::clone(&ctx)));
+    tokio::task::spawn_local(receive_updates(Rc::clone(&ctx)));
+    tokio::task::spawn_local(subscribe(Rc::clone(&ctx)));
     tokio::task::spawn_local(delegate::run(Rc::clone(&ctx)));
     tokio::task::spawn_local(kept::follow(
         Rc::clone(&ctx.node),
@@ -198,34 +200,45 @@
         kept::Stores::default(),
     ));
     let listening = listen::serve(&ctx).await?;
-    let told = stop.await;
-    leave(&ctx, told, &listening).await;
+    let stopped_at = stop.await;
+    shut_down(&ctx, stopped_at, &listening).await;
     Ok(())
 }
 
-/// Asks the sidecars that are wanted to tell of their engines, for as long as the process lives.
+/// Subscribes to the selected sidecars and renews the subscriptions for as long as the process
+/// runs.
 ///
-/// A sidecar tells one who asks for the first time all that is held. By itself it tells that every few
-/// seconds only, and until then each subject would be read again, wherever its request goes: after all
-/// processes of nine engines and six entries had been killed at once, 240,000 tokens in four seconds.
-async fn ask(ctx: Ctx) {
+/// A sidecar sends all cached parts to an entry that subscribes for the first time; without a
+/// subscription it sends them only every few seconds. Until an entry has them, it would have each
+/// subject prefilled again wherever a request goes: 240,000 tokens in four seconds after all
+/// processes of nine engines and six entries had been killed at once.
+async fn subscribe(ctx: Ctx) {
     loop {
-        let wanted = wanted(&ctx);
-        if wanted.is_empty() {
-            sleep(if ctx.now() < START { LOOK } else { AGAIN }).await;
+        let sidecars = select_sidecars(&ctx);
+        if sidecars.is_empty() {
+            sleep(if ctx.now() < STARTUP_PERIOD {
+                STARTUP_POLL_INTERVAL
+            } else {
+                POLL_INTERVAL
+            })
+            .await;
             continue;
         }
         let mut all_confirmed = true;
-        for sidecar in wanted {
-            let life = ctx.fleet.borrow().life(ctx.now(), sidecar).map(|b| Life {
-                id: b.id.clone(),
-                born: b.born,
-            });
-            all_confirmed &= life.is_some();
+        for sidecar in sidecars {
+            let incarnation = ctx
+                .fleet
+                .borrow()
+                .incarnation(ctx.now(), sidecar)
+                .map(|b| Life {
+                    id: b.id.clone(),
+                    born: b.born,
+                });
+            all_confirmed &= incarnation.is_some();
             let update = Update {
                 entry: true,
                 asks: true,
-                life,
+                life: incarnation,
                 ..Update::default()
             };
             update::send(&ctx.socket, &update, [sidecar]);
@@ -234,8 +247,8 @@
     }
 }
 
-/// The sidecars that this entry hears.
-fn wanted(ctx: &Ctx) -> Vec<SocketAddr> {
+/// The sidecars that this entry subscribes to.
+fn select_sidecars(ctx: &Ctx) -> Vec<SocketAddr> {
     let (own, domain) = {
         let s = ctx.node.settings.borrow();
         (xxh3_64(s.host.as_bytes()), domain_key(&s.domain))
@@ -249,48 +262,49 @@
     subscription::select(sidecars)
 }
 
-/// Takes over what sidecars tell.
-async fn hear(ctx: Ctx) {
+/// Receives and applies updates of other processes.
+async fn receive_updates(ctx: Ctx) {
     loop {
         let (update, from) = update::receive(&ctx.socket).await;
         let now = ctx.now();
-        delegate::received(&ctx, from);
+        delegate::record_datagram(&ctx, from);
         if let Some(listed) = update.list {
             let known = ctx.node.era.borrow().unwrap_or_default();
             if listed.era < known {
-                // What it found is from before the store was restored.
+                // This list was read before the store was restored.
                 continue;
             }
             ctx.node.raise_era(listed.era, Source::Peer);
-            if ctx.list.hear(now, listed, from) {
-                ctx.fleet.borrow_mut().confirm(now);
+            if ctx.list.record_poll(now, listed, from) {
+                ctx.fleet.borrow_mut().confirm_list(now);
             }
             continue;
         }
         if let Some(strike) = update.strike {
-            suspects::hear(&ctx, strike, from);
+            suspects::receive(&ctx, strike, from);
             continue;
         }
         if let Some(note) = update.note {
-            delegate::prompt(&ctx, update.delegate, note);
+            delegate::receive_note(&ctx, update.delegate, note);
             continue;
         }
-        ctx.fleet.borrow_mut().hear(now, &update, from);
+        ctx.fleet.borrow_mut().apply_update(now, &update, from);
         if !update.entry && !update.kept {
-            delegate::receive(&ctx, &update, from);
+            delegate::receive_update(&ctx, &update, from);
         }
-        suspects::ended(&ctx);
+        suspects::record_ended_targets(&ctx);
     }
 }
 
-/// Ends without cutting a request: no longer ready at once, all that comes served a while longer,
-/// then nothing new taken and connections closed as they fall idle. Where the balancer has nobody
-/// else in the domain, it goes on sending to a process that isn't ready; what came too late to be
-/// finished within the grace would be cut with the process.
-async fn leave(ctx: &Ctx, told: Instant, listening: &AbortHandle) {
+/// Stops without cutting off a request. The process reports at once that it isn't ready, but serves
+/// all requests for a while longer; then it refuses new ones and closes connections as they become
+/// idle. A load balancer without another healthy process in the domain keeps sending to one that
+/// isn't ready, so a request accepted too late to finish within the grace period would be cut off
+/// when the process exits.
+async fn shut_down(ctx: &Ctx, stopped_at: Instant, listening: &AbortHandle) {
     ctx.node.stopping.set(true);
-    let end = told + ctx.node.settings.borrow().bounds.grace - MARGIN;
-    sleep(LAME).await;
+    let end = stopped_at + ctx.node.settings.borrow().bounds.grace - EXIT_MARGIN;
+    sleep(LAME_DUCK_PERIOD).await;
     ctx.closing.set(true);
     listening.abort();
     ctx.connections.borrow().close_idle();
@@ -300,6 +314,7 @@
             ctx.connections.borrow().close_idle();
         }
     };
-    // What runs past the grace is cut by the platform a moment later in any case.
+    // The platform kills the process a moment later anyway, so requests that run longer are cut
+    // off.
     let _ = timeout_at(end, emptied).await;
 }
--- a/crates/gate/src/entry/refuse.rs
+++ b/crates/gate/src/entry/refuse.rs
@@ -1,4 +1,4 @@
-//! Answers of the entry's own.
+//! Refusals: answers that the entry gives itself, without a target.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,64 +11,66 @@
 use policy::loading::RemainingLoad;
 use rand::Rng;
 
-use super::listen::Watch;
-use super::request::{Answer, Job};
+use super::listen::ConnectionState;
+use super::request::{AnswerBody, Job};
 use super::Ctx;
 use crate::log::{self, Event};
 use crate::meter;
 
-/// Part of the time left that a caller is asked to wait at most; callers don't wait for longer.
-const PART: f64 = 1.0 / 3.0;
-/// Spread of the time to come back, so that those refused together don't return together.
-const SPREAD: f64 = 0.3;
+/// Maximum fraction of the caller's remaining time for which the caller is asked to wait; callers
+/// don't wait longer than that.
+const MAX_WAIT_SHARE: f64 = 1.0 / 3.0;
+/// Relative jitter of the retry time, so that callers refused at the same moment don't return at
+/// the same moment.
+const JITTER: f64 = 0.3;
 
-/// Why a request isn't served.
+/// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reason {
-    /// No configuration is known yet.
+    /// The entry has no configuration yet.
     Unconfigured,
-    /// The process is about to end.
+    /// The process is stopping.
     Stopping,
-    /// The head can't be used.
+    /// The request's head is invalid.
     Malformed,
     /// No route matches.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     NoKey,
     /// The body is larger than allowed.
     TooLarge,
-    /// No target of the pool is known.
+    /// No target of the pool is available.
     NoTarget,
     /// No target can answer in time.
     Late {
-        /// What waits before it at the best target.
+        /// Wait before the request at the best target.
         wait: Micros,
-        /// By how much that would have to fall.
-        over: Micros,
+        /// By how much that wait would have to fall.
+        excess: Micros,
     },
-    /// All targets load weights, and refuse what is new until then.
+    /// All targets are loading weights and refuse new requests meanwhile.
     Loading {
-        /// How long the first of them continues.
-        left: RemainingLoad,
+        /// Shortest remaining load time among the targets.
+        remaining: RemainingLoad,
     },
-    /// It has crashed the targets that ran it.
+    /// The request has crashed the targets that ran it.
     Quarantined {
-        /// For how long it won't be run at least.
-        left: Micros,
+        /// Shortest time until the request may run again.
+        remaining: Micros,
     },
-    /// Its tries came to nothing, and it ran nowhere.
+    /// All attempts failed, and the request ran nowhere.
     NotRun,
-    /// It may have run, and its answer is lost.
+    /// The request may have run, and its answer is lost.
     Unknown,
-    /// Its time is over, and it ran nowhere.
+    /// The deadline has passed, and the request ran nowhere.
     Expired,
-    /// Its time is over, and it may have run.
+    /// The deadline has passed, and the request may have run.
     Overdue,
 }
 
 impl Reason {
-    /// The word in logs and metrics.
-    pub(super) fn word(self) -> &'static str {
+    /// Name of the reason in logs and metrics.
+    pub(super) fn name(self) -> &'static str {
         match self {
             Self::Unconfigured => "unconfigured",
             Self::Stopping => "stopping",
@@ -106,119 +108,128 @@
         }
     }
 
-    /// When it is worth coming back, for refusals that say so.
-    fn back(self) -> Option<Duration> {
+    /// Time after which a retry is useful, for reasons that have one.
+    fn retry_after(self) -> Option<Duration> {
         match self {
             // A configuration is read within a few round trips to the store.
             Self::Unconfigured => Some(Duration::from_millis(400)),
-            // Another process takes the caller's next connection.
+            // The caller's next connection goes to another process.
             Self::Stopping => Some(Duration::from_millis(50)),
-            // A target enters itself in the list with its next heartbeat.
+            // A target registers in the list with its next heartbeat.
             Self::NoTarget => Some(Duration::from_millis(800)),
-            // What waits is worked off in its own length, if as much is turned away as comes.
-            Self::Late { over, .. } => Some(over.into()),
-            Self::Loading { left } => Some(left.time.into()),
-            // A queue as long as an aim has gone by then.
+            // The excess is worked off in this time if as many requests are refused as arrive.
+            Self::Late { excess, .. } => Some(excess.into()),
+            Self::Loading { remaining } => Some(remaining.time.into()),
+            // In this time, a queue as long as a typical latency goal has been served.
             Self::NotRun => Some(Duration::from_millis(300)),
             _ => None,
         }
     }
 }
 
-/// Refuses a request that hasn't become a job.
-pub(super) fn early(
+/// Refuses a request for which no job exists yet.
+pub(super) fn without_job(
     ctx: &Ctx,
-    watch: &Rc<Watch>,
+    connection: &Rc<ConnectionState>,
     id: &str,
-    came: Micros,
+    received_at: Micros,
     reason: Reason,
-) -> Response<Answer> {
+) -> Response<AnswerBody> {
     refuse(
         ctx,
-        watch,
-        &Refused {
+        connection,
+        &Refusal {
             id,
             route: "",
             attempts: 0,
-            came,
+            received_at,
             version: ctx.node.plan().map_or(0, |p| p.version()),
-            left: None,
+            time_left: None,
             reason,
         },
     )
 }
 
 /// Refuses a job.
-pub(super) fn job(ctx: &Ctx, watch: &Rc<Watch>, job: &Job, reason: Reason) -> Response<Answer> {
+pub(super) fn job(
+    ctx: &Ctx,
+    connection: &Rc<ConnectionState>,
+    job: &Job,
+    reason: Reason,
+) -> Response<AnswerBody> {
     refuse(
         ctx,
-        watch,
-        &Refused {
+        connection,
+        &Refusal {
             id: &job.id,
             route: &job.route.name,
-            attempts: job.sends,
-            came: job.came,
+            attempts: job.send_count,
+            received_at: job.received_at,
             version: job.version,
-            left: Some(job.left(ctx.now())),
+            time_left: Some(job.time_left(ctx.now())),
             reason,
         },
     )
 }
 
-/// What a refusal tells.
-struct Refused<'a> {
+/// Data of a refusal.
+struct Refusal<'a> {
     id: &'a str,
     route: &'a str,
     attempts: u32,
-    came: Micros,
+    received_at: Micros,
     version: u64,
-    left: Option<Duration>,
+    time_left: Option<Duration>,
     reason: Reason,
 }
 
-fn refuse(ctx: &Ctx, watch: &Rc<Watch>, r: &Refused<'_>) -> Response<Answer> {
-    let back = match r.reason {
-        // One request, so that there is nothing to spread, and no sooner time is true.
-        Reason::Quarantined { left } => Some(left.into()),
-        _ => r.reason.back().map(|b| spread(b, r.left)),
+fn refuse(ctx: &Ctx, connection: &Rc<ConnectionState>, r: &Refusal<'_>) -> Response<AnswerBody> {
+    let retry_after = match r.reason {
+        // Without jitter, as this concerns a single request; a shorter time would be wrong.
+        Reason::Quarantined { remaining } => Some(remaining.into()),
+        _ => r
+            .reason
+            .retry_after()
+            .map(|after| jitter(after, r.time_left)),
     };
     let status = r.reason.status();
-    meter::count(meter::REFUSALS, "reason", r.reason.word());
+    meter::count(meter::REFUSALS, "reason", r.reason.name());
     log::event(&Event::Refused {
         request: r.id,
         route: r.route,
         status: status.as_u16(),
-        reason: r.reason.word(),
+        reason: r.reason.name(),
         attempts: r.attempts,
-        after_ms: ctx.now().since(r.came).as_millis(),
+        after_ms: ctx.now().since(r.received_at).as_millis(),
         version: r.version,
-        retry_ms: back.map(|b| b.as_millis() as u64),
+        retry_ms: retry_after.map(|after| after.as_millis() as u64),
         wait_ms: match r.reason {
             Reason::Late { wait, .. } => Some(wait.as_millis()),
-            Reason::Loading { left } => Some(left.time.as_millis()),
+            Reason::Loading { remaining } => Some(remaining.time.as_millis()),
             _ => None,
         },
     });
-    let mut response = Response::new(empty(watch));
+    let mut response = Response::new(empty(connection));
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    if let Some(back) = back {
-        headers.insert(RETRY_AFTER, platform::caller::retry_after(back));
+    if let Some(retry_after) = retry_after {
+        headers.insert(RETRY_AFTER, platform::caller::retry_after(retry_after));
     }
-    // What follows a head or body that wasn't read can't be told from it.
+    // The rest of the head or body hasn't been read and couldn't be distinguished from the next
+    // request on the connection.
     if matches!(r.reason, Reason::Malformed | Reason::TooLarge) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-fn spread(back: Duration, left: Option<Duration>) -> Duration {
-    let factor = rand::rng().random_range(1.0 - SPREAD..1.0 + SPREAD);
-    let back = back.mul_f64(factor);
-    left.map_or(back, |l| back.min(l.mul_f64(PART)))
+fn jitter(retry_after: Duration, time_left: Option<Duration>) -> Duration {
+    let factor = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
+    let retry_after = retry_after.mul_f64(factor);
+    time_left.map_or(retry_after, |l| retry_after.min(l.mul_f64(MAX_WAIT_SHARE)))
 }
 
-fn empty(watch: &Rc<Watch>) -> Answer {
+fn empty(connection: &Rc<ConnectionState>) -> AnswerBody {
     let body = Empty::<Bytes>::new().map_err(|e| match e {});
-    Answer::new(body, Rc::clone(watch))
+    AnswerBody::new(body, Rc::clone(connection))
 }
--- a/crates/gate/src/entry/request.rs
+++ b/crates/gate/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request once it has been read, and the bodies of answers.
+//! The job that a caller's request becomes, and the bodies of answers.
 
 use std::fmt;
 use std::pin::Pin;
@@ -14,48 +14,49 @@
 use site::{Prompt, Route};
 use thiserror::Error;
 
-use super::fleet::Key;
-use super::listen::Watch;
+use super::fleet::ReplicaKey;
+use super::listen::ConnectionState;
 
-/// An answer that ends before it is whole. The connection to the caller ends with it, so that it
-/// can't be taken for a whole one.
+/// An answer that ended before it was complete. The connection to the caller is closed, so that the
+/// answer doesn't look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the answer was cut short")]
-pub(super) struct Cut;
+pub(super) struct IncompleteAnswer;
 
 /// The body of an answer to a caller.
-pub(super) struct Answer {
-    inner: Pin<Box<dyn Body<Data = Bytes, Error = Cut>>>,
-    watch: Rc<Watch>,
+pub(super) struct AnswerBody {
+    inner: Pin<Box<dyn Body<Data = Bytes, Error = IncompleteAnswer>>>,
+    connection: Rc<ConnectionState>,
 }
 
-impl Answer {
-    /// A body on a caller's connection, which is idle again after it.
+impl AnswerBody {
+    /// Creates a body that is sent on a caller's connection; dropping the body marks the connection
+    /// as idle.
     pub(super) fn new(
-        inner: impl Body<Data = Bytes, Error = Cut> + 'static,
-        watch: Rc<Watch>,
+        inner: impl Body<Data = Bytes, Error = IncompleteAnswer> + 'static,
+        connection: Rc<ConnectionState>,
     ) -> Self {
         Self {
             inner: Box::pin(inner),
-            watch,
+            connection,
         }
     }
 }
 
-impl fmt::Debug for Answer {
+impl fmt::Debug for AnswerBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Answer").finish_non_exhaustive()
+        f.debug_struct("AnswerBody").finish_non_exhaustive()
     }
 }
 
-impl Body for Answer {
+impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = IncompleteAnswer;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteAnswer>>> {
         self.inner.as_mut().poll_frame(cx)
     }
 
@@ -68,71 +69,71 @@
     }
 }
 
-impl Drop for Answer {
+impl Drop for AnswerBody {
     fn drop(&mut self) {
-        self.watch.idle();
+        self.connection.set_idle();
     }
 }
 
-/// A request that has been read and may go to a target.
+/// A request whose head has been checked, and the state of its attempts.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
-    /// Its id.
+    /// Id of the request.
     pub(super) id: String,
-    /// Its route.
+    /// Route that the request matched.
     pub(super) route: Rc<Route>,
-    /// Version of the configuration that decided.
+    /// Version of the configuration in which the route was found.
     pub(super) version: u64,
-    /// The pool that it goes to.
+    /// Pool that the request is sent to.
     pub(super) pool: String,
-    /// The team that sent it, if its route asks for one.
+    /// Team that sent the request, if it has a known API key.
     pub(super) team: Option<String>,
-    /// Whether its team shares cached parts with nobody.
-    pub(super) walled: bool,
-    /// Rank; 0 goes first.
+    /// Whether the team's cached parts aren't shared with other teams.
+    pub(super) isolated: bool,
+    /// Rank of the request; 0 goes first.
     pub(super) rank: u8,
-    /// What it asks a model for.
+    /// Prompt of the request, if it is for a model.
     pub(super) prompt: Option<Prompt>,
-    /// Its method.
+    /// HTTP method.
     pub(super) method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub(super) uri: Uri,
-    /// Its headers.
+    /// Headers from the caller.
     pub(super) headers: HeaderMap,
-    /// Its body.
+    /// Body from the caller.
     pub(super) body: Bytes,
-    /// Fingerprint of its content.
-    pub(super) print: Fingerprint,
-    /// The last event that the caller has.
-    pub(super) resume: Option<String>,
-    /// When it came.
-    pub(super) came: Micros,
-    /// When the caller or the route gives up on it.
+    /// Fingerprint of the content.
+    pub(super) fingerprint: Fingerprint,
+    /// Id of the last event that the caller has.
+    pub(super) last_event_id: Option<String>,
+    /// When the head of the request was received.
+    pub(super) received_at: Micros,
+    /// When the caller or the route gives up on the request.
     pub(super) deadline: Micros,
-    /// Targets that it was sent to.
-    pub(super) tried: Vec<Key>,
-    /// Those of them that refused it.
-    pub(super) refused: Vec<Key>,
-    /// Times it was sent.
-    pub(super) sends: u32,
-    /// Times it was sent and may have run.
-    pub(super) runs: u32,
+    /// Targets that the request was sent to, without those that may receive it again.
+    pub(super) attempted: Vec<ReplicaKey>,
+    /// Targets that refused the request.
+    pub(super) refused_by: Vec<ReplicaKey>,
+    /// How often the request was sent.
+    pub(super) send_count: u32,
+    /// How often it was sent and may have run.
+    pub(super) run_count: u32,
 }
 
 impl Job {
-    /// What is left until it is given up on.
-    pub(super) fn left(&self, now: Micros) -> Duration {
+    /// Time left until the deadline.
+    pub(super) fn time_left(&self, now: Micros) -> Duration {
         self.deadline.since(now).into()
     }
 
-    /// Lets targets that refused it be tried again.
+    /// Allows the targets that refused the request to be used again.
     pub(super) fn forget_refusals(&mut self) {
-        let refused = std::mem::take(&mut self.refused);
-        self.tried.retain(|k| !refused.contains(k));
+        let refused_by = std::mem::take(&mut self.refused_by);
+        self.attempted.retain(|k| !refused_by.contains(k));
     }
 
-    /// Whether it may run once more.
-    pub(super) fn may_run(&self) -> bool {
-        self.runs < self.route.max_attempts
+    /// Whether the request may run at one more target.
+    pub(super) fn may_run_again(&self) -> bool {
+        self.run_count < self.route.max_attempts
     }
 }
