--- a/crates/daemon/src/sidecar/ask.rs
+++ b/crates/daemon/src/sidecar/ask.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::clock;
-use crate::sidecar::decide::{Refusal, RunKey, Work};
+use crate::sidecar::scheduler::{Refusal, RequestSpec, RunKey};
 
 /// Told when a request's turn comes, or that it doesn't.
 pub type Grant = oneshot::Sender<Result<RunKey, Refusal>>;
@@ -23,7 +23,7 @@
     /// A request wants its turn.
     Enqueue {
         /// What it asks.
-        work: Work,
+        request: RequestSpec,
         /// Told when its turn comes.
         grant: Grant,
     },
--- a/crates/daemon/src/sidecar/claim.rs
+++ b/crates/daemon/src/sidecar/claim.rs
@@ -12,8 +12,8 @@
 use wire::{Join, Open};
 
 use crate::clock;
-use crate::sidecar::decide::Refusal;
 use crate::sidecar::run::Context;
+use crate::sidecar::scheduler::Refusal;
 
 /// Why nothing was claimed.
 #[derive(Clone, Debug)]
--- a/crates/daemon/src/sidecar/control/fleet.rs
+++ b/crates/daemon/src/sidecar/control/fleet.rs
@@ -15,8 +15,8 @@
 use crate::log;
 use crate::mark::{self, Mark};
 use crate::meter;
-use crate::sidecar::decide::{Finding, RunKey};
 use crate::sidecar::probe;
+use crate::sidecar::scheduler::{Finding, RunKey};
 use crate::tune::Tuning;
 
 impl Control {
@@ -37,24 +37,24 @@
     }
 
     fn offer(&mut self, p: Probe) -> Offer {
-        let question = probe::question(p);
-        let told = self.decide.offer(clock::now(), &question);
+        let request = probe::request(p);
+        let answer = self.scheduler.answer_probe(clock::now(), &request);
         Offer {
-            id: question.probe,
+            id: request.probe_id,
             incarnation: self.life,
-            engine: self.decide.life().0,
-            ..probe::offer(&told, self.decide.state())
+            engine: self.scheduler.incarnation().0,
+            ..probe::offer(&answer, self.scheduler.state())
         }
     }
 
     /// The next question about suspects, sealed, and the sidecars to ask.
     pub(super) fn inquiry(&mut self) -> Option<(Bytes, Vec<SocketAddr>)> {
         let now = clock::now();
-        let step = self.decide.inquire(now)?;
+        let step = self.scheduler.next_query(now)?;
         let suspects = step.claims.iter().map(|c| Suspect {
             fingerprint: c.fingerprint.body as u64,
             rank: c.rank,
-            crashes: self.decide.crashes(now, c.fingerprint.body as u64),
+            crashes: self.scheduler.crashes(now, c.fingerprint.body as u64),
         });
         let inquiry = Inquiry {
             from: self.rank,
@@ -73,15 +73,17 @@
         let now = clock::now();
         let mut findings = Vec::with_capacity(i.suspects.len());
         for s in &i.suspects {
-            let mark = self.decide.learn(now, s.fingerprint, &s.crashes);
+            let mark = self
+                .scheduler
+                .record_crashes(now, s.fingerprint, &s.crashes);
             self.convicted(now, mark);
             let claim = Claim {
                 fingerprint: mark::print(s.fingerprint),
                 rank: s.rank,
             };
-            let f = self.decide.inquired(now, i.from, claim);
+            let f = self.scheduler.answer_claim(now, i.from, claim);
             findings.push(wire::Finding {
-                fingerprint: f.print,
+                fingerprint: f.fingerprint,
                 crashes: f.crashes,
                 busy: f.busy,
                 good: f.good,
@@ -98,18 +100,18 @@
     /// Takes over another sidecar's answer.
     fn findings(&mut self, f: Findings) {
         let now = clock::now();
-        let ask = Query {
+        let query = Query {
             round: f.round,
             sent: Micros(f.sent),
         };
         for finding in f.findings {
             let finding = Finding {
-                print: finding.fingerprint,
+                fingerprint: finding.fingerprint,
                 crashes: finding.crashes,
                 busy: finding.busy,
                 good: finding.good,
             };
-            let mark = self.decide.answered(now, f.from, ask, &finding);
+            let mark = self.scheduler.receive_finding(now, f.from, query, &finding);
             self.convicted(now, mark);
         }
     }
@@ -134,12 +136,13 @@
         let targets = pool.into_iter().flat_map(|p| view.world.pool_targets(p));
         let peers = targets.map(|(_, t)| (t.rank, t.probe));
         self.peers = peers.filter(|(rank, _)| *rank != self.rank).collect();
-        self.decide.set_peers(self.peers.keys().copied().collect());
+        self.scheduler
+            .set_peers(self.peers.keys().copied().collect());
         self.seen = view;
     }
 
     pub(super) fn crashed(&mut self, now: Micros, run: RunKey) {
-        let Some(mark) = self.decide.crashed(now, run) else {
+        let Some(mark) = self.scheduler.record_crash(now, run) else {
             return;
         };
         spdlog::warn!(
@@ -154,7 +157,7 @@
         let now = clock::now();
         while let Some(c) = self.members.convicted() {
             let mark = Mark::decode(c.fingerprint);
-            if self.decide.told(now, mark, c.until) {
+            if self.scheduler.receive_mark(now, mark, c.until) {
                 // Two sent at the same moment crashed one target each, and nobody else may have
                 // heard of both.
                 let convicted = true;
@@ -173,7 +176,7 @@
         if let Some(rules) = &view.rules {
             let config = rules.config();
             let most = config.pool.get(&self.pool).and_then(|p| p.concurrency);
-            self.decide.tune(&Tuning::from(config), most);
+            self.scheduler.tune(&Tuning::from(config), most);
         }
     }
 }
--- a/crates/daemon/src/sidecar/control/mod.rs
+++ b/crates/daemon/src/sidecar/control/mod.rs
@@ -30,8 +30,8 @@
 use crate::meter;
 use crate::settings::{Settings, Sidecar};
 use crate::sidecar::ask::{Ask, Asked, Grant, Health, Load};
-use crate::sidecar::decide::{Decide, Found, Refusal};
 use crate::sidecar::news::News;
+use crate::sidecar::scheduler::{EngineState, Refusal, Scheduler};
 use crate::view::{self, Shared, View};
 
 /// Longest sleep of the control thread.
@@ -83,7 +83,7 @@
     let state = Control {
         keys: s.settings.keys.clone(),
         life,
-        decide: Decide::new(s.role.kind, s.role.slots, MemberId(life)),
+        scheduler: Scheduler::new(s.role.kind, s.role.slots, MemberId(life)),
         liveness: Liveness::default(),
         drain: Drain::new(drain::Config { notice }, drain::Role::Sidecar),
         members,
@@ -106,7 +106,7 @@
 struct Control {
     keys: Keys,
     life: u64,
-    decide: Decide<Grant>,
+    scheduler: Scheduler<Grant>,
     liveness: Liveness,
     drain: Drain,
     members: Membership,
@@ -132,7 +132,7 @@
     async fn run(mut self, udp: UdpSocket) {
         let mut buf = vec![0; PACKET_MAX + 1];
         loop {
-            let wake = [self.decide.wake(), self.drain.wake()];
+            let wake = [self.scheduler.wake(), self.drain.wake()];
             let wake = wake.into_iter().flatten().min();
             let wait = wake.map(|w| Duration::from(w.since(clock::now())));
             tokio::select! {
@@ -169,39 +169,39 @@
     fn ask(&mut self, ask: Ask) {
         let now = clock::now();
         match ask {
-            Ask::Enqueue { work, grant } => {
-                let taken = self.decide.open(now, work, grant, &mut self.rng);
+            Ask::Enqueue { request, grant } => {
+                let taken = self.scheduler.enqueue(now, request, grant, &mut self.rng);
                 if let Err((grant, r)) = taken {
                     metrics::counter!(meter::REFUSED, "code" => r.code.as_str()).increment(1);
                     let _ = grant.send(Err(r));
                 }
             }
-            Ask::First(run) => self.decide.first(now, run),
+            Ask::First(run) => self.scheduler.first_byte(now, run),
             Ask::Crashed(run) => self.crashed(now, run),
-            Ask::Served(run) => self.decide.served(now, run),
-            Ask::Progress(run, events) => self.decide.progress(now, run, events),
-            Ask::Finished(run, events) => self.decide.finished(now, run, events),
+            Ask::Served(run) => self.scheduler.record_success(now, run),
+            Ask::Progress(run, events) => self.scheduler.progress(now, run, events),
+            Ask::Finished(run, events) => self.scheduler.finished(now, run, events),
             Ask::Taken => self.step(drain::Event::Taken),
             Ask::Ended => self.step(drain::Event::Ended),
             Ask::Load(load) => self.found(load),
             Ask::Missed(check) => self.missed(now, check),
             Ask::Events(events) => {
                 for e in events {
-                    let need = self.decide.event(now, e);
+                    let need = self.scheduler.apply_event(now, e);
                     self.want(need);
                 }
             }
             Ask::Cache(life, seq, blocks) => {
-                let need = self.decide.listed(now, life, seq, blocks);
+                let need = self.scheduler.set_block_list(now, life, seq, blocks);
                 self.want(need);
             }
             Ask::Quiet(done) => {
-                let back = self.decide.quiet(true);
+                let back = self.scheduler.set_quiesced(true);
                 refuse(back, Code::Draining, None);
                 self.quiet = Some(done);
             }
             Ask::Unquiet => {
-                self.decide.quiet(false);
+                self.scheduler.set_quiesced(false);
                 self.quiet = None;
             }
             Ask::Stop => self.step(drain::Event::Stop),
@@ -211,26 +211,26 @@
     /// Gives turns to whoever may have one, and back what is too late.
     fn grant(&mut self) {
         let now = clock::now();
-        for (grant, r) in self.decide.expire(now, &mut self.rng) {
+        for (grant, r) in self.scheduler.expire(now, &mut self.rng) {
             refuse(vec![grant], r.code, r.retry);
         }
-        while let Some(g) = self.decide.next(now) {
+        while let Some(g) = self.scheduler.dispatch_next(now) {
             // Its caller may have gone while it waited.
             if g.grant.send(Ok(g.run)).is_err() {
-                self.decide.finished(now, g.run, 0);
+                self.scheduler.finished(now, g.run, 0);
             }
         }
-        refuse(self.decide.rejected(), Code::Quarantined, None);
-        if self.decide.running() == 0 {
+        refuse(self.scheduler.take_rejected(), Code::Quarantined, None);
+        if self.scheduler.running() == 0 {
             if let Some(done) = self.quiet.take() {
                 let _ = done.send(());
             }
         }
-        let need = self.decide.tick(now);
+        let need = self.scheduler.expire_gaps(now);
         self.want(need);
-        metrics::gauge!(meter::BLOCKS).set(self.decide.blocks() as f64);
-        metrics::gauge!(meter::QUEUE).set(self.decide.waiting() as f64);
-        metrics::gauge!(meter::RUNNING).set(self.decide.running() as f64);
+        metrics::gauge!(meter::BLOCKS).set(self.scheduler.cached_blocks() as f64);
+        metrics::gauge!(meter::QUEUE).set(self.scheduler.waiting() as f64);
+        metrics::gauge!(meter::RUNNING).set(self.scheduler.running() as f64);
     }
 
     /// Moves the planned stop on.
@@ -244,7 +244,7 @@
                     let _ = self.convict.send(member::Ask::Leave);
                 }
                 drain::Action::GiveBack => {
-                    let back = self.decide.leave();
+                    let back = self.scheduler.leave();
                     refuse(back, Code::Draining, None);
                 }
                 drain::Action::Close => {}
@@ -262,13 +262,13 @@
             state: State::Alive,
             life: l.incarnation,
         });
-        let found = Found {
-            life: l.incarnation,
+        let engine = EngineState {
+            incarnation: l.incarnation,
             model: &l.model,
             weights: &l.weights,
             loading: l.loading,
         };
-        if self.decide.engine(clock::now(), &found) {
+        if self.scheduler.update_engine(clock::now(), &engine) {
             self.members.set_tags(l.weights);
             self.want(Need::Snapshot);
         }
@@ -282,9 +282,9 @@
         if state == State::Alive {
             return;
         }
-        let life = self.decide.life();
+        let life = self.scheduler.incarnation();
         self.health(Health { state, life });
-        let back = self.decide.down();
+        let back = self.scheduler.target_down();
         refuse(back, Code::NoTarget, Some(Micros::from_secs(1)));
     }
 
--- a/crates/daemon/src/sidecar/mod.rs
+++ b/crates/daemon/src/sidecar/mod.rs
@@ -7,13 +7,13 @@
 pub mod ask;
 pub mod claim;
 pub mod control;
-pub mod decide;
 pub mod feed;
 pub mod live;
 pub mod news;
 pub mod orders;
 pub mod probe;
 pub mod run;
+pub mod scheduler;
 pub mod serve;
 pub mod target;
 pub mod turn;
--- /dev/null
+++ b/crates/daemon/src/sidecar/scheduler/suspects.rs
@@ -0,0 +1,40 @@
+//! Suspects, requests that may crash targets: recording crashes and exchanging marks with the
+//! fleet.
+
+use model::Micros;
+use policy::quarantine::Verdict;
+
+use super::{RunKey, Scheduler};
+use crate::mark::{self, Mark};
+
+impl<G> Scheduler<G> {
+    /// Records that the target crashed under a request; returns the mark to report to the fleet.
+    pub fn record_crash(&mut self, now: Micros, key: RunKey) -> Option<Mark> {
+        let run = self.running.get(key.0)?;
+        let (fingerprint, had_strikes) = (run.fingerprint, run.had_strikes);
+        if had_strikes {
+            // The entry knows of a crash elsewhere whose mark hasn't arrived here yet. If it didn't
+            // count, this crash would count as the first, and a third target would crash.
+            mark::strike(&mut self.quarantine, now, fingerprint, 0);
+        }
+        let crash = mark::crash(self.member_id, self.incarnation);
+        let verdict = mark::strike(&mut self.quarantine, now, fingerprint, crash);
+        Some(Mark {
+            print: fingerprint.body as u64,
+            convicted: verdict == Verdict::Convicted,
+            crash,
+        })
+    }
+
+    /// Records another process's mark; returns whether it convicts the request here although the
+    /// mark itself is no conviction.
+    pub fn receive_mark(&mut self, now: Micros, mark: Mark, until: Micros) -> bool {
+        let before = self.verdict(now, mark.print);
+        let verdict = mark::told(&mut self.quarantine, now, mark, until);
+        !mark.convicted && verdict == Verdict::Convicted && before != verdict
+    }
+
+    pub(super) fn verdict(&self, now: Micros, fingerprint: u64) -> Verdict {
+        self.quarantine.verdict(now, mark::print(fingerprint))
+    }
+}
--- a/crates/daemon/src/sidecar/turn.rs
+++ b/crates/daemon/src/sidecar/turn.rs
@@ -12,8 +12,8 @@
 use crate::clock;
 use crate::mark;
 use crate::sidecar::ask::Ask;
-use crate::sidecar::decide::{Refusal, RunKey, Work};
 use crate::sidecar::run::Context;
+use crate::sidecar::scheduler::{Refusal, RequestSpec, RunKey};
 
 /// Events of a stream between two reports to control.
 const PROGRESS: u64 = 4;
@@ -21,20 +21,20 @@
 /// Waits for the request's turn, which lasts until the slot is dropped.
 pub async fn wait<'a>(cx: &'a Context, o: &Open) -> Result<Slot<'a>, Refusal> {
     let (grant, granted) = oneshot::channel();
-    let work = Work {
+    let request = RequestSpec {
         team: o.team.clone(),
-        share: o.share,
+        weight: o.share,
         class: Class::from_index(o.class as usize),
         chain: o.chain.iter().copied().map(BlockHash).collect(),
-        output: o.output,
+        max_output_tokens: o.output,
         deadline: clock::now() + Micros::from_millis(o.deadline),
         fingerprint: o.fingerprint,
         strikes: o.strikes,
         crashes: o.crashes.clone(),
-        probe: o.probe,
-        stream: o.stream,
+        probe_id: o.probe,
+        is_stream: o.stream,
     };
-    cx.control.send(Ask::Enqueue { work, grant });
+    cx.control.send(Ask::Enqueue { request, grant });
     let gone = Refusal {
         code: Code::Draining,
         retry: None,
--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -4,7 +4,9 @@
 use bytes::Bytes;
 use daemon::mark::{self, Mark};
 use daemon::settings::Kind;
-use daemon::sidecar::decide::{Decide, Finding, Found, Question, RunKey, State, Work};
+use daemon::sidecar::scheduler::{
+    EngineState, Finding, ProbeRequest, RequestSpec, RunKey, Scheduler, State,
+};
 use model::{Class, Incarnation, MemberId, Micros};
 use policy::trial::Claim;
 use prefix::{chain, Block, Event, Marks, Seed, BLOCK_BYTES};
@@ -14,50 +16,50 @@
 const NOW: Micros = Micros::from_secs(10);
 const FAR: Micros = Micros::from_secs(600);
 
-fn found(life: u64, weights: &str, loading: bool) -> Found<'_> {
-    Found {
-        life: Incarnation(life),
+fn found(incarnation: u64, weights: &str, loading: bool) -> EngineState<'_> {
+    EngineState {
+        incarnation: Incarnation(incarnation),
         model: "lekha",
         weights,
         loading,
     }
 }
 
-fn decide() -> Decide<u32> {
-    let mut d = Decide::new(Kind::Model, 8, MemberId(1));
-    d.engine(NOW, &found(1, "1", false));
-    let _ = d.listed(NOW, Incarnation(1), 0, Vec::new());
-    d
+fn scheduler() -> Scheduler<u32> {
+    let mut s = Scheduler::new(Kind::Model, 8, MemberId(1));
+    s.update_engine(NOW, &found(1, "1", false));
+    let _ = s.set_block_list(NOW, Incarnation(1), 0, Vec::new());
+    s
 }
 
-fn work(fingerprint: u64, strikes: u32) -> Work {
-    Work {
+fn work(fingerprint: u64, strikes: u32) -> RequestSpec {
+    RequestSpec {
         team: "team-one".to_owned(),
-        share: 1,
+        weight: 1,
         class: Class::Normal,
         chain: Vec::new(),
-        output: 1,
+        max_output_tokens: 1,
         deadline: FAR,
         fingerprint,
         strikes,
         crashes: Vec::new(),
-        probe: 0,
-        stream: true,
+        probe_id: 0,
+        is_stream: true,
     }
 }
 
 /// Takes a request in.
-fn open(d: &mut Decide<u32>, work: Work, name: u32) -> bool {
+fn open(s: &mut Scheduler<u32>, work: RequestSpec, name: u32) -> bool {
     let mut rng = SmallRng::seed_from_u64(1);
-    d.open(NOW, work, name, &mut rng).is_ok()
+    s.enqueue(NOW, work, name, &mut rng).is_ok()
 }
 
 /// Requests whose turn has come.
-fn turns(d: &mut Decide<u32>) -> Vec<(u32, RunKey)> {
+fn turns(s: &mut Scheduler<u32>) -> Vec<(u32, RunKey)> {
     let mut out = Vec::new();
-    while let Some(g) = d.next(NOW) {
+    while let Some(g) = s.dispatch_next(NOW) {
         // Its first byte makes room for the next prefill.
-        d.first(NOW, g.run);
+        s.first_byte(NOW, g.run);
         out.push((g.grant, g.run));
     }
     out
@@ -70,7 +72,7 @@
 /// What becomes of an engine whose blocks are claimed.
 struct Change {
     what: &'static str,
-    found: Found<'static>,
+    found: EngineState<'static>,
     claimed: u32,
     state: State,
 }
@@ -91,26 +93,26 @@
         Change { what: "loading", found: found(1, "1", true), claimed: 3, state: State::Loading },
     ];
     for c in cases {
-        let mut d = decide();
-        store(&mut d, &prompt);
-        assert_eq!(matched(&mut d, &marks), 3, "{}", c.what);
-        d.engine(NOW, &c.found);
-        assert_eq!(matched(&mut d, &marks), c.claimed, "{}", c.what);
-        assert_eq!(d.state(), c.state, "{}", c.what);
+        let mut s = scheduler();
+        store(&mut s, &prompt);
+        assert_eq!(matched(&mut s, &marks), 3, "{}", c.what);
+        s.update_engine(NOW, &c.found);
+        assert_eq!(matched(&mut s, &marks), c.claimed, "{}", c.what);
+        assert_eq!(s.state(), c.state, "{}", c.what);
         // The dead life's last events come late.
-        store(&mut d, &prompt);
+        store(&mut s, &prompt);
         assert_eq!(
-            matched(&mut d, &marks),
+            matched(&mut s, &marks),
             c.claimed,
             "{}, late events",
             c.what
         );
-        let newer = matched(&mut d, &newer);
+        let newer = matched(&mut s, &newer);
         assert_eq!(newer, 0, "{}, taken for newer ones", c.what);
     }
 }
 
-fn store(d: &mut Decide<u32>, prompt: &str) {
+fn store(s: &mut Scheduler<u32>, prompt: &str) {
     for (i, text) in prompt.as_bytes().chunks_exact(BLOCK_BYTES).enumerate() {
         let hash = i as u64 + 1;
         let block = Block {
@@ -124,34 +126,34 @@
             incarnation: Incarnation(1),
             kind: prefix::Kind::Stored(block),
         };
-        let _ = d.event(NOW, event);
+        let _ = s.apply_event(NOW, event);
     }
 }
 
-fn matched(d: &mut Decide<u32>, marks: &Marks) -> u32 {
-    let question = Question {
-        probe: 1,
+fn matched(s: &mut Scheduler<u32>, marks: &Marks) -> u32 {
+    let request = ProbeRequest {
+        probe_id: 1,
         team: "team-one".to_owned(),
         class: Class::Normal,
         marks: marks.clone(),
         blocks: marks.blocks(),
         fingerprint: 1,
     };
-    d.offer(NOW, &question).matched
+    s.answer_probe(NOW, &request).cached_blocks
 }
 
 /// Guards against convicting a request for having run beside the one that crashed its engine.
 #[test]
 fn suspects_run_one_at_a_time_and_others_beside_them() {
-    let mut d = decide();
+    let mut s = scheduler();
     for (name, strikes) in [(1, 1), (2, 0), (3, 1), (4, 0), (5, 1)] {
-        assert!(open(&mut d, work(u64::from(name), strikes), name));
+        assert!(open(&mut s, work(u64::from(name), strikes), name));
     }
-    let mut running = turns(&mut d);
+    let mut running = turns(&mut s);
     assert_eq!(names(&running), [1, 2, 4]);
     for next in [3, 5] {
-        d.finished(NOW, running[0].1, 0);
-        running = turns(&mut d);
+        s.finished(NOW, running[0].1, 0);
+        running = turns(&mut s);
         assert_eq!(names(&running), [next]);
     }
 }
@@ -179,7 +181,7 @@
         Count { what: "two heard", heard: &[7, 8], strikes: 0, before: true, convicted: true },
     ];
     for c in cases {
-        let mut d = decide();
+        let mut s = scheduler();
         let mut before = false;
         for crash in c.heard {
             let mark = Mark {
@@ -187,19 +189,19 @@
                 convicted: false,
                 crash: *crash,
             };
-            before |= d.told(NOW, mark, FAR);
+            before |= s.receive_mark(NOW, mark, FAR);
         }
         assert_eq!(before, c.before, "{}", c.what);
-        assert_eq!(open(&mut d, work(5, c.strikes), 1), !c.before, "{}", c.what);
-        let Some((_, run)) = turns(&mut d).pop() else {
+        assert_eq!(open(&mut s, work(5, c.strikes), 1), !c.before, "{}", c.what);
+        let Some((_, run)) = turns(&mut s).pop() else {
             assert!(c.before, "{}", c.what);
             continue;
         };
-        let mark = d.crashed(NOW, run).expect("it runs");
+        let mark = s.record_crash(NOW, run).expect("it runs");
         assert_eq!(mark.convicted, c.convicted, "{}", c.what);
         // Its own news, told back by others, changes nothing.
-        assert!(!d.told(NOW, mark, FAR), "{}", c.what);
-        assert_eq!(open(&mut d, work(5, 0), 2), !c.convicted, "{}", c.what);
+        assert!(!s.receive_mark(NOW, mark, FAR), "{}", c.what);
+        assert_eq!(open(&mut s, work(5, 0), 2), !c.convicted, "{}", c.what);
     }
 }
 
@@ -219,7 +221,7 @@
     const PEER: u64 = 2;
     let found = |crashes: &[u64], busy, good| {
         Some(Finding {
-            print: 5,
+            fingerprint: 5,
             crashes: crashes.to_vec(),
             busy,
             good,
@@ -235,35 +237,40 @@
         Answer { what: "it was answered well there", finding: found(&[], true, true), runs: true, rejected: false },
     ];
     for c in cases {
-        let mut d = decide();
-        d.set_peers(vec![PEER]);
-        let work = Work {
+        let mut s = scheduler();
+        s.set_peers(vec![PEER]);
+        let work = RequestSpec {
             crashes: vec![7],
             ..work(5, 1)
         };
-        assert!(open(&mut d, work, 1), "{}", c.what);
-        assert!(turns(&mut d).is_empty(), "{}: unasked", c.what);
-        let asked = d.inquire(NOW).expect("a question");
+        assert!(open(&mut s, work, 1), "{}", c.what);
+        assert!(turns(&mut s).is_empty(), "{}: unasked", c.what);
+        let asked = s.next_query(NOW).expect("a question");
         assert_eq!(asked.peers, [PEER], "{}", c.what);
         if let Some(f) = &c.finding {
-            let mark = d.answered(NOW, PEER, asked.query, f);
+            let mark = s.receive_finding(NOW, PEER, asked.query, f);
             assert_eq!(mark.is_some(), c.rejected, "{}", c.what);
         }
-        assert_eq!(turns(&mut d).len(), usize::from(c.runs), "{}", c.what);
-        assert_eq!(d.rejected().len(), usize::from(c.rejected), "{}", c.what);
+        assert_eq!(turns(&mut s).len(), usize::from(c.runs), "{}", c.what);
+        assert_eq!(
+            s.take_rejected().len(),
+            usize::from(c.rejected),
+            "{}",
+            c.what
+        );
     }
 }
 
 /// Guards against a suspect that waits for ever for a sidecar that doesn't exist any more.
 #[test]
 fn suspect_passes_over_a_sidecar_that_does_not_answer() {
-    let mut d = decide();
-    d.set_peers(vec![2]);
-    assert!(open(&mut d, work(5, 1), 1));
+    let mut s = scheduler();
+    s.set_peers(vec![2]);
+    assert!(open(&mut s, work(5, 1), 1));
     let mut now = NOW;
-    while d.next(now).is_none() {
-        let _ = d.inquire(now);
-        now = d.wake().expect("a time to ask again");
+    while s.dispatch_next(now).is_none() {
+        let _ = s.next_query(now);
+        now = s.wake().expect("a time to ask again");
         assert!(now < NOW + Micros::from_secs(1), "it still waits");
     }
 }
@@ -275,14 +282,14 @@
         fingerprint: mark::print(5),
         rank: 1,
     };
-    let mut d = decide();
-    assert!(open(&mut d, work(5, 0), 1));
-    let run = turns(&mut d).pop().expect("it runs").1;
-    let before = d.inquired(NOW, 2, claim);
+    let mut s = scheduler();
+    assert!(open(&mut s, work(5, 0), 1));
+    let run = turns(&mut s).pop().expect("it runs").1;
+    let before = s.answer_claim(NOW, 2, claim);
     assert_eq!((before.busy, before.crashes.len()), (true, 0));
-    d.crashed(NOW, run).expect("it runs");
-    d.finished(NOW, run, 0);
-    let after = d.inquired(NOW, 2, claim);
+    s.record_crash(NOW, run).expect("it runs");
+    s.finished(NOW, run, 0);
+    let after = s.answer_claim(NOW, 2, claim);
     assert_eq!((after.busy, after.crashes.len()), (false, 1));
 }
 
@@ -306,36 +313,37 @@
 fn cost_and_use_are_learnt_from_prompts_that_are_computed() {
     const BLOCKS: usize = 100;
     const PREFILL: Micros = Micros::from_millis(40);
-    let mut d = decide();
+    let mut s = scheduler();
     let seed = Seed::new("team-one", "lekha", "1");
-    let question = |name: u8| Question {
-        probe: u64::from(name),
+    let request = |name: u8| ProbeRequest {
+        probe_id: u64::from(name),
         team: "team-one".to_owned(),
         class: Class::Normal,
         marks: Marks::new(&chain(seed, [name; BLOCKS * BLOCK_BYTES])),
         blocks: BLOCKS as u32,
         fingerprint: 0,
     };
-    let guess = d.offer(NOW, &question(0)).prefill;
+    let guess = s.answer_probe(NOW, &request(0)).prefill_per_block;
     let mut now = NOW;
     for name in 1..=20 {
         let mut rng = SmallRng::seed_from_u64(1);
-        let work = Work {
+        let work = RequestSpec {
             chain: chain(seed, [name; BLOCKS * BLOCK_BYTES]),
             ..work(u64::from(name), 0)
         };
-        d.open(now, work, u32::from(name), &mut rng).expect("taken");
-        let turn = d.next(now).expect("its turn");
+        s.enqueue(now, work, u32::from(name), &mut rng)
+            .expect("taken");
+        let turn = s.dispatch_next(now).expect("its turn");
         now = now + PREFILL;
-        d.first(now, turn.run);
-        d.finished(now, turn.run, 0);
+        s.first_byte(now, turn.run);
+        s.finished(now, turn.run, 0);
     }
-    let told = d.offer(now, &question(21));
+    let answer = s.answer_probe(now, &request(21));
     let true_cost = Micros(PREFILL.0 / BLOCKS as u64);
     assert!(
-        told.prefill < Micros(true_cost.0 * 3 / 2),
+        answer.prefill_per_block < Micros(true_cost.0 * 3 / 2),
         "{:?} after {guess:?}",
-        told.prefill
+        answer.prefill_per_block
     );
-    assert!(told.busy > 0.1, "{}", told.busy);
+    assert!(answer.utilization > 0.1, "{}", answer.utilization);
 }
