--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -1,5 +1,5 @@
-//! The sidecar's decisions without processes: what it claims of its engine, whom it runs beside
-//! whom, and how crashes add up.
+//! The sidecar's scheduler without processes or network: cached blocks, suspects, and the counting
+//! of crashes.
 
 use bytes::Bytes;
 use daemon::mark::{self, Mark};
@@ -16,7 +16,7 @@
 const NOW: Micros = Micros::from_secs(10);
 const FAR: Micros = Micros::from_secs(600);
 
-fn found(incarnation: u64, weights: &str, loading: bool) -> EngineState<'_> {
+fn engine(incarnation: u64, weights: &str, loading: bool) -> EngineState<'_> {
     EngineState {
         incarnation: Incarnation(incarnation),
         model: "lekha",
@@ -27,12 +27,12 @@
 
 fn scheduler() -> Scheduler<u32> {
     let mut s = Scheduler::new(Kind::Model, 8, MemberId(1));
-    s.update_engine(NOW, &found(1, "1", false));
+    s.update_engine(NOW, &engine(1, "1", false));
     let _ = s.set_block_list(NOW, Incarnation(1), 0, Vec::new());
     s
 }
 
-fn work(fingerprint: u64, strikes: u32) -> RequestSpec {
+fn request(fingerprint: u64, strikes: u32) -> RequestSpec {
     RequestSpec {
         team: "team-one".to_owned(),
         weight: 1,
@@ -48,38 +48,38 @@
     }
 }
 
-/// Takes a request in.
-fn open(s: &mut Scheduler<u32>, work: RequestSpec, name: u32) -> bool {
+/// Enqueues a request; returns whether it was admitted.
+fn enqueue(s: &mut Scheduler<u32>, spec: RequestSpec, name: u32) -> bool {
     let mut rng = SmallRng::seed_from_u64(1);
-    s.enqueue(NOW, work, name, &mut rng).is_ok()
+    s.enqueue(NOW, spec, name, &mut rng).is_ok()
 }
 
-/// Requests whose turn has come.
-fn turns(s: &mut Scheduler<u32>) -> Vec<(u32, RunKey)> {
+/// Dispatches all requests that may run now.
+fn dispatch_all(s: &mut Scheduler<u32>) -> Vec<(u32, RunKey)> {
     let mut out = Vec::new();
     while let Some(g) = s.dispatch_next(NOW) {
-        // Its first byte makes room for the next prefill.
+        // The first byte ends the prefill, so that the next one may start.
         s.first_byte(NOW, g.run);
         out.push((g.grant, g.run));
     }
     out
 }
 
-fn names(turns: &[(u32, RunKey)]) -> Vec<u32> {
-    turns.iter().map(|t| t.0).collect()
+fn names(dispatched: &[(u32, RunKey)]) -> Vec<u32> {
+    dispatched.iter().map(|t| t.0).collect()
 }
 
-/// What becomes of an engine whose blocks are claimed.
+/// A change of an engine with cached blocks, and the expected result.
 struct Change {
-    what: &'static str,
-    found: EngineState<'static>,
-    claimed: u32,
+    case: &'static str,
+    engine: EngineState<'static>,
+    cached: u32,
     state: State,
 }
 
-/// Guards against claims on blocks of an engine that has crashed or has other weights.
+/// Guards against counting blocks as cached after the engine restarted or changed its weights.
 #[test]
-fn claims_end_with_the_life_and_the_weights() {
+fn cached_blocks_are_dropped_with_the_incarnation_and_the_weights() {
     let prompt = "x".repeat(3 * BLOCK_BYTES);
     let [marks, newer] = ["1", "2"].map(|weights| {
         let points = chain(Seed::new("team-one", "lekha", weights), &prompt);
@@ -87,32 +87,32 @@
     });
     #[rustfmt::skip]
     let cases = [
-        Change { what: "nothing", found: found(1, "1", false), claimed: 3, state: State::Serving },
-        Change { what: "another life", found: found(2, "1", false), claimed: 0, state: State::Serving },
-        Change { what: "other weights", found: found(1, "2", false), claimed: 0, state: State::Serving },
-        Change { what: "loading", found: found(1, "1", true), claimed: 3, state: State::Loading },
+        Change { case: "nothing", engine: engine(1, "1", false), cached: 3, state: State::Serving },
+        Change { case: "another incarnation", engine: engine(2, "1", false), cached: 0, state: State::Serving },
+        Change { case: "other weights", engine: engine(1, "2", false), cached: 0, state: State::Serving },
+        Change { case: "loading", engine: engine(1, "1", true), cached: 3, state: State::Loading },
     ];
     for c in cases {
         let mut s = scheduler();
-        store(&mut s, &prompt);
-        assert_eq!(matched(&mut s, &marks), 3, "{}", c.what);
-        s.update_engine(NOW, &c.found);
-        assert_eq!(matched(&mut s, &marks), c.claimed, "{}", c.what);
-        assert_eq!(s.state(), c.state, "{}", c.what);
-        // The dead life's last events come late.
-        store(&mut s, &prompt);
+        store_blocks(&mut s, &prompt);
+        assert_eq!(cached_blocks(&mut s, &marks), 3, "{}", c.case);
+        s.update_engine(NOW, &c.engine);
+        assert_eq!(cached_blocks(&mut s, &marks), c.cached, "{}", c.case);
+        assert_eq!(s.state(), c.state, "{}", c.case);
+        // The last events of the first incarnation arrive late.
+        store_blocks(&mut s, &prompt);
         assert_eq!(
-            matched(&mut s, &marks),
-            c.claimed,
+            cached_blocks(&mut s, &marks),
+            c.cached,
             "{}, late events",
-            c.what
+            c.case
         );
-        let newer = matched(&mut s, &newer);
-        assert_eq!(newer, 0, "{}, taken for newer ones", c.what);
+        let newer = cached_blocks(&mut s, &newer);
+        assert_eq!(newer, 0, "{}, counted for the newer weights", c.case);
     }
 }
 
-fn store(s: &mut Scheduler<u32>, prompt: &str) {
+fn store_blocks(s: &mut Scheduler<u32>, prompt: &str) {
     for (i, text) in prompt.as_bytes().chunks_exact(BLOCK_BYTES).enumerate() {
         let hash = i as u64 + 1;
         let block = Block {
@@ -130,7 +130,7 @@
     }
 }
 
-fn matched(s: &mut Scheduler<u32>, marks: &Marks) -> u32 {
+fn cached_blocks(s: &mut Scheduler<u32>, marks: &Marks) -> u32 {
     let request = ProbeRequest {
         probe_id: 1,
         team: "team-one".to_owned(),
@@ -142,28 +142,28 @@
     s.answer_probe(NOW, &request).cached_blocks
 }
 
-/// Guards against convicting a request for having run beside the one that crashed its engine.
+/// Guards against convicting a request that only ran beside the one that crashed the engine.
 #[test]
 fn suspects_run_one_at_a_time_and_others_beside_them() {
     let mut s = scheduler();
     for (name, strikes) in [(1, 1), (2, 0), (3, 1), (4, 0), (5, 1)] {
-        assert!(open(&mut s, work(u64::from(name), strikes), name));
+        assert!(enqueue(&mut s, request(u64::from(name), strikes), name));
     }
-    let mut running = turns(&mut s);
+    let mut running = dispatch_all(&mut s);
     assert_eq!(names(&running), [1, 2, 4]);
     for next in [3, 5] {
         s.finished(NOW, running[0].1, 0);
-        running = turns(&mut s);
+        running = dispatch_all(&mut s);
         assert_eq!(names(&running), [next]);
     }
 }
 
-/// Crashes of one request as a sidecar learns of them, before its own engine dies under it.
-struct Count {
-    what: &'static str,
-    heard: &'static [u64],
+/// Crashes recorded for a request before the sidecar's own engine crashes under it.
+struct Crashes {
+    case: &'static str,
+    received: &'static [u64],
     strikes: u32,
-    before: bool,
+    convicted_before: bool,
     convicted: bool,
 }
 
@@ -172,18 +172,18 @@
 fn each_crash_counts_once() {
     #[rustfmt::skip]
     let cases = [
-        Count { what: "none", heard: &[], strikes: 0, before: false, convicted: false },
-        Count { what: "one heard", heard: &[7], strikes: 0, before: false, convicted: true },
-        Count { what: "one heard three times", heard: &[7, 7, 7], strikes: 0, before: false, convicted: true },
-        Count { what: "one heard with and without its name", heard: &[7, 0], strikes: 0, before: false, convicted: true },
-        Count { what: "one not heard yet", heard: &[], strikes: 1, before: false, convicted: true },
-        Count { what: "one heard and carried", heard: &[7], strikes: 1, before: false, convicted: true },
-        Count { what: "two heard", heard: &[7, 8], strikes: 0, before: true, convicted: true },
+        Crashes { case: "none", received: &[], strikes: 0, convicted_before: false, convicted: false },
+        Crashes { case: "one received", received: &[7], strikes: 0, convicted_before: false, convicted: true },
+        Crashes { case: "one received three times", received: &[7, 7, 7], strikes: 0, convicted_before: false, convicted: true },
+        Crashes { case: "one received with and without its ID", received: &[7, 0], strikes: 0, convicted_before: false, convicted: true },
+        Crashes { case: "one known to the entry only", received: &[], strikes: 1, convicted_before: false, convicted: true },
+        Crashes { case: "one received and known to the entry", received: &[7], strikes: 1, convicted_before: false, convicted: true },
+        Crashes { case: "two received", received: &[7, 8], strikes: 0, convicted_before: true, convicted: true },
     ];
     for c in cases {
         let mut s = scheduler();
         let mut before = false;
-        for crash in c.heard {
+        for crash in c.received {
             let mark = Mark {
                 print: 5,
                 convicted: false,
@@ -191,33 +191,44 @@
             };
             before |= s.receive_mark(NOW, mark, FAR);
         }
-        assert_eq!(before, c.before, "{}", c.what);
-        assert_eq!(open(&mut s, work(5, c.strikes), 1), !c.before, "{}", c.what);
-        let Some((_, run)) = turns(&mut s).pop() else {
-            assert!(c.before, "{}", c.what);
+        assert_eq!(before, c.convicted_before, "{}", c.case);
+        assert_eq!(
+            enqueue(&mut s, request(5, c.strikes), 1),
+            !c.convicted_before,
+            "{}",
+            c.case
+        );
+        let Some((_, run)) = dispatch_all(&mut s).pop() else {
+            assert!(c.convicted_before, "{}", c.case);
             continue;
         };
-        let mark = s.record_crash(NOW, run).expect("it runs");
-        assert_eq!(mark.convicted, c.convicted, "{}", c.what);
-        // Its own news, told back by others, changes nothing.
-        assert!(!s.receive_mark(NOW, mark, FAR), "{}", c.what);
-        assert_eq!(open(&mut s, work(5, 0), 2), !c.convicted, "{}", c.what);
+        let mark = s.record_crash(NOW, run).expect("the request runs");
+        assert_eq!(mark.convicted, c.convicted, "{}", c.case);
+        // The sidecar's own mark, sent back by others, changes nothing.
+        assert!(!s.receive_mark(NOW, mark, FAR), "{}", c.case);
+        assert_eq!(
+            enqueue(&mut s, request(5, 0), 2),
+            !c.convicted,
+            "{}",
+            c.case
+        );
     }
 }
 
-/// What the other sidecar answers to a suspect's claim.
+/// The other sidecar's answer to a claim on a suspect, and the expected result.
 struct Answer {
-    what: &'static str,
-    /// Its finding; none if it doesn't answer.
+    case: &'static str,
+    /// The other sidecar's finding; `None` if it doesn't answer.
     finding: Option<Finding>,
-    /// Whether the suspect runs, and whether it is refused for good.
+    /// Whether the suspect runs.
     runs: bool,
+    /// Whether the suspect is convicted and refused.
     rejected: bool,
 }
 
 /// Guards against running a request that may crash engines while another engine runs it.
 #[test]
-fn suspect_waits_for_what_the_other_sidecars_answer() {
+fn suspect_waits_for_the_answers_of_other_sidecars() {
     const PEER: u64 = 2;
     let found = |crashes: &[u64], busy, good| {
         Some(Finding {
@@ -229,73 +240,82 @@
     };
     #[rustfmt::skip]
     let cases = [
-        Answer { what: "no answer yet", finding: None, runs: false, rejected: false },
-        Answer { what: "it runs there", finding: found(&[7], true, false), runs: false, rejected: false },
-        Answer { what: "it crashed there as well", finding: found(&[8], false, false), runs: false, rejected: true },
-        Answer { what: "only the known crash", finding: found(&[7], false, false), runs: true, rejected: false },
-        Answer { what: "nothing is known there", finding: found(&[], false, false), runs: true, rejected: false },
-        Answer { what: "it was answered well there", finding: found(&[], true, true), runs: true, rejected: false },
+        Answer { case: "no answer yet", finding: None, runs: false, rejected: false },
+        Answer { case: "the suspect runs there", finding: found(&[7], true, false), runs: false, rejected: false },
+        Answer { case: "another crash is recorded there", finding: found(&[8], false, false), runs: false, rejected: true },
+        Answer { case: "only the known crash is recorded there", finding: found(&[7], false, false), runs: true, rejected: false },
+        Answer { case: "nothing is recorded there", finding: found(&[], false, false), runs: true, rejected: false },
+        Answer { case: "the suspect was answered successfully there", finding: found(&[], true, true), runs: true, rejected: false },
     ];
     for c in cases {
         let mut s = scheduler();
         s.set_peers(vec![PEER]);
-        let work = RequestSpec {
+        let spec = RequestSpec {
             crashes: vec![7],
-            ..work(5, 1)
+            ..request(5, 1)
         };
-        assert!(open(&mut s, work, 1), "{}", c.what);
-        assert!(turns(&mut s).is_empty(), "{}: unasked", c.what);
-        let asked = s.next_query(NOW).expect("a question");
-        assert_eq!(asked.peers, [PEER], "{}", c.what);
+        assert!(enqueue(&mut s, spec, 1), "{}", c.case);
+        assert!(
+            dispatch_all(&mut s).is_empty(),
+            "{}: before the query",
+            c.case
+        );
+        let step = s.next_query(NOW).expect("a query");
+        assert_eq!(step.peers, [PEER], "{}", c.case);
         if let Some(f) = &c.finding {
-            let mark = s.receive_finding(NOW, PEER, asked.query, f);
-            assert_eq!(mark.is_some(), c.rejected, "{}", c.what);
+            let mark = s.receive_finding(NOW, PEER, step.query, f);
+            assert_eq!(mark.is_some(), c.rejected, "{}", c.case);
         }
-        assert_eq!(turns(&mut s).len(), usize::from(c.runs), "{}", c.what);
+        assert_eq!(
+            dispatch_all(&mut s).len(),
+            usize::from(c.runs),
+            "{}",
+            c.case
+        );
         assert_eq!(
             s.take_rejected().len(),
             usize::from(c.rejected),
             "{}",
-            c.what
+            c.case
         );
     }
 }
 
-/// Guards against a suspect that waits for ever for a sidecar that doesn't exist any more.
+/// Guards against a suspect that waits forever for a sidecar that no longer exists.
 #[test]
-fn suspect_passes_over_a_sidecar_that_does_not_answer() {
+fn suspect_skips_a_sidecar_that_does_not_answer() {
     let mut s = scheduler();
     s.set_peers(vec![2]);
-    assert!(open(&mut s, work(5, 1), 1));
+    assert!(enqueue(&mut s, request(5, 1), 1));
     let mut now = NOW;
     while s.dispatch_next(now).is_none() {
         let _ = s.next_query(now);
-        now = s.wake().expect("a time to ask again");
-        assert!(now < NOW + Micros::from_secs(1), "it still waits");
+        now = s.wake().expect("a time for the next query");
+        assert!(now < NOW + Micros::from_secs(1), "the suspect still waits");
     }
 }
 
-/// Guards against telling another sidecar that a request doesn't run while a run may still crash.
+/// Guards against answering that a request doesn't run while its run may still crash the engine.
 #[test]
-fn run_is_told_until_its_crash_is_counted() {
+fn run_is_reported_until_its_crash_is_counted() {
     let claim = Claim {
         fingerprint: mark::print(5),
         rank: 1,
     };
     let mut s = scheduler();
-    assert!(open(&mut s, work(5, 0), 1));
-    let run = turns(&mut s).pop().expect("it runs").1;
+    assert!(enqueue(&mut s, request(5, 0), 1));
+    let run = dispatch_all(&mut s).pop().expect("the request runs").1;
     let before = s.answer_claim(NOW, 2, claim);
     assert_eq!((before.busy, before.crashes.len()), (true, 0));
-    s.record_crash(NOW, run).expect("it runs");
+    s.record_crash(NOW, run).expect("the request runs");
     s.finished(NOW, run, 0);
     let after = s.answer_claim(NOW, 2, claim);
     assert_eq!((after.busy, after.crashes.len()), (false, 1));
 }
 
-/// A mark goes through the fleet as one number.
+/// Guards against losing a part of a mark in the number that the fleet spreads.
 #[test]
-fn mark_comes_back_from_its_number() {
+fn encoded_mark_decodes_to_the_same_mark() {
     for convicted in [false, true] {
         for crash in [0, 1, u64::MAX >> 1] {
             let mark = Mark {
@@ -308,14 +328,14 @@
     }
 }
 
-/// Guards against a prompt's own blocks that count as cached at its turn.
+/// Guards against counting a prompt's own expected blocks as cached when it is dispatched.
 #[test]
-fn cost_and_use_are_learnt_from_prompts_that_are_computed() {
+fn cost_and_utilization_are_measured_from_computed_prompts() {
     const BLOCKS: usize = 100;
     const PREFILL: Micros = Micros::from_millis(40);
     let mut s = scheduler();
     let seed = Seed::new("team-one", "lekha", "1");
-    let request = |name: u8| ProbeRequest {
+    let probe = |name: u8| ProbeRequest {
         probe_id: u64::from(name),
         team: "team-one".to_owned(),
         class: Class::Normal,
@@ -323,22 +343,22 @@
         blocks: BLOCKS as u32,
         fingerprint: 0,
     };
-    let guess = s.answer_probe(NOW, &request(0)).prefill_per_block;
+    let guess = s.answer_probe(NOW, &probe(0)).prefill_per_block;
     let mut now = NOW;
     for name in 1..=20 {
         let mut rng = SmallRng::seed_from_u64(1);
-        let work = RequestSpec {
+        let spec = RequestSpec {
             chain: chain(seed, [name; BLOCKS * BLOCK_BYTES]),
-            ..work(u64::from(name), 0)
+            ..request(u64::from(name), 0)
         };
-        s.enqueue(now, work, u32::from(name), &mut rng)
-            .expect("taken");
-        let turn = s.dispatch_next(now).expect("its turn");
+        s.enqueue(now, spec, u32::from(name), &mut rng)
+            .expect("the request is admitted");
+        let granted = s.dispatch_next(now).expect("the request is dispatched");
         now = now + PREFILL;
-        s.first_byte(now, turn.run);
-        s.finished(now, turn.run, 0);
+        s.first_byte(now, granted.run);
+        s.finished(now, granted.run, 0);
     }
-    let answer = s.answer_probe(now, &request(21));
+    let answer = s.answer_probe(now, &probe(21));
     let true_cost = Micros(PREFILL.0 / BLOCKS as u64);
     assert!(
         answer.prefill_per_block < Micros(true_cost.0 * 3 / 2),
