--- a/crates/daemon/src/sidecar/claim.rs
+++ b/crates/daemon/src/sidecar/claim.rs
@@ -1,8 +1,9 @@
-//! Claims at the platform's table, for requests that may run only once.
+//! Claims in the platform's table, for requests that may run only once.
 //!
-//! Two attempts with one key may arrive at two sidecars at once. The one whose row is written
-//! first runs; the other one is told where, so that its entry can join. Without the table such a
-//! request is refused: it can't be known to be the first.
+//! Two attempts with the same idempotency key may arrive at two sidecars at the same time. The
+//! request runs at the sidecar whose row is written first; the other one returns the address of
+//! that exchange, so that its entry can join it. Without the table such a request is refused,
+//! because no sidecar can tell whether it is the first attempt.
 
 use bytes::Bytes;
 use contract::{Claim, ClaimStep, Holder};
@@ -15,16 +16,16 @@
 use crate::sidecar::run::Context;
 use crate::sidecar::scheduler::Refusal;
 
-/// Why nothing was claimed.
+/// Failure to claim a request.
 #[derive(Clone, Debug)]
-pub struct Unclaimed {
-    /// What the entry is told.
+pub struct ClaimError {
+    /// Refusal to send to the entry.
     pub refusal: Refusal,
-    /// Who has claimed it, if known.
+    /// The exchange that holds the claim, if known.
     pub owner: Option<Join>,
 }
 
-impl Unclaimed {
+impl ClaimError {
     fn new(code: Code, retry: Option<Micros>) -> Self {
         Self {
             refusal: Refusal { code, retry },
@@ -34,49 +35,53 @@
 }
 
 /// Claims a request that may run only once; `None` if it needs no claim.
-pub async fn claim(cx: &Context, o: &Open, until: Instant) -> Result<Option<Claim>, Unclaimed> {
-    if o.idempotent || o.key.is_empty() {
+pub async fn claim(
+    cx: &Context,
+    open: &Open,
+    deadline: Instant,
+) -> Result<Option<Claim>, ClaimError> {
+    if open.idempotent || open.key.is_empty() {
         return Ok(None);
     }
-    let away = Unclaimed::new(Code::PlatformDown, Some(Micros::from_secs(2)));
+    let unavailable = ClaimError::new(Code::PlatformDown, Some(Micros::from_secs(2)));
     let Some(table) = &cx.table else {
-        return Err(away);
+        return Err(unavailable);
     };
-    let mut claim = Claim::new(&o.team, &o.key, holder(cx, o));
+    let mut claim = Claim::new(&open.team, &open.key, holder(cx, open));
     let mut step = claim.start();
     loop {
         step = match step {
             ClaimStep::Call(request) => {
-                let reply = timeout_at(until, table.call(request)).await;
-                let reply = reply.map_err(|_| Unclaimed::new(Code::Deadline, None))?;
+                let reply = timeout_at(deadline, table.call(request)).await;
+                let reply = reply.map_err(|_| ClaimError::new(Code::Deadline, None))?;
                 claim.step(reply)
             }
             ClaimStep::Acquired => return Ok(Some(claim)),
             ClaimStep::HeldByOther(h) => {
-                return Err(Unclaimed {
+                return Err(ClaimError {
                     owner: h.and_then(join),
-                    ..Unclaimed::new(Code::AlreadyAttempted, None)
+                    ..ClaimError::new(Code::AlreadyAttempted, None)
                 });
             }
-            ClaimStep::Refuse => return Err(away),
+            ClaimStep::Refuse => return Err(unavailable),
         };
     }
 }
 
-/// Gives a claim back under which nothing was handed over.
+/// Releases a claim whose request was not dispatched.
 pub async fn release(cx: &Context, claim: Option<Claim>) {
     if let (Some(table), Some(claim)) = (&cx.table, claim) {
         table.call(claim.release()).await;
     }
 }
 
-fn holder(cx: &Context, o: &Open) -> Holder {
+fn holder(cx: &Context, open: &Open) -> Holder {
     Holder {
-        token: hex(&o.token),
+        token: hex(&open.token),
         address: cx.address.to_string(),
-        incarnation: cx.life,
+        incarnation: cx.incarnation,
         since: clock::epoch(),
-        body: digest(o),
+        body: digest(open),
     }
 }
 
@@ -89,13 +94,15 @@
     })
 }
 
-/// What tells two requests with the same key apart.
-fn digest(o: &Open) -> String {
-    let mut h = blake3::Hasher::new();
-    for part in [o.method.as_bytes(), o.path.as_bytes(), &o.body] {
-        h.update(&(part.len() as u64).to_le_bytes()).update(part);
+/// Hash that distinguishes different requests with the same idempotency key.
+fn digest(open: &Open) -> String {
+    let mut hasher = blake3::Hasher::new();
+    for part in [open.method.as_bytes(), open.path.as_bytes(), &open.body] {
+        hasher
+            .update(&(part.len() as u64).to_le_bytes())
+            .update(part);
     }
-    hex(&h.finalize().as_bytes()[..16])
+    hex(&hasher.finalize().as_bytes()[..16])
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/daemon/src/sidecar/control/fleet.rs
+++ b/crates/daemon/src/sidecar/control/fleet.rs
@@ -1,5 +1,5 @@
-//! The control thread's dealings with the fleet: entries' probes, marks of requests that crash
-//! targets, the configuration in force.
+//! The control thread's messages with the rest of the fleet: probes from entries, marks of requests
+//! that crash targets, and the configuration in force.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,13 +20,13 @@
 use crate::tune::Tuning;
 
 impl Control {
-    /// Takes a sealed datagram; gives the sealed answer, if there is one.
-    pub(super) fn packet(&mut self, bytes: &Bytes) -> Option<Bytes> {
+    /// Handles a sealed datagram; returns the sealed answer, if there is one.
+    pub(super) fn handle_packet(&mut self, bytes: &Bytes) -> Option<Bytes> {
         match Packet::open(bytes, &self.keys) {
-            Ok(Message::Probe(p)) => Packet::seal(self.offer(p), &self.keys).ok(),
-            Ok(Message::Inquiry(i)) => Packet::seal(self.inquired(i), &self.keys).ok(),
+            Ok(Message::Probe(p)) => Packet::seal(self.answer_probe(p), &self.keys).ok(),
+            Ok(Message::Inquiry(i)) => Packet::seal(self.answer_inquiry(i), &self.keys).ok(),
             Ok(Message::Findings(f)) => {
-                self.findings(f);
+                self.receive_findings(f);
                 None
             }
             Ok(Message::Offer(_)) | Err(_) => {
@@ -36,19 +36,20 @@
         }
     }
 
-    fn offer(&mut self, p: Probe) -> Offer {
+    fn answer_probe(&mut self, p: Probe) -> Offer {
         let request = probe::request(p);
         let answer = self.scheduler.answer_probe(clock::now(), &request);
         Offer {
             id: request.probe_id,
-            incarnation: self.life,
+            incarnation: self.incarnation,
             engine: self.scheduler.incarnation().0,
             ..probe::offer(&answer, self.scheduler.state())
         }
     }
 
-    /// The next question about suspects, sealed, and the sidecars to ask.
-    pub(super) fn inquiry(&mut self) -> Option<(Bytes, Vec<SocketAddr>)> {
+    /// Returns the next inquiry about suspects, sealed, and the addresses of the sidecars to send
+    /// it to.
+    pub(super) fn next_inquiry(&mut self) -> Option<(Bytes, Vec<SocketAddr>)> {
         let now = clock::now();
         let step = self.scheduler.next_query(now)?;
         let suspects = step.claims.iter().map(|c| Suspect {
@@ -68,15 +69,15 @@
         Some((Packet::seal(inquiry, &self.keys).ok()?, peers))
     }
 
-    /// Answers another sidecar that would run suspects.
-    fn inquired(&mut self, i: Inquiry) -> Findings {
+    /// Answers another sidecar's claims on suspects.
+    fn answer_inquiry(&mut self, i: Inquiry) -> Findings {
         let now = clock::now();
         let mut findings = Vec::with_capacity(i.suspects.len());
         for s in &i.suspects {
             let mark = self
                 .scheduler
                 .record_crashes(now, s.fingerprint, &s.crashes);
-            self.convicted(now, mark);
+            self.report_conviction(now, mark);
             let claim = Claim {
                 fingerprint: mark::print(s.fingerprint),
                 rank: s.rank,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Takes over another sidecar's answer.
-    fn findings(&mut self, f: Findings) {
+    /// Records another sidecar's answer.
+    fn receive_findings(&mut self, f: Findings) {
         let now = clock::now();
         let query = Query {
             round: f.round,
@@ -112,24 +113,24 @@
                 good: finding.good,
             };
             let mark = self.scheduler.receive_finding(now, f.from, query, &finding);
-            self.convicted(now, mark);
+            self.report_conviction(now, mark);
         }
     }
 
-    /// Reports a request to the fleet that crashes here and elsewhere convict.
-    fn convicted(&mut self, now: Micros, mark: Option<Mark>) {
+    /// Reports a request to the fleet if crashes here and elsewhere convict it.
+    fn report_conviction(&mut self, now: Micros, mark: Option<Mark>) {
         let Some(mark) = mark else { return };
         spdlog::warn!(
             logger: log::sidecar(),
             "request {:016x} is convicted by crashes of several targets", mark.print
         );
-        self.news.spread(now, mark);
+        self.mark_updates.add(now, mark);
     }
 
-    /// Takes over which sidecars the pool has.
-    pub(super) fn follow(&mut self) {
+    /// Updates the sidecars of the pool if the view of the fleet has changed.
+    pub(super) fn update_peers(&mut self) {
         let view = self.view.load_full();
-        if Arc::ptr_eq(&view, &self.seen) {
+        if Arc::ptr_eq(&view, &self.last_view) {
             return;
         }
         let pool = view.world.pool(&self.pool);
@@ -138,10 +139,10 @@
         self.peers = peers.filter(|(rank, _)| *rank != self.rank).collect();
         self.scheduler
             .set_peers(self.peers.keys().copied().collect());
-        self.seen = view;
+        self.last_view = view;
     }
 
-    pub(super) fn crashed(&mut self, now: Micros, run: RunKey) {
+    pub(super) fn record_crash(&mut self, now: Micros, run: RunKey) {
         let Some(mark) = self.scheduler.record_crash(now, run) else {
             return;
         };
@@ -149,25 +150,25 @@
             logger: log::sidecar(),
             "target died under request {:016x}, convicted: {}", mark.print, mark.convicted
         );
-        self.news.spread(now, mark);
+        self.mark_updates.add(now, mark);
     }
 
-    /// Takes over what other processes found of requests.
-    pub(super) fn marks(&mut self) {
+    /// Records the marks that other processes have spread.
+    pub(super) fn receive_marks(&mut self) {
         let now = clock::now();
-        while let Some(c) = self.members.convicted() {
+        while let Some(c) = self.membership.convicted() {
             let mark = Mark::decode(c.fingerprint);
             if self.scheduler.receive_mark(now, mark, c.until) {
-                // Two sent at the same moment crashed one target each, and nobody else may have
-                // heard of both.
+                // Two copies sent at the same time crashed one target each, and perhaps no other
+                // process has received both marks.
                 let convicted = true;
-                self.news.spread(now, Mark { convicted, ..mark });
+                self.mark_updates.add(now, Mark { convicted, ..mark });
             }
         }
     }
 
-    /// Follows a configuration that has come into force.
-    pub(super) fn tune(&mut self) {
+    /// Applies the configuration if another version has come into force.
+    pub(super) fn apply_configuration(&mut self) {
         let view = self.view.load();
         if view.version == self.version {
             return;
@@ -175,8 +176,8 @@
         self.version = view.version;
         if let Some(rules) = &view.rules {
             let config = rules.config();
-            let most = config.pool.get(&self.pool).and_then(|p| p.concurrency);
-            self.scheduler.tune(&Tuning::from(config), most);
+            let pool_limit = config.pool.get(&self.pool).and_then(|p| p.concurrency);
+            self.scheduler.tune(&Tuning::from(config), pool_limit);
         }
     }
 }
--- a/crates/daemon/src/sidecar/control/mod.rs
+++ b/crates/daemon/src/sidecar/control/mod.rs
@@ -1,8 +1,8 @@
-//! The control thread of a sidecar: decisions, probes, membership, planned stop.
+//! The control thread of a sidecar: scheduling, probes, membership and the planned stop.
 //!
-//! One loop takes whatever comes first (a message from traffic, a probe, membership's turn, the
-//! time for something) and then does what has become due. Nothing in it waits for the target or
-//! for a caller: probes and heartbeats would be late meanwhile.
+//! One loop waits for the first of several events (a message from the traffic threads, a probe, an
+//! event of the membership, a timer) and then does all work that is due. The loop never waits for
+//! the target or for a caller, because that would delay probes and heartbeats.
 
 mod fleet;
 
@@ -29,35 +29,37 @@
 use crate::member::{self, Me, Membership};
 use crate::meter;
 use crate::settings::{Settings, Sidecar};
-use crate::sidecar::ask::{Ask, Asked, Grant, Health, Load};
-use crate::sidecar::news::News;
+use crate::sidecar::control_channel::{
+    ControlEndpoint, ControlMessage, Grant, Health, TargetReport,
+};
+use crate::sidecar::mark_updates::MarkUpdates;
 use crate::sidecar::scheduler::{EngineState, Refusal, Scheduler};
 use crate::view::{self, Shared, View};
 
 /// Longest sleep of the control thread.
-const SLEEP: Duration = Duration::from_millis(250);
+const MAX_SLEEP: Duration = Duration::from_millis(250);
 
-/// What the control thread is given.
+/// Arguments of the control thread.
 #[derive(Debug)]
 pub struct Start {
     /// Settings of the process.
     pub settings: Settings,
     /// Settings of the role.
     pub role: Sidecar,
-    /// What the fleet is told of this process.
+    /// This process as it joins the fleet.
     pub me: Me,
     /// Socket for probes.
-    pub probes: std::net::UdpSocket,
+    pub probe_socket: std::net::UdpSocket,
     /// Socket for membership.
-    pub gossip: std::net::UdpSocket,
-    /// Messages from traffic.
-    pub asked: Asked,
-    /// Where the fleet's view goes.
+    pub gossip_socket: std::net::UdpSocket,
+    /// Receives messages from the traffic threads.
+    pub endpoint: ControlEndpoint,
+    /// Where the view of the fleet is published.
     pub view: Shared,
-    /// Messages for membership.
-    pub members: mpsc::UnboundedReceiver<member::Ask>,
-    /// Convictions for membership.
-    pub convict: member::Asker,
+    /// Receives requests to the membership from other threads.
+    pub member_requests: mpsc::UnboundedReceiver<member::Ask>,
+    /// Sends requests to the membership.
+    pub membership: member::Asker,
 }
 
 /// Starts the control thread.
@@ -73,31 +75,31 @@
 
 async fn control(start: Start) -> io::Result<()> {
     let s = start;
-    let udp = UdpSocket::from_std(s.probes)?;
-    let gossip = UdpSocket::from_std(s.gossip)?;
-    let life = s.me.life;
+    let udp = UdpSocket::from_std(s.probe_socket)?;
+    let gossip = UdpSocket::from_std(s.gossip_socket)?;
+    let incarnation = s.me.life;
     let rank = view::rank(&s.role.pool, s.me.peer);
     let notice = s.settings.notice.into();
     let shared = Arc::clone(&s.view);
-    let members = Membership::new(&s.settings, s.me, gossip, shared, s.members)?;
+    let membership = Membership::new(&s.settings, s.me, gossip, shared, s.member_requests)?;
     let state = Control {
         keys: s.settings.keys.clone(),
-        life,
-        scheduler: Scheduler::new(s.role.kind, s.role.slots, MemberId(life)),
+        incarnation,
+        scheduler: Scheduler::new(s.role.kind, s.role.slots, MemberId(incarnation)),
         liveness: Liveness::default(),
         drain: Drain::new(drain::Config { notice }, drain::Role::Sidecar),
-        members,
-        asked: s.asked,
-        news: News::new(s.convict.clone()),
-        convict: s.convict,
+        membership,
+        endpoint: s.endpoint,
+        mark_updates: MarkUpdates::new(s.membership.clone()),
+        member_sender: s.membership,
         rng: SmallRng::from_os_rng(),
         pool: s.role.pool,
-        quiet: None,
+        quiesced: None,
         view: s.view,
         version: Version(0),
         rank,
         peers: HashMap::new(),
-        seen: Arc::default(),
+        last_view: Arc::default(),
     };
     state.run(udp).await;
     Ok(())
@@ -105,27 +107,28 @@
 
 struct Control {
     keys: Keys,
-    life: u64,
+    incarnation: u64,
     scheduler: Scheduler<Grant>,
     liveness: Liveness,
     drain: Drain,
-    members: Membership,
-    convict: member::Asker,
-    asked: Asked,
-    /// Of requests that crashed the target.
-    news: News,
+    membership: Membership,
+    member_sender: member::Asker,
+    endpoint: ControlEndpoint,
+    /// Marks of requests that crashed the target, to be sent to the fleet.
+    mark_updates: MarkUpdates,
     rng: SmallRng,
     pool: String,
-    /// Told once nothing runs at the target.
-    quiet: Option<oneshot::Sender<()>>,
+    /// Notified once nothing runs at the target.
+    quiesced: Option<oneshot::Sender<()>>,
     view: Shared,
-    /// Version that the decisions follow.
+    /// Version of the configuration that the scheduler uses.
     version: Version,
-    /// Rank of this target among those of the pool.
+    /// Rank of this target, which identifies it in the pool.
     rank: u64,
-    /// The other sidecars of the pool, as of a view.
+    /// Probe addresses of the pool's other sidecars by the rank of their targets, as of
+    /// `last_view`.
     peers: HashMap<u64, SocketAddr>,
-    seen: Arc<View>,
+    last_view: Arc<View>,
 }
 
 impl Control {
@@ -136,175 +139,176 @@
             let wake = wake.into_iter().flatten().min();
             let wait = wake.map(|w| Duration::from(w.since(clock::now())));
             tokio::select! {
-                ask = self.asked.ask.recv() => match ask {
-                    Some(a) => self.ask(a),
+                message = self.endpoint.messages.recv() => match message {
+                    Some(m) => self.handle(m),
                     None => return,
                 },
                 got = udp.recv_from(&mut buf) => if let Ok((n, from)) = got {
                     let bytes = Bytes::copy_from_slice(&buf[..n]);
-                    if let Some(answer) = self.packet(&bytes) {
+                    if let Some(answer) = self.handle_packet(&bytes) {
                         let _ = udp.send_to(&answer, from).await;
                     }
                 },
-                on = self.members.run_once() => if !on {
+                on = self.membership.run_once() => if !on {
                     return;
                 },
-                () = tokio::time::sleep(wait.unwrap_or(SLEEP).min(SLEEP)) => {}
+                () = tokio::time::sleep(wait.unwrap_or(MAX_SLEEP).min(MAX_SLEEP)) => {}
             }
-            self.marks();
-            self.tune();
-            self.follow();
-            self.news.tell(clock::now());
-            self.grant();
-            if let Some((inquiry, to)) = self.inquiry() {
+            self.receive_marks();
+            self.apply_configuration();
+            self.update_peers();
+            self.mark_updates.send_due(clock::now());
+            self.dispatch();
+            if let Some((inquiry, to)) = self.next_inquiry() {
                 for peer in to {
-                    // A datagram that can't be sent is one that was lost; the next one repeats it.
+                    // A datagram that can't be sent counts as lost; the next inquiry repeats its
+                    // content.
                     let _ = udp.send_to(&inquiry, peer).await;
                 }
             }
-            self.step(drain::Event::Tick);
+            self.step_drain(drain::Event::Tick);
         }
     }
 
-    fn ask(&mut self, ask: Ask) {
+    fn handle(&mut self, message: ControlMessage) {
         let now = clock::now();
-        match ask {
-            Ask::Enqueue { request, grant } => {
+        match message {
+            ControlMessage::Enqueue { request, grant } => {
                 let taken = self.scheduler.enqueue(now, request, grant, &mut self.rng);
                 if let Err((grant, r)) = taken {
                     metrics::counter!(meter::REFUSED, "code" => r.code.as_str()).increment(1);
                     let _ = grant.send(Err(r));
                 }
             }
-            Ask::First(run) => self.scheduler.first_byte(now, run),
-            Ask::Crashed(run) => self.crashed(now, run),
-            Ask::Served(run) => self.scheduler.record_success(now, run),
-            Ask::Progress(run, events) => self.scheduler.progress(now, run, events),
-            Ask::Finished(run, events) => self.scheduler.finished(now, run, events),
-            Ask::Taken => self.step(drain::Event::Taken),
-            Ask::Ended => self.step(drain::Event::Ended),
-            Ask::Load(load) => self.found(load),
-            Ask::Missed(check) => self.missed(now, check),
-            Ask::Events(events) => {
+            ControlMessage::FirstByte(run) => self.scheduler.first_byte(now, run),
+            ControlMessage::TargetCrashed(run) => self.record_crash(now, run),
+            ControlMessage::Succeeded(run) => self.scheduler.record_success(now, run),
+            ControlMessage::Progress(run, events) => self.scheduler.progress(now, run, events),
+            ControlMessage::Finished(run, events) => self.scheduler.finished(now, run, events),
+            ControlMessage::ExchangeStarted => self.step_drain(drain::Event::Taken),
+            ControlMessage::ExchangeEnded => self.step_drain(drain::Event::Ended),
+            ControlMessage::Report(report) => self.report_received(report),
+            ControlMessage::ReportMissed(check) => self.report_missed(now, check),
+            ControlMessage::CacheEvents(events) => {
                 for e in events {
                     let need = self.scheduler.apply_event(now, e);
-                    self.want(need);
+                    self.request_snapshot(need);
                 }
             }
-            Ask::Cache(life, seq, blocks) => {
-                let need = self.scheduler.set_block_list(now, life, seq, blocks);
-                self.want(need);
+            ControlMessage::BlockList(incarnation, seq, blocks) => {
+                let need = self.scheduler.set_block_list(now, incarnation, seq, blocks);
+                self.request_snapshot(need);
             }
-            Ask::Quiet(done) => {
-                let back = self.scheduler.set_quiesced(true);
-                refuse(back, Code::Draining, None);
-                self.quiet = Some(done);
+            ControlMessage::Quiesce(done) => {
+                let removed = self.scheduler.set_quiesced(true);
+                refuse(removed, Code::Draining, None);
+                self.quiesced = Some(done);
             }
-            Ask::Unquiet => {
+            ControlMessage::Unquiesce => {
                 self.scheduler.set_quiesced(false);
-                self.quiet = None;
+                self.quiesced = None;
             }
-            Ask::Stop => self.step(drain::Event::Stop),
+            ControlMessage::Stop => self.step_drain(drain::Event::Stop),
         }
     }
 
-    /// Gives turns to whoever may have one, and back what is too late.
-    fn grant(&mut self) {
+    /// Refuses the requests that can't be served in time and dispatches those that may run now.
+    fn dispatch(&mut self) {
         let now = clock::now();
         for (grant, r) in self.scheduler.expire(now, &mut self.rng) {
             refuse(vec![grant], r.code, r.retry);
         }
         while let Some(g) = self.scheduler.dispatch_next(now) {
-            // Its caller may have gone while it waited.
+            // The exchange may have ended while its request waited.
             if g.grant.send(Ok(g.run)).is_err() {
                 self.scheduler.finished(now, g.run, 0);
             }
         }
         refuse(self.scheduler.take_rejected(), Code::Quarantined, None);
         if self.scheduler.running() == 0 {
-            if let Some(done) = self.quiet.take() {
+            if let Some(done) = self.quiesced.take() {
                 let _ = done.send(());
             }
         }
         let need = self.scheduler.expire_gaps(now);
-        self.want(need);
+        self.request_snapshot(need);
         metrics::gauge!(meter::BLOCKS).set(self.scheduler.cached_blocks() as f64);
         metrics::gauge!(meter::QUEUE).set(self.scheduler.waiting() as f64);
         metrics::gauge!(meter::RUNNING).set(self.scheduler.running() as f64);
     }
 
-    /// Moves the planned stop on.
-    fn step(&mut self, event: drain::Event) {
+    /// Advances the planned stop.
+    fn step_drain(&mut self, event: drain::Event) {
         let mut out = Vec::new();
         self.drain.step(clock::now(), event, &mut out);
         for action in out {
             match action {
                 drain::Action::Announce => {
-                    spdlog::info!(logger: log::sidecar(), "leaving, taking nothing new");
-                    let _ = self.convict.send(member::Ask::Leave);
+                    spdlog::info!(logger: log::sidecar(), "leaving, new requests are refused");
+                    let _ = self.member_sender.send(member::Ask::Leave);
                 }
                 drain::Action::GiveBack => {
-                    let back = self.scheduler.leave();
-                    refuse(back, Code::Draining, None);
+                    let removed = self.scheduler.leave();
+                    refuse(removed, Code::Draining, None);
                 }
                 drain::Action::Close => {}
                 drain::Action::Exit => {
-                    self.asked.gone.send_replace(true);
+                    self.endpoint.may_exit.send_replace(true);
                 }
             }
         }
     }
 
-    /// The target said its load.
-    fn found(&mut self, l: Load) {
+    /// Handles a report from the target.
+    fn report_received(&mut self, report: TargetReport) {
         self.liveness.checked(clock::now(), Check::Answered);
-        self.health(Health {
+        self.publish_health(Health {
             state: State::Alive,
-            life: l.incarnation,
+            incarnation: report.incarnation,
         });
         let engine = EngineState {
-            incarnation: l.incarnation,
-            model: &l.model,
-            weights: &l.weights,
-            loading: l.loading,
+            incarnation: report.incarnation,
+            model: &report.model,
+            weights: &report.weights,
+            loading: report.loading,
         };
         if self.scheduler.update_engine(clock::now(), &engine) {
-            self.members.set_tags(l.weights);
-            self.want(Need::Snapshot);
+            self.membership.set_tags(report.weights);
+            self.request_snapshot(Need::Snapshot);
         }
     }
 
-    /// The target didn't say its load.
-    fn missed(&mut self, now: Micros, check: Check) {
+    /// Handles a report of the target that is late or failed.
+    fn report_missed(&mut self, now: Micros, check: Check) {
         self.liveness.checked(now, check);
-        self.liveness.received(self.asked.received());
+        self.liveness.received(self.endpoint.last_byte_at());
         let state = self.liveness.state(now);
         if state == State::Alive {
             return;
         }
-        let life = self.scheduler.incarnation();
-        self.health(Health { state, life });
-        let back = self.scheduler.target_down();
-        refuse(back, Code::NoTarget, Some(Micros::from_secs(1)));
+        let incarnation = self.scheduler.incarnation();
+        self.publish_health(Health { state, incarnation });
+        let removed = self.scheduler.target_down();
+        refuse(removed, Code::NoTarget, Some(Micros::from_secs(1)));
     }
 
-    /// Publishes what the target was found to be.
-    fn health(&self, found: Health) {
-        let changes = |h: &mut Health| std::mem::replace(h, found) != found;
-        if !self.asked.health.send_if_modified(changes) {
+    /// Publishes the target's health if it has changed.
+    fn publish_health(&self, health: Health) {
+        let changes = |h: &mut Health| std::mem::replace(h, health) != health;
+        if !self.endpoint.health.send_if_modified(changes) {
             return;
         }
-        match found.state {
+        match health.state {
             State::Alive => {
-                spdlog::info!(logger: log::sidecar(), "target is in incarnation {}", found.life);
+                spdlog::info!(logger: log::sidecar(), "target is in incarnation {}", health.incarnation);
             }
             State::Unresponsive => spdlog::warn!(
                 logger: log::sidecar(),
-                "target answers no check and sends nothing; its requests continue, new ones are refused"
+                "target answers no checks and sends no data; its requests continue, new ones are refused"
             ),
             State::Hung => spdlog::warn!(
                 logger: log::sidecar(),
-                "target has been silent for too long; requests that may be repeated move elsewhere"
+                "target has been silent for too long; repeatable requests move to other targets"
             ),
             State::Exited => spdlog::warn!(
                 logger: log::sidecar(),
@@ -313,10 +317,10 @@
         }
     }
 
-    /// Asks for the engine's whole cache, if it is needed.
-    fn want(&mut self, need: Need) {
+    /// Requests the engine's list of blocks if it is needed.
+    fn request_snapshot(&mut self, need: Need) {
         if need == Need::Snapshot {
-            self.asked.need.send_modify(|n| *n += 1);
+            self.endpoint.snapshot_requests.send_modify(|n| *n += 1);
         }
     }
 }
--- a/crates/daemon/src/sidecar/feed.rs
+++ b/crates/daemon/src/sidecar/feed.rs
@@ -1,4 +1,4 @@
-//! What the engine says of itself: load, cache events, its whole cache when asked.
+//! Fetches the engine's reports, the events of its cache and, on request, its list of blocks.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -18,31 +18,31 @@
 use crate::log;
 use crate::meter;
 use crate::settings::Kind;
-use crate::sidecar::ask::{Ask, Asker, Load};
+use crate::sidecar::control_channel::{ControlHandle, ControlMessage, TargetReport};
 
-/// How often load and events are fetched; below the engines' own delay.
-const PERIOD: Duration = Duration::from_millis(100);
-/// Wait after which a check is late; longest wait for events and the cache.
-const LATE: Duration = Duration::from_millis(1_000);
-/// Longest wait for the engine's load.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Interval between fetches of the report and the events; shorter than the engines' own delay.
+const FETCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after which a check counts as late; also the timeout for events and the list of blocks.
+const LATE_AFTER: Duration = Duration::from_millis(1_000);
+/// Timeout for the engine's report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why the engine's word can't be had.
+/// Failure of a call to the engine.
 #[derive(Debug, Error)]
 pub enum FeedError {
     /// The call failed.
     #[error(transparent)]
     Call(#[from] HttpError),
-    /// The engine answered with a failure.
+    /// The engine answered with an error status.
     #[error("status {0}")]
     Status(StatusCode),
-    /// The answer isn't what the engine's interface says.
+    /// The answer can't be decoded.
     #[error("unreadable answer: {0}")]
     Body(#[from] serde_json::Error),
 }
 
 impl FeedError {
-    /// The failure as a health check.
+    /// Result of a health check that failed with this error.
     fn check(&self) -> Check {
         match self {
             Self::Call(e) if e.is_refused() => Check::Refused,
@@ -52,7 +52,7 @@
 }
 
 #[derive(Deserialize)]
-struct LoadBody {
+struct ReportBody {
     incarnation: u64,
     model: String,
     weights: String,
@@ -99,41 +99,46 @@
     blocks: Vec<BlockBody>,
 }
 
-/// Fetches for ever. A plain service publishes nothing; whether it takes connections is all that
-/// is known of its health.
-pub async fn run(target: SocketAddr, kind: Kind, control: Asker) {
+/// Fetches until the process ends. A plain service publishes nothing; only whether it accepts
+/// connections shows its health.
+pub async fn run(target: SocketAddr, kind: Kind, control: ControlHandle) {
     match kind {
-        Kind::Model => engine(target, control).await,
-        Kind::Plain => plain(target, control).await,
+        Kind::Model => poll_engine(target, control).await,
+        Kind::Plain => poll_plain(target, control).await,
     }
 }
 
-async fn plain(target: SocketAddr, control: Asker) {
-    let mut tick = interval(PERIOD);
+async fn poll_plain(target: SocketAddr, control: ControlHandle) {
+    let mut tick = interval(FETCH_INTERVAL);
     loop {
         tick.tick().await;
-        control.send(match timeout(LATE, TcpStream::connect(target)).await {
-            Ok(Ok(_)) => Ask::Load(Load::default()),
-            Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => Ask::Missed(Check::Refused),
-            // Out of descriptors, or a full backlog: nothing of the target's process.
-            _ => Ask::Missed(Check::Late),
-        });
+        control.send(
+            match timeout(LATE_AFTER, TcpStream::connect(target)).await {
+                Ok(Ok(_)) => ControlMessage::Report(TargetReport::default()),
+                Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => {
+                    ControlMessage::ReportMissed(Check::Refused)
+                }
+                // No file descriptors left here, or a full backlog: neither shows that the target's
+                // process has exited.
+                _ => ControlMessage::ReportMissed(Check::Late),
+            },
+        );
     }
 }
 
-async fn engine(target: SocketAddr, mut control: Asker) {
+async fn poll_engine(target: SocketAddr, mut control: ControlHandle) {
     let mut feed = Feed {
         target,
         client: Client::default(),
-        after: 0,
-        life: 0,
+        last_seq: 0,
+        incarnation: 0,
     };
-    let mut tick = interval(PERIOD);
+    let mut tick = interval(FETCH_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = tick.tick() => feed.step(&control).await,
-            () = control.wanted() => feed.cache(&control).await,
+            _ = tick.tick() => feed.fetch(&control).await,
+            () = control.snapshot_requested() => feed.fetch_block_list(&control).await,
         }
     }
 }
@@ -141,74 +146,84 @@
 struct Feed {
     target: SocketAddr,
     client: Client,
-    /// The last event had.
-    after: u64,
-    /// The life whose events they are.
-    life: u64,
+    /// Sequence number of the last event received.
+    last_seq: u64,
+    /// Incarnation that the events belong to.
+    incarnation: u64,
 }
 
 impl Feed {
-    async fn step(&mut self, control: &Asker) {
-        match self.load(control).await {
-            Ok(load) => control.send(Ask::Load(load)),
-            Err(e) => return control.send(Ask::Missed(e.check())),
+    async fn fetch(&mut self, control: &ControlHandle) {
+        match self.report(control).await {
+            Ok(report) => control.send(ControlMessage::Report(report)),
+            Err(e) => return control.send(ControlMessage::ReportMissed(e.check())),
         }
-        self.events(control).await;
+        self.fetch_events(control).await;
     }
 
-    /// The engine's load. An answer that is late is a sign of life all the same, so that it is waited for.
-    async fn load(&self, control: &Asker) -> Result<Load, FeedError> {
-        let call = load(&self.client, self.target);
+    /// Fetches the engine's report. A late answer is waited for, because it still shows that the
+    /// engine is alive.
+    async fn report(&self, control: &ControlHandle) -> Result<TargetReport, FeedError> {
+        let call = fetch_report(&self.client, self.target);
         tokio::pin!(call);
         loop {
-            match timeout(LATE, &mut call).await {
-                Ok(load) => return load,
-                Err(_) => control.send(Ask::Missed(Check::Late)),
+            match timeout(LATE_AFTER, &mut call).await {
+                Ok(report) => return report,
+                Err(_) => control.send(ControlMessage::ReportMissed(Check::Late)),
             }
         }
     }
 
-    async fn events(&mut self, control: &Asker) {
-        let path = format!("/events?after={}", self.after);
-        let Ok(e) = self.get::<EventsBody>(&path, LATE).await else {
+    async fn fetch_events(&mut self, control: &ControlHandle) {
+        let path = format!("/events?after={}", self.last_seq);
+        let Ok(e) = self.get::<EventsBody>(&path, LATE_AFTER).await else {
             return;
         };
-        if e.incarnation != self.life {
-            // Another life's numbers begin anew; what came behind the old place is fetched next.
-            let behind = self.after > 0;
-            self.life = e.incarnation;
-            self.after = 0;
-            if behind {
+        if e.incarnation != self.incarnation {
+            // The events of a new incarnation are numbered from the start. Those before the old
+            // position are fetched next time.
+            let had_events = self.last_seq > 0;
+            self.incarnation = e.incarnation;
+            self.last_seq = 0;
+            if had_events {
                 return;
             }
         }
-        self.after = e.next;
+        self.last_seq = e.next;
         let incarnation = Incarnation(e.incarnation);
         let events = e.events.into_iter().map(|e| prefix::Event {
             seq: e.seq,
             incarnation,
             kind: kind(e.kind),
         });
-        control.send(Ask::Events(events.collect()));
+        control.send(ControlMessage::CacheEvents(events.collect()));
     }
 
-    async fn cache(&mut self, control: &Asker) {
-        let Ok(c) = self.get::<CacheBody>("/cache", LATE).await else {
+    async fn fetch_block_list(&mut self, control: &ControlHandle) {
+        let Ok(c) = self.get::<CacheBody>("/cache", LATE_AFTER).await else {
             return;
         };
         let blocks = c.blocks.into_iter().map(block).collect();
-        control.send(Ask::Cache(Incarnation(c.incarnation), c.seq, blocks));
+        control.send(ControlMessage::BlockList(
+            Incarnation(c.incarnation),
+            c.seq,
+            blocks,
+        ));
     }
 
-    async fn get<T: DeserializeOwned>(&self, path: &str, limit: Duration) -> Result<T, FeedError> {
-        get(&self.client, self.target, path, limit).await
+    async fn get<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        max_wait: Duration,
+    ) -> Result<T, FeedError> {
+        get(&self.client, self.target, path, max_wait).await
     }
 }
 
-/// The engine's load.
-pub async fn load(client: &Client, target: SocketAddr) -> Result<Load, FeedError> {
-    let l: LoadBody = get(client, target, "/load", LIMIT).await?;
-    Ok(Load {
+/// Fetches the engine's report.
+pub async fn fetch_report(client: &Client, target: SocketAddr) -> Result<TargetReport, FeedError> {
+    let l: ReportBody = get(client, target, "/load", REPORT_TIMEOUT).await?;
+    Ok(TargetReport {
         incarnation: Incarnation(l.incarnation),
         model: l.model,
         weights: l.weights,
@@ -216,28 +231,28 @@
     })
 }
 
-/// What the engine says at a path.
+/// Fetches and decodes a path of the engine.
 async fn get<T: DeserializeOwned>(
     client: &Client,
     target: SocketAddr,
     path: &str,
-    limit: Duration,
+    max_wait: Duration,
 ) -> Result<T, FeedError> {
-    let call = Call::new(Method::GET, format!("http://{target}{path}"), limit);
+    let call = Call::new(Method::GET, format!("http://{target}{path}"), max_wait);
     let answer = match client.call(call).await {
         Ok((StatusCode::OK, body)) => serde_json::from_slice(&body).map_err(FeedError::from),
         Ok((status, _)) => Err(FeedError::Status(status)),
         Err(e) => Err(e.into()),
     };
     if let Err(e) = &answer {
-        metrics::counter!(meter::FEED_FAULTS, "path" => name(path)).increment(1);
+        metrics::counter!(meter::FEED_FAULTS, "path" => without_query(path)).increment(1);
         spdlog::debug!(logger: log::sidecar(), "target {target}{path}: {e}");
     }
     answer
 }
 
-/// A path without its query.
-fn name(path: &str) -> String {
+/// The path without its query.
+fn without_query(path: &str) -> String {
     path.split('?').next().unwrap_or_default().to_owned()
 }
 
--- /dev/null
+++ b/crates/daemon/src/sidecar/mark_updates.rs
@@ -0,0 +1,60 @@
+//! Updates to the fleet about requests that crash targets.
+//!
+//! Membership spreads a mark as a rumor, and a rumor may miss a member. A member without the mark
+//! would let the request crash one more target, so each mark is sent for several rounds.
+
+use fleet::Conviction;
+use model::Micros;
+
+use crate::mark::{self, Mark};
+use crate::member;
+
+/// Marks that are still being sent.
+#[derive(Debug)]
+pub struct MarkUpdates {
+    members: member::Asker,
+    pending: Vec<Update>,
+}
+
+#[derive(Debug)]
+struct Update {
+    mark: Mark,
+    /// When the mark is sent next.
+    next_send: Micros,
+    /// Number of rounds left.
+    rounds_left: u32,
+}
+
+impl MarkUpdates {
+    /// Creates an empty set of updates.
+    pub fn new(members: member::Asker) -> Self {
+        let pending = Vec::new();
+        Self { members, pending }
+    }
+
+    /// Sends the mark of a suspect or a convicted request now and in the following rounds.
+    pub fn add(&mut self, now: Micros, mark: Mark) {
+        self.pending.push(Update {
+            mark,
+            next_send: now,
+            rounds_left: mark::ROUNDS,
+        });
+        self.send_due(now);
+    }
+
+    /// Sends the marks that are due.
+    pub fn send_due(&mut self, now: Micros) {
+        for update in self.pending.iter_mut().filter(|u| u.next_send <= now) {
+            update.rounds_left -= 1;
+            update.next_send = now + mark::ROUND.into();
+            // A later expiry makes the mark new to members that have it already, so that they
+            // spread it again.
+            let conviction = Conviction {
+                fingerprint: update.mark.encode(),
+                until: now + mark::lasts(),
+            };
+            let _ = self.members.send(member::Ask::Convict(conviction));
+        }
+        self.pending.retain(|u| u.rounds_left > 0);
+    }
+}
--- a/crates/daemon/src/sidecar/mod.rs
+++ b/crates/daemon/src/sidecar/mod.rs
@@ -1,22 +1,24 @@
-//! The process beside one target: the only door to it.
+//! The sidecar: the process beside one target, through which all requests to the target pass.
 //!
-//! Exchanges arrive in `serve`; `run` takes each through its `turn`, its `claim` and the `target`.
-//! `control` decides whose turn it is, by what `feed` fetches from the target and `ask` carries
-//! from traffic. `orders` has the target load other weights.
+//! Exchanges arrive in `serve`. `run` takes each one through the queue (`slot`), its claim if it
+//! may run only once (`claim`), and the call to the target (`target`). The thread in `control` runs
+//! the `scheduler`, which decides when a request is dispatched; it receives the target's state from
+//! `feed` and messages from traffic through `control_channel`. `weight_loader` orders the engine to
+//! load other weights.
 
-pub mod ask;
+pub mod active_exchange;
 pub mod claim;
 pub mod control;
+pub mod control_channel;
 pub mod feed;
-pub mod live;
-pub mod news;
-pub mod orders;
+pub mod mark_updates;
 pub mod probe;
 pub mod run;
 pub mod scheduler;
 pub mod serve;
+pub mod slot;
 pub mod target;
-pub mod turn;
+pub mod weight_loader;
 
 use std::io;
 use std::sync::Arc;
@@ -30,19 +32,19 @@
 use crate::process::{self, stopped, Ready};
 use crate::settings::{Kind, Settings, Sidecar};
 use crate::{admin, clock, log, peer};
-use ask::Ask;
 use control::Start;
-use orders::Orders;
+use control_channel::ControlMessage;
 use run::Context;
+use weight_loader::WeightLoader;
 
-/// Runs until told to stop and all that runs has ended.
+/// Runs until the process is told to stop and all exchanges have ended.
 pub fn run(settings: &Settings, role: &Sidecar) -> io::Result<()> {
     let start = start(settings.clone(), role.clone());
     process::traffic(settings.workers)?.block_on(start)
 }
 
 async fn start(settings: Settings, role: Sidecar) -> io::Result<()> {
-    let life = clock::life();
+    let incarnation = clock::life();
     let (tcp, probes) = wire::bind_both(settings.peer).await?;
     let gossip = UdpSocket::bind(settings.gossip).await?;
     let admin = TcpListener::bind(settings.admin).await?;
@@ -52,63 +54,63 @@
         admin: admin.local_addr()?,
         gossip: gossip.local_addr()?,
     };
-    let told = settings.announce.unwrap_or(ready.peer);
-    let (mut asker, asked) = ask::channel();
-    let (members, from_members) = mpsc::unbounded_channel();
+    let announced = settings.announce.unwrap_or(ready.peer);
+    let (mut control, endpoint) = control_channel::channel();
+    let (membership, member_requests) = mpsc::unbounded_channel();
     let view = member::empty_view();
     let thread = control::spawn(Start {
         me: Me {
             role: fleet::Role::Sidecar,
-            peer: told,
+            peer: announced,
             admin: Some(ready.admin),
             pool: Some(role.pool.clone()),
-            life,
+            life: incarnation,
         },
         settings: settings.clone(),
         role: role.clone(),
-        probes: probes.into_std()?,
-        gossip: gossip.into_std()?,
-        asked,
+        probe_socket: probes.into_std()?,
+        gossip_socket: gossip.into_std()?,
+        endpoint,
         view: Arc::clone(&view),
-        members: from_members,
-        convict: members.clone(),
+        member_requests,
+        membership: membership.clone(),
     })?;
     let table = settings.platform.clone();
     let table = table.map(|p| Platform::new(p, Client::default()));
-    let orders = table.clone().map(|table| Orders {
+    let loader = table.clone().map(|table| WeightLoader {
         target: role.target,
         pool: role.pool.clone(),
         view,
-        control: asker.clone(),
+        control: control.clone(),
         table,
-        who: format!("{life:x}-{:016x}", rand::random::<u64>()),
+        process: format!("{incarnation:x}-{:016x}", rand::random::<u64>()),
     });
-    if let Some(orders) = orders.filter(|_| role.kind == Kind::Model) {
-        tokio::spawn(orders.run());
+    if let Some(loader) = loader.filter(|_| role.kind == Kind::Model) {
+        tokio::spawn(loader.run());
     }
     let cx = Arc::new(Context {
-        life,
-        address: told,
+        incarnation,
+        address: announced,
         target: role.target,
-        model: role.kind == Kind::Model,
+        is_model: role.kind == Kind::Model,
         table,
         exchanges: serve::Exchanges::default(),
-        control: asker.clone(),
+        control: control.clone(),
     });
-    let listen = peer::listen(tcp, settings.keys.clone(), members.clone(), cx);
-    tokio::spawn(listen);
-    tokio::spawn(feed::run(role.target, role.kind, asker.clone()));
-    let up = asker.clone();
+    let listener = peer::listen(tcp, settings.keys.clone(), membership.clone(), cx);
+    tokio::spawn(listener);
+    tokio::spawn(feed::run(role.target, role.kind, control.clone()));
+    let health = control.clone();
     tokio::spawn(admin::serve(
         admin,
-        admin::router(move || up.health().state == State::Alive),
+        admin::router(move || health.health().state == State::Alive),
     ));
     ready.print();
     spdlog::info!(logger: log::sidecar(), "serving pool {} at {}", role.pool, ready.peer);
 
     stopped().await;
-    asker.send(Ask::Stop);
-    asker.exit().await;
-    let _ = members.send(member::Ask::Quit);
+    control.send(ControlMessage::Stop);
+    control.until_may_exit().await;
+    let _ = membership.send(member::Ask::Quit);
     process::ended(thread).await
 }
--- a/crates/daemon/src/sidecar/probe.rs
+++ b/crates/daemon/src/sidecar/probe.rs
@@ -1,4 +1,4 @@
-//! Probes as the decisions know them, and their answers as the wire does.
+//! Conversion of probes and their answers between the wire format and the scheduler's types.
 
 use model::{BlockHash, Class, Micros};
 use prefix::Marks;
@@ -6,7 +6,7 @@
 
 use crate::sidecar::scheduler::{ProbeAnswer, ProbeRequest, State};
 
-/// What a probe asks.
+/// Converts a probe from the wire format.
 pub fn request(p: Probe) -> ProbeRequest {
     let points = p.marks.iter().map(|m| prefix::Mark {
         blocks: m.blocks,
@@ -22,7 +22,7 @@
     }
 }
 
-/// What it is told; whose answer it is remains to be filled in.
+/// Converts an answer to the wire format; the caller fills in the IDs of the probe and the sidecar.
 pub fn offer(answer: &ProbeAnswer, state: State) -> Offer {
     let state = match state {
         State::Serving if answer.refusal.is_some() => wire::State::Full,
--- a/crates/daemon/src/sidecar/run.rs
+++ b/crates/daemon/src/sidecar/run.rs
@@ -1,7 +1,8 @@
-//! One exchange from its turn in the queue to the target's last byte.
+//! Runs one exchange, from the queue to the last byte of the target's answer.
 //!
-//! The order of the steps decides what an entry may do after a failure. Up to the hand-over every
-//! end is a refusal, and the request may run elsewhere; from then on the target may have begun it.
+//! The order of the steps decides what an entry may do after a failure. Until the request is
+//! dispatched, every failure is a refusal, and the request may run elsewhere. After that the target
+//! may have started to run it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,136 +16,139 @@
 
 use crate::clock;
 use crate::log;
-use crate::sidecar::ask::Asker;
-use crate::sidecar::live::{Last, Live};
+use crate::sidecar::active_exchange::{ActiveExchange, ExchangeEnd};
+use crate::sidecar::control_channel::ControlHandle;
 use crate::sidecar::serve::Exchanges;
-use crate::sidecar::turn::{self, Slot};
+use crate::sidecar::slot::{self, Slot};
 use crate::sidecar::{claim, target};
 use crate::{hop, trace};
 
-/// Longest wait to learn whether an engine died: two refused calls of its feed.
-const VERDICT: Duration = Duration::from_millis(400);
+/// Longest wait to find out whether an engine crashed: the time of two refused calls of its feed.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What every exchange of this process shares.
+/// Data shared by all exchanges of this process.
 #[derive(Debug)]
 pub struct Context {
-    /// This process's life.
-    pub life: u64,
-    /// Its peer address as others see it.
+    /// Incarnation of this process.
+    pub incarnation: u64,
+    /// Peer address of this process as other processes see it.
     pub address: SocketAddr,
-    /// The target.
+    /// Address of the target.
     pub target: SocketAddr,
-    /// Whether the target streams server-sent events.
-    pub model: bool,
+    /// Whether the target is a model engine, which streams server-sent events.
+    pub is_model: bool,
     /// The platform's table, if there is one.
     pub table: Option<Platform>,
-    /// All exchanges.
+    /// All exchanges of this process.
     pub exchanges: Exchanges,
-    /// The control thread.
-    pub control: Asker,
+    /// Sends messages to the control thread.
+    pub control: ControlHandle,
 }
 
-/// A request that has its turn.
+/// A request that may run now.
 #[derive(Debug)]
 pub struct Job<'a> {
-    /// Its slot at the target.
+    /// Slot of the request at the target.
     pub slot: Slot<'a>,
-    /// The request.
+    /// Frame that opened the exchange.
     pub open: &'a Open,
-    /// Where its answer goes.
-    pub live: &'a Live,
-    /// When the answer is of no more use.
-    pub until: Instant,
-    /// How long it waited for its turn.
+    /// Exchange that receives the answer.
+    pub active: &'a ActiveExchange,
+    /// When the caller gives up.
+    pub deadline: Instant,
+    /// How long the request waited in the queue.
     pub waited: Micros,
-    /// Its place in the trace.
+    /// Span of the call to the target.
     pub hop: trace::Context,
 }
 
 /// Runs an exchange to its end.
-pub async fn run(cx: &Context, o: Open, live: &Live) {
+pub async fn run(cx: &Context, open: Open, active: &ActiveExchange) {
     let ex = Exchange::new();
-    let until = Instant::now() + Duration::from_millis(o.deadline);
+    let deadline = Instant::now() + Duration::from_millis(open.deadline);
     let enqueued = clock::now();
-    let above = trace::Context::parse(&o.trace).unwrap_or_else(trace::Context::fresh);
-    let queue = hop!("queue", above, above.child(), request = o.request);
-    let last = tokio::select! {
-        r = turn::wait(cx, &o).instrument(queue) => match r {
+    let parent = trace::Context::parse(&open.trace).unwrap_or_else(trace::Context::fresh);
+    let queue = hop!("queue", parent, parent.child(), request = open.request);
+    let end = tokio::select! {
+        r = slot::acquire(cx, &open).instrument(queue) => match r {
             Ok(slot) => {
                 let job = Job {
                     slot,
-                    open: &o,
-                    live,
-                    until,
+                    open: &open,
+                    active,
+                    deadline,
                     waited: clock::now().since(enqueued),
-                    hop: above.child(),
+                    hop: parent.child(),
                 };
-                let span = hop!("target", above, job.hop, request = o.request);
-                admitted(&job, ex).instrument(span).await
+                let span = hop!("target", parent, job.hop, request = open.request);
+                dispatch(&job, ex).instrument(span).await
             }
-            Err(r) => Last::NotRun(ex.refuse(r.code, r.retry), None),
+            Err(r) => ExchangeEnd::NotRun(ex.refuse(r.code, r.retry), None),
         },
-        () = sleep_until(until) => Last::NotRun(ex.refuse(Code::Deadline, None), None),
-        () = live.cancel.cancelled() => Last::NotRun(ex.refuse(Code::Cancelled, None), None),
+        () = sleep_until(deadline) => ExchangeEnd::NotRun(ex.refuse(Code::Deadline, None), None),
+        () = active.cancel.cancelled() => ExchangeEnd::NotRun(ex.refuse(Code::Cancelled, None), None),
     };
-    live.end(last);
+    active.end(end);
 }
 
-/// Has its turn: claims if it may run only once, then hands it over.
-async fn admitted(job: &Job<'_>, ex: Exchange<Queued>) -> Last {
+/// Claims the request if it may run only once, and dispatches it.
+async fn dispatch(job: &Job<'_>, ex: Exchange<Queued>) -> ExchangeEnd {
     let cx = job.slot.cx;
-    // Connecting comes before claiming: a target that is down must not use the claim up.
+    // The connection comes before the claim, so that a target that is down doesn't use up the
+    // claim.
     let Some(sender) = target::connect(cx.target).await else {
-        let soon = Some(Micros::from_secs(1));
-        return Last::NotRun(ex.refuse(Code::NoTarget, soon), None);
+        let retry = Some(Micros::from_secs(1));
+        return ExchangeEnd::NotRun(ex.refuse(Code::NoTarget, retry), None);
     };
-    let claim = match claim::claim(cx, job.open, job.until).await {
+    let claim = match claim::claim(cx, job.open, job.deadline).await {
         Ok(c) => c,
-        Err(e) => return Last::NotRun(ex.refuse(e.refusal.code, e.refusal.retry), e.owner),
+        Err(e) => return ExchangeEnd::NotRun(ex.refuse(e.refusal.code, e.refusal.retry), e.owner),
     };
-    // A process that was paused wakes here with a request whose caller has given up.
-    if Instant::now() >= job.until || job.live.cancel.is_cancelled() {
+    // A process that was paused may resume here with a request whose caller has given up.
+    if Instant::now() >= job.deadline || job.active.cancel.is_cancelled() {
         claim::release(cx, claim).await;
-        return Last::NotRun(ex.refuse(Code::Deadline, None), None);
+        return ExchangeEnd::NotRun(ex.refuse(Code::Deadline, None), None);
     }
-    let life = cx.control.health().life;
+    let incarnation = cx.control.health().incarnation;
     let ex = ex.dispatch();
     let answer = tokio::select! {
-        r = target::answer(job, sender) => r,
-        () = job.live.cancel.cancelled() => Err(Code::Cancelled),
-        () = lost(job, life) => Err(Code::TargetLost),
+        r = target::forward(job, sender) => r,
+        () = job.active.cancel.cancelled() => Err(Code::Cancelled),
+        () = until_lost(job, incarnation) => Err(Code::TargetLost),
     };
     match answer {
-        Ok(()) => Last::Done(ex.complete()),
+        Ok(()) => ExchangeEnd::Done(ex.complete()),
         Err(code) => {
-            let crashed = code == Code::TargetLost && died(cx, life).await;
+            let crashed = code == Code::TargetLost && engine_crashed(cx, incarnation).await;
             if crashed {
-                job.live.crashed(job.slot.crashed(life));
+                job.active.set_crash(job.slot.record_crash(incarnation));
             }
             spdlog::warn!(
                 logger: log::sidecar(),
                 "request {} ended: {code}, target died: {crashed}", job.open.request
             );
-            Last::Failed(ex.fail(code, false, crashed))
+            ExchangeEnd::Failed(ex.fail(code, false, crashed))
         }
     }
 }
 
-/// Waits until the target can't complete a request any more. One that may run only once isn't helped by
-/// another target, so that it is left to a target that hangs.
-async fn lost(job: &Job<'_>, life: Incarnation) {
+/// Waits until the target can no longer complete the request. A request that may run only once
+/// stays at a target that hangs, because no other target may run it.
+async fn until_lost(job: &Job<'_>, incarnation: Incarnation) {
     let control = &job.slot.cx.control;
     match job.open.idempotent {
-        true => control.stalled(life).await,
-        false => control.exited(life).await,
+        true => control.until_stalled(incarnation).await,
+        false => control.until_exited(incarnation).await,
     }
 }
 
-/// Whether an engine died, rather than one connection to it. Only then does the request count as
-/// one that may have killed it.
-async fn died(cx: &Context, life: Incarnation) -> bool {
-    if !cx.model {
+/// Whether the engine crashed, and not only one connection to it. Only then does the request count
+/// as one that may have caused the crash.
+async fn engine_crashed(cx: &Context, incarnation: Incarnation) -> bool {
+    if !cx.is_model {
         return false;
     }
-    timeout(VERDICT, cx.control.exited(life)).await.is_ok()
+    timeout(CRASH_CHECK_TIMEOUT, cx.control.until_exited(incarnation))
+        .await
+        .is_ok()
 }
--- a/crates/daemon/src/sidecar/target.rs
+++ b/crates/daemon/src/sidecar/target.rs
@@ -1,8 +1,9 @@
-//! HTTP to the target: one connection an exchange, its request, its answer.
+//! HTTP to the target: one connection per exchange, the request and its answer.
 //!
-//! The target may die at any byte, and HTTP shows that in few places. An answer counts as whole
-//! only if the target said so itself: by a length, by chunks that end, or by the event with which
-//! engines end a stream. All else fails as lost, so that no caller takes half an answer for all.
+//! The target may crash at any byte, and HTTP shows a truncated answer only in some cases. An
+//! answer counts as complete only if the target marked its end: by a length, by chunks that end, or
+//! by the event with which engines end a stream. All other answers count as lost, so that no caller
+//! takes part of an answer for all of it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,19 +23,19 @@
 use crate::sidecar::run::Job;
 use crate::trace;
 
-/// Longest silence of a target within an answer. A busy engine's longest pause between two bytes
-/// is its longest prefill, a few seconds.
-const SILENCE: Duration = Duration::from_secs(15);
-/// Longest silence within a stream that has begun. An engine that prefills others meanwhile does so
-/// in pieces, between which it decodes; a connection that fell silent for good would otherwise
-/// keep a caller on the line until he hangs up.
-const PAUSE: Duration = Duration::from_secs(4);
-/// The event with which an engine ends a stream that is whole.
-const DONE: &[u8] = b"data: [DONE]";
-/// Longest time to connect to the target, which runs on this host.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Headers that belong to one connection and aren't passed on.
-const HOP: [&str; 6] = [
+/// Longest time without a byte while an answer is awaited. The longest pause of a busy engine
+/// between two bytes is its longest prefill, a few seconds.
+const ANSWER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longest time without a byte within a stream. An engine that prefills other prompts meanwhile
+/// does so in pieces and decodes between them, so its pauses are short. A connection that has
+/// failed silently would otherwise keep a caller waiting until they hang up.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// The event with which an engine ends a complete stream.
+const FINAL_EVENT: &[u8] = b"data: [DONE]";
+/// Timeout for connecting to the target, which runs on the same host.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Headers of a single connection, which are not passed on.
+const HOP_HEADERS: [&str; 6] = [
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -43,12 +44,12 @@
     "content-length",
 ];
 
-/// A connection to the target; `None` if it takes none.
+/// Connects to the target; `None` if it accepts no connection.
 pub async fn connect(to: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-    timeout(CONNECT, open(to)).await.ok()?.ok()
+    timeout(CONNECT_TIMEOUT, try_connect(to)).await.ok()?.ok()
 }
 
-async fn open(to: SocketAddr) -> Result<SendRequest<Full<Bytes>>, WireError> {
+async fn try_connect(to: SocketAddr) -> Result<SendRequest<Full<Bytes>>, WireError> {
     let tcp = TcpStream::connect(to).await?;
     tcp.set_nodelay(true)?;
     let (sender, conn) = handshake(TokioIo::new(tcp))
@@ -58,100 +59,109 @@
     Ok(sender)
 }
 
-/// Sends the request over the connection and takes the answer to its end.
-pub async fn answer(job: &Job<'_>, mut sender: SendRequest<Full<Bytes>>) -> Result<(), Code> {
+/// Sends the request and forwards the answer to its end.
+pub async fn forward(job: &Job<'_>, mut sender: SendRequest<Full<Bytes>>) -> Result<(), Code> {
     let req = request(job.open, job.hop)?;
-    let res = timeout(SILENCE, sender.send_request(req)).await;
-    let res = res.map_err(lost)?.map_err(lost)?;
+    let res = timeout(ANSWER_IDLE_TIMEOUT, sender.send_request(req)).await;
+    let res = res.map_err(target_lost)?.map_err(target_lost)?;
     if is_busy(job, &res) {
         return Err(Code::NoTarget);
     }
-    if unbounded(&res) {
+    if ends_on_close(&res) {
         return Err(Code::BadAnswer);
     }
-    job.live.begin(head(&res, job.waited));
-    let (streamed, good) = (is_events(&res), res.status().is_success());
-    body(job, res.into_body(), streamed).await?;
-    if good {
-        job.slot.served();
+    job.active.set_head(answer_head(&res, job.waited));
+    let (is_stream, is_success) = (is_event_stream(&res), res.status().is_success());
+    forward_body(job, res.into_body(), is_stream).await?;
+    if is_success {
+        job.slot.record_success();
     }
     Ok(())
 }
 
-fn request(o: &Open, hop: trace::Context) -> Result<Request<Full<Bytes>>, Code> {
+fn request(open: &Open, hop: trace::Context) -> Result<Request<Full<Bytes>>, Code> {
     let mut req = Request::builder()
-        .method(o.method.as_str())
-        .uri(&o.path)
+        .method(open.method.as_str())
+        .uri(&open.path)
         .header("host", "target")
         .header(trace::HEADER, hop.to_string());
-    for h in o.headers.iter().filter(|h| !HOP.contains(&h.name.as_str())) {
+    for h in open
+        .headers
+        .iter()
+        .filter(|h| !HOP_HEADERS.contains(&h.name.as_str()))
+    {
         req = req.header(&h.name, h.value.as_ref());
     }
-    let req = req.body(Full::new(o.body.clone()));
+    let req = req.body(Full::new(open.body.clone()));
     req.map_err(|_| Code::BadRequest)
 }
 
-/// Passes the answer on as it comes, a stream in whole events.
-async fn body(job: &Job<'_>, mut body: Incoming, streamed: bool) -> Result<(), Code> {
-    let mut rest = BytesMut::new();
-    let mut begun = false;
-    let mut done = false;
+/// Forwards the answer as it arrives; a stream is split between events.
+async fn forward_body(job: &Job<'_>, mut body: Incoming, is_stream: bool) -> Result<(), Code> {
+    let mut buffered = BytesMut::new();
+    let mut started = false;
+    let mut final_event_seen = false;
     loop {
-        let limit = if begun && streamed { PAUSE } else { SILENCE };
-        let frame = timeout(limit, body.frame()).await.map_err(lost)?;
+        let limit = if started && is_stream {
+            STREAM_IDLE_TIMEOUT
+        } else {
+            ANSWER_IDLE_TIMEOUT
+        };
+        let frame = timeout(limit, body.frame()).await.map_err(target_lost)?;
         let Some(frame) = frame else { break };
-        let Ok(data) = frame.map_err(lost)?.into_data() else {
+        let Ok(data) = frame.map_err(target_lost)?.into_data() else {
             continue;
         };
-        job.slot.received();
-        if !std::mem::replace(&mut begun, true) {
-            job.slot.first();
+        job.slot.record_byte();
+        if !std::mem::replace(&mut started, true) {
+            job.slot.first_byte();
         }
-        if !streamed {
-            job.live.push(data).await;
+        if !is_stream {
+            job.active.push(data).await;
             continue;
         }
-        rest.extend_from_slice(&data);
-        if let Some(n) = events::whole(&rest) {
-            job.slot.event();
-            let whole = rest.split_to(n).freeze();
-            done = events::trimmed(&whole).ends_with(DONE);
-            job.live.push(whole).await;
+        buffered.extend_from_slice(&data);
+        if let Some(n) = events::whole(&buffered) {
+            job.slot.record_event();
+            let events = buffered.split_to(n).freeze();
+            final_event_seen = events::trimmed(&events).ends_with(FINAL_EVENT);
+            job.active.push(events).await;
         }
     }
-    // A good end of the transfer doesn't say that the answer is whole: without a length it also
-    // comes when the target's process goes away or something between closes the connection. The
-    // caller would take half an answer for all of it.
-    let whole = match streamed {
-        true if job.slot.cx.model => done && rest.is_empty(),
-        true => rest.is_empty(),
+    // A regular end of the transfer doesn't show that the answer is complete: without a length the
+    // transfer also ends regularly when the target's process exits or a proxy closes the
+    // connection. The caller would take part of the answer for all of it.
+    let complete = match is_stream {
+        true if job.slot.cx.is_model => final_event_seen && buffered.is_empty(),
+        true => buffered.is_empty(),
         false => true,
     };
-    whole.then_some(()).ok_or(Code::TargetLost)
+    complete.then_some(()).ok_or(Code::TargetLost)
 }
 
-/// Whether an engine refuses for a while what another one may take, as it does when it has just
-/// begun to load other weights and its load doesn't say so yet.
+/// Whether the engine refuses a request for now that another engine may accept. This happens when
+/// it has just started to load other weights and its report doesn't show the load yet.
 fn is_busy(job: &Job<'_>, res: &Response<Incoming>) -> bool {
-    job.slot.cx.model && job.open.idempotent && res.status() == StatusCode::SERVICE_UNAVAILABLE
+    job.slot.cx.is_model && job.open.idempotent && res.status() == StatusCode::SERVICE_UNAVAILABLE
 }
 
-/// Whether only the end of the connection ends the answer. Half of such an answer can't be told
-/// from all of it: it ends the same way when the target's process goes away.
-fn unbounded(res: &Response<Incoming>) -> bool {
+/// Whether only the end of the connection ends the answer. A truncated answer can't be
+/// distinguished from a complete one then, since the connection also ends when the target's process
+/// exits.
+fn ends_on_close(res: &Response<Incoming>) -> bool {
     let chunked = res.headers().contains_key("transfer-encoding");
     !chunked && res.body().size_hint().exact().is_none()
 }
 
-fn is_events(res: &Response<Incoming>) -> bool {
+fn is_event_stream(res: &Response<Incoming>) -> bool {
     let kind = res.headers().get("content-type");
     let kind = kind.and_then(|v| v.to_str().ok());
     kind.is_some_and(|k| k.starts_with("text/event-stream"))
 }
 
-fn head(res: &Response<Incoming>, waited: Micros) -> Head {
+fn answer_head(res: &Response<Incoming>, waited: Micros) -> Head {
     let all = res.headers().iter();
-    let passed = all.filter(|(n, _)| !HOP.contains(&n.as_str()));
+    let passed = all.filter(|(n, _)| !HOP_HEADERS.contains(&n.as_str()));
     let headers = passed.map(|(n, v)| Header {
         name: n.as_str().to_owned(),
         value: Bytes::copy_from_slice(v.as_bytes()),
@@ -163,6 +173,6 @@
     }
 }
 
-fn lost<E>(_: E) -> Code {
+fn target_lost<E>(_: E) -> Code {
     Code::TargetLost
 }
