--- a/crates/daemon/src/sidecar/control/mod.rs
+++ b/crates/daemon/src/sidecar/control/mod.rs
@@ -59,7 +59,7 @@
     /// Receives requests to the membership from other threads.
     pub member_requests: mpsc::UnboundedReceiver<member::Ask>,
     /// Sends requests to the membership.
-    pub membership: member::Asker,
+    pub member_sender: member::Asker,
 }
 
 /// Starts the control thread.
@@ -90,8 +90,8 @@
         drain: Drain::new(drain::Config { notice }, drain::Role::Sidecar),
         membership,
         endpoint: s.endpoint,
-        mark_updates: MarkUpdates::new(s.membership.clone()),
-        member_sender: s.membership,
+        mark_updates: MarkUpdates::new(s.member_sender.clone()),
+        member_sender: s.member_sender,
         rng: SmallRng::from_os_rng(),
         pool: s.role.pool,
         quiesced: None,
@@ -174,8 +174,8 @@
         let now = clock::now();
         match message {
             ControlMessage::Enqueue { request, grant } => {
-                let taken = self.scheduler.enqueue(now, request, grant, &mut self.rng);
-                if let Err((grant, r)) = taken {
+                let result = self.scheduler.enqueue(now, request, grant, &mut self.rng);
+                if let Err((grant, r)) = result {
                     metrics::counter!(meter::REFUSED, "code" => r.code.as_str()).increment(1);
                     let _ = grant.send(Err(r));
                 }
@@ -187,8 +187,8 @@
             ControlMessage::Finished(run, events) => self.scheduler.finished(now, run, events),
             ControlMessage::ExchangeStarted => self.step_drain(drain::Event::Taken),
             ControlMessage::ExchangeEnded => self.step_drain(drain::Event::Ended),
-            ControlMessage::Report(report) => self.report_received(report),
-            ControlMessage::ReportMissed(check) => self.report_missed(now, check),
+            ControlMessage::Report(report) => self.handle_report(report),
+            ControlMessage::ReportMissed(check) => self.handle_missed_report(now, check),
             ControlMessage::CacheEvents(events) => {
                 for e in events {
                     let need = self.scheduler.apply_event(now, e);
@@ -260,7 +260,7 @@
     }
 
     /// Handles a report from the target.
-    fn report_received(&mut self, report: TargetReport) {
+    fn handle_report(&mut self, report: TargetReport) {
         self.liveness.checked(clock::now(), Check::Answered);
         self.publish_health(Health {
             state: State::Alive,
@@ -279,7 +279,7 @@
     }
 
     /// Handles a report of the target that is late or failed.
-    fn report_missed(&mut self, now: Micros, check: Check) {
+    fn handle_missed_report(&mut self, now: Micros, check: Check) {
         self.liveness.checked(now, check);
         self.liveness.received(self.endpoint.last_byte_at());
         let state = self.liveness.state(now);
--- a/crates/daemon/src/sidecar/feed.rs
+++ b/crates/daemon/src/sidecar/feed.rs
@@ -180,8 +180,8 @@
             return;
         };
         if e.incarnation != self.incarnation {
-            // The events of a new incarnation are numbered from the start. Those before the old
-            // position are fetched next time.
+            // A new incarnation numbers its events from the start, so this answer may lack the
+            // first ones. The next fetch gets all of them.
             let had_events = self.last_seq > 0;
             self.incarnation = e.incarnation;
             self.last_seq = 0;
@@ -222,12 +222,12 @@
 
 /// Fetches the engine's report.
 pub async fn fetch_report(client: &Client, target: SocketAddr) -> Result<TargetReport, FeedError> {
-    let l: ReportBody = get(client, target, "/load", REPORT_TIMEOUT).await?;
+    let body: ReportBody = get(client, target, "/load", REPORT_TIMEOUT).await?;
     Ok(TargetReport {
-        incarnation: Incarnation(l.incarnation),
-        model: l.model,
-        weights: l.weights,
-        loading: l.loading,
+        incarnation: Incarnation(body.incarnation),
+        model: body.model,
+        weights: body.weights,
+        loading: body.loading,
     })
 }
 
--- a/crates/daemon/src/sidecar/mark_updates.rs
+++ b/crates/daemon/src/sidecar/mark_updates.rs
@@ -12,7 +12,7 @@
 /// Marks that are still being sent.
 #[derive(Debug)]
 pub struct MarkUpdates {
-    members: member::Asker,
+    member_sender: member::Asker,
     pending: Vec<Update>,
 }
 
@@ -27,9 +27,12 @@
 
 impl MarkUpdates {
     /// Creates an empty set of updates.
-    pub fn new(members: member::Asker) -> Self {
+    pub fn new(member_sender: member::Asker) -> Self {
         let pending = Vec::new();
-        Self { members, pending }
+        Self {
+            member_sender,
+            pending,
+        }
     }
 
     /// Sends the mark of a suspect or a convicted request now and in the following rounds.
@@ -53,7 +56,7 @@
                 fingerprint: update.mark.encode(),
                 until: now + mark::lasts(),
             };
-            let _ = self.members.send(member::Ask::Convict(conviction));
+            let _ = self.member_sender.send(member::Ask::Convict(conviction));
         }
         self.pending.retain(|u| u.rounds_left > 0);
     }
--- a/crates/daemon/src/sidecar/mod.rs
+++ b/crates/daemon/src/sidecar/mod.rs
@@ -56,7 +56,7 @@
     };
     let announced = settings.announce.unwrap_or(ready.peer);
     let (mut control, endpoint) = control_channel::channel();
-    let (membership, member_requests) = mpsc::unbounded_channel();
+    let (member_sender, member_requests) = mpsc::unbounded_channel();
     let view = member::empty_view();
     let thread = control::spawn(Start {
         me: Me {
@@ -73,7 +73,7 @@
         endpoint,
         view: Arc::clone(&view),
         member_requests,
-        membership: membership.clone(),
+        member_sender: member_sender.clone(),
     })?;
     let table = settings.platform.clone();
     let table = table.map(|p| Platform::new(p, Client::default()));
@@ -97,13 +97,13 @@
         exchanges: serve::Exchanges::default(),
         control: control.clone(),
     });
-    let listener = peer::listen(tcp, settings.keys.clone(), membership.clone(), cx);
+    let listener = peer::listen(tcp, settings.keys.clone(), member_sender.clone(), cx);
     tokio::spawn(listener);
     tokio::spawn(feed::run(role.target, role.kind, control.clone()));
-    let health = control.clone();
+    let health_source = control.clone();
     tokio::spawn(admin::serve(
         admin,
-        admin::router(move || health.health().state == State::Alive),
+        admin::router(move || health_source.health().state == State::Alive),
     ));
     ready.print();
     spdlog::info!(logger: log::sidecar(), "serving pool {} at {}", role.pool, ready.peer);
@@ -111,6 +111,6 @@
     stopped().await;
     control.send(ControlMessage::Stop);
     control.until_may_exit().await;
-    let _ = membership.send(member::Ask::Quit);
+    let _ = member_sender.send(member::Ask::Quit);
     process::ended(thread).await
 }
--- a/crates/daemon/src/sidecar/run.rs
+++ b/crates/daemon/src/sidecar/run.rs
@@ -132,8 +132,8 @@
     }
 }
 
-/// Waits until the target can no longer complete the request. A request that may run only once
-/// stays at a target that hangs, because no other target may run it.
+/// Waits until the target can no longer complete the request. A request that isn't
+/// idempotent stays at a target that hangs, because no other target may run it.
 async fn until_lost(job: &Job<'_>, incarnation: Incarnation) {
     let control = &job.slot.cx.control;
     match job.open.idempotent {
--- a/crates/daemon/src/sidecar/scheduler/dispatch.rs
+++ b/crates/daemon/src/sidecar/scheduler/dispatch.rs
@@ -1,6 +1,6 @@
 //! Dispatch: which waiting request goes to the target next, and whether one may go now.
 //!
-//! The queue orders requests by urgency, share and cost. The limits set how many prompts and
+//! The queue orders requests by urgency, team share and cost. The limits set how many prompts and
 //! answers the engine computes at a time. Suspects wait until they may run (`trials`).
 
 use model::{Class, Micros};
--- a/crates/daemon/src/sidecar/scheduler/mod.rs
+++ b/crates/daemon/src/sidecar/scheduler/mod.rs
@@ -182,10 +182,10 @@
         let (rate, prefills_left) = (self.drain_rate, self.prefills_end.since(now));
         let (index, cost, kind) = (&self.index, &self.cost, self.kind);
         let wait = |work| rate.wait(work) + prefills_left;
-        let hopeless = self
+        let delayed = self
             .queue
             .review(now, wait, |job| current_engine_time(kind, index, cost, job));
-        removed.extend(hopeless.into_iter().map(|(job, wait)| {
+        removed.extend(delayed.into_iter().map(|(job, wait)| {
             let r = admit::refuse_queued(&self.admission, job.class, wait, rng.random());
             (job.payload.grant, refusal(r))
         }));
--- a/crates/daemon/src/sidecar/serve.rs
+++ b/crates/daemon/src/sidecar/serve.rs
@@ -64,7 +64,7 @@
             tokio::spawn(lifetime(Arc::clone(cx), open, Arc::clone(&active)));
             active
         }
-        Lookup::Active(l) => l,
+        Lookup::Active(active) => active,
         Lookup::Voided => return send_refusal(tx, Code::Cancelled).await,
         // This incarnation has never received the request.
         Lookup::OtherIncarnation => return send_refusal(tx, Code::NoTarget).await,
@@ -79,11 +79,11 @@
     let now = clock::now();
     let found = cx.exchanges.lock().resume(now, matched, token.clone());
     match found {
-        Lookup::Active(l) => {
+        Lookup::Active(active) => {
             // Confirmations sent on the broken connection may be lost, and the answer may be
             // waiting for them.
-            l.confirm(r.next);
-            send_frames(cx, &token, &l, r.next, tx, rx).await
+            active.confirm(r.next);
+            send_frames(cx, &token, &active, r.next, tx, rx).await
         }
         Lookup::Voided | Lookup::New => send_refusal(tx, Code::NoTarget).await,
         Lookup::Ended | Lookup::OtherIncarnation => send_lost(tx).await,
--- a/crates/daemon/src/sidecar/target.rs
+++ b/crates/daemon/src/sidecar/target.rs
@@ -23,7 +23,7 @@
 use crate::sidecar::run::Job;
 use crate::trace;
 
-/// Longest time without a byte while an answer is awaited. The longest pause of a busy engine
+/// Longest time without a byte before and within an answer. The longest pause of a busy engine
 /// between two bytes is its longest prefill, a few seconds.
 const ANSWER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Longest time without a byte within a stream. An engine that prefills other prompts meanwhile
--- a/crates/exchange/tests/common/mod.rs
+++ b/crates/exchange/tests/common/mod.rs
@@ -2,9 +2,9 @@
 //! a clock or tasks.
 //!
 //! The entry does what `daemon::entry::drive` does with each action, the sidecar what
-//! `daemon::sidecar::{serve, live, run}` do with each frame. One call of [`Simulation::act`] is one
-//! step of one of them; after each, [`Simulation::check`] compares what callers got with the
-//! targets' log.
+//! `daemon::sidecar::{serve, active_exchange, run}` do with each frame. One call of
+//! [`Simulation::act`] is one step of one of them; after each, [`Simulation::check`] compares what
+//! callers got with the targets' log.
 
 #![allow(dead_code, unreachable_pub)]
 
--- a/crates/exchange/tests/common/sidecar.rs
+++ b/crates/exchange/tests/common/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar and its target, as in `daemon::sidecar::{serve, live, run}`.
+//! The sidecar and its target, as in `daemon::sidecar::{serve, active_exchange, run}`.
 
 use std::collections::VecDeque;
 
