--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -26,8 +26,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::cache::Cache;
+use crate::node::SharedNode;
 use crate::update::{Held, Note, Update};
-use crate::world::Shared;
 use weights::Rollout;
 
 pub(crate) use report::{all_entries, send_whole, summary};
@@ -232,7 +232,7 @@
 /// What an agent needs of its process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Env<'a> {
-    pub(crate) node: &'a Shared,
+    pub(crate) node: &'a SharedNode,
     pub(crate) agent: &'a Own,
     pub(crate) socket: &'a UdpSocket,
 }
--- a/crates/gate/src/agent/report.rs
+++ b/crates/gate/src/agent/report.rs
@@ -7,14 +7,14 @@
 use tokio::net::UdpSocket;
 
 use super::{Kind, Own, STARTED};
+use crate::node::SharedNode;
 use crate::update::{self, Held, Loaded, Update};
-use crate::world::Shared;
 
 /// Age up to which the report of a remote engine tells its memory.
 const MEMORY: Micros = Micros::from_millis(1_000);
 
 /// The engine's load and weights.
-pub(crate) fn summary(node: &Shared, agent: &Own) -> Update {
+pub(crate) fn summary(node: &SharedNode, agent: &Own) -> Update {
     let now = node.now();
     let mut a = agent.borrow_mut();
     a.backlog.expire(now);
@@ -63,31 +63,31 @@
 
 /// The entries that an agent reports to: subscribers and, while a sidecar has just started and they may not
 /// have subscribed yet, all that are known. A delegate reports to all, its own process included.
-pub(super) fn subscribers(node: &Shared, agent: &Own) -> Vec<SocketAddr> {
+pub(super) fn subscribers(node: &SharedNode, agent: &Own) -> Vec<SocketAddr> {
     let now = node.now();
-    let world = node.world.borrow();
+    let cluster = node.cluster.borrow();
     if agent.borrow().kind == Kind::Delegate {
         return all_entries(node);
     }
     let asked: Vec<_> = agent.borrow().subscribers.active(now).collect();
-    let known = world.entries().filter(|_| now < STARTED);
+    let known = cluster.entries().filter(|_| now < STARTED);
     let others = known.filter(|e| !asked.contains(e)).collect::<Vec<_>>();
     asked.into_iter().chain(others).collect()
 }
 
 /// All entries, this process included if it is one.
-pub(crate) fn all_entries(node: &Shared) -> Vec<SocketAddr> {
+pub(crate) fn all_entries(node: &SharedNode) -> Vec<SocketAddr> {
     let own = {
         let s = node.settings.borrow();
         (s.role == Role::Entry).then_some(s.peer)
     };
-    let world = node.world.borrow();
-    world.entries().chain(own).collect()
+    let cluster = node.cluster.borrow();
+    cluster.entries().chain(own).collect()
 }
 
 /// Changes of parts that are to be sent. They are kept while no entry is known: a sidecar that starts reads
 /// all that its engine has stored, often before it has read the list of members.
-pub(super) fn fresh(node: &Shared, agent: &Own) -> Vec<Held> {
+pub(super) fn fresh(node: &SharedNode, agent: &Own) -> Vec<Held> {
     match subscribers(node, agent).first() {
         Some(_) => std::mem::take(&mut agent.borrow_mut().fresh),
         None => Vec::new(),
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -20,8 +20,8 @@
 use super::{engine_key, Agent, AgentId, Env, Kind, Own, PATIENCE};
 use crate::log::{self, Event};
 use crate::meter;
+use crate::node::{ClusterState, SharedNode};
 use crate::update::{self, SlotAsk, Update};
-use crate::world::{Shared, World};
 
 /// How long an order waits until it is known which incarnation the engine is. An order that names none may
 /// be carried out late by the next incarnation, and put older weights in the place of newer ones.
@@ -172,16 +172,16 @@
 }
 
 /// Finds what the engine lacks and whether it is free to load.
-pub(super) fn schedule(node: &Shared, agent: &Own) {
+pub(super) fn schedule(node: &SharedNode, agent: &Own) {
     let now = node.now();
-    let world = node.world.borrow();
+    let cluster = node.cluster.borrow();
     let mut a = agent.borrow_mut();
-    let group = group(node, &world, &a);
+    let group = group(node, &cluster, &a);
     let a = &mut *a;
     let rollout = &mut a.rollout;
     if let (0, Some(fence)) = (
         rollout.fence,
-        world.fence(now, &node.settings.borrow().host),
+        cluster.fence(now, &node.settings.borrow().host),
     ) {
         rollout.fence = fence.max(rollout.fenced + 1);
     }
@@ -197,7 +197,7 @@
     rollout.slots.report(now, &weights, report.busy);
     // An engine that this process may not order yet stands in no other engine's way.
     let may = rollout.fence != 0 && rollout.holder.may_order(now);
-    let lack = lacking(report, &world).filter(|_| may);
+    let lack = lacking(report, &cluster).filter(|_| may);
     rollout.lack = lack.map(|(has, named)| Missing {
         weights: Weights {
             model: has.model.clone(),
@@ -214,15 +214,18 @@
 }
 
 /// The first weights in use that are older than the newest that were named.
-fn lacking<'a>(report: &'a Report, world: &'a World) -> Option<(&'a Weights, &'a Versions)> {
+fn lacking<'a>(
+    report: &'a Report,
+    cluster: &'a ClusterState,
+) -> Option<(&'a Weights, &'a Versions)> {
     report.weights.iter().find_map(|w| {
-        let named = world.named.get(&w.model)?;
+        let named = cluster.named.get(&w.model)?;
         (named.newest() > w.version).then_some((w, named))
     })
 }
 
-fn group(node: &Shared, world: &World, agent: &Agent) -> Group {
-    let (rank, hosts) = place(node, world, agent);
+fn group(node: &SharedNode, cluster: &ClusterState, agent: &Agent) -> Group {
+    let (rank, hosts) = place(node, cluster, agent);
     Group {
         engine: engine_key(agent.addr),
         rank,
@@ -232,16 +235,16 @@
 }
 
 /// An agent's place among the agents that are listed, and their number.
-fn place(node: &Shared, world: &World, agent: &Agent) -> (usize, usize) {
+fn place(node: &SharedNode, cluster: &ClusterState, agent: &Agent) -> (usize, usize) {
     match agent.kind {
         Kind::Sidecar => {
             let own = &node.settings.borrow().host;
-            let others = world.others(own);
+            let others = cluster.others(own);
             let before = others.iter().filter(|(h, _)| *h < own).count();
             (before, others.len() + 1)
         }
         Kind::Delegate => {
-            let engines = &world.unattended;
+            let engines = &cluster.unattended;
             let before = engines.iter().filter(|e| **e < agent.addr).count();
             (before, engines.len().max(before + 1))
         }
@@ -249,12 +252,12 @@
 }
 
 /// The agents that this one shares slots with: sidecars that are members, and delegates.
-pub(super) fn peers(node: &Shared, agent: &Own) -> Vec<AgentId> {
-    let world = node.world.borrow();
+pub(super) fn peers(node: &SharedNode, agent: &Own) -> Vec<AgentId> {
+    let cluster = node.cluster.borrow();
     let a = agent.borrow();
-    let (rank, agents) = place(node, &world, &a);
+    let (rank, agents) = place(node, &cluster, &a);
     let own = node.settings.borrow().host.clone();
-    let sidecars = world.others(&own);
+    let sidecars = cluster.others(&own);
     let same = rollout::same_group(rank, agents);
     let rank_of = |i: usize| match a.kind {
         Kind::Sidecar if i >= rank => i + 1,
@@ -272,7 +275,7 @@
 }
 
 /// The processes of these agents, and all entries where there may be delegates.
-pub(super) fn processes(node: &Shared, agent: &Own) -> Vec<SocketAddr> {
+pub(super) fn processes(node: &SharedNode, agent: &Own) -> Vec<SocketAddr> {
     let agents = peers(node, agent);
     let mut addrs: Vec<_> = agents.into_iter().map(|a| a.addr).collect();
     if agent.borrow().kind == Kind::Delegate {
@@ -342,7 +345,7 @@
     update::send(socket, &update, [to]);
 }
 
-fn step(node: &Shared, agent: &Own, peers: &[AgentId]) -> (Step<AgentId>, Option<Order>) {
+fn step(node: &SharedNode, agent: &Own, peers: &[AgentId]) -> (Step<AgentId>, Option<Order>) {
     let now = node.now();
     let mut a = agent.borrow_mut();
     let a = &mut *a;
@@ -367,7 +370,7 @@
 }
 
 /// Gives the engine an order.
-pub(super) async fn give(node: &Shared, agent: &Own, conn: &mut Conn, order: &Order) {
+pub(super) async fn give(node: &SharedNode, agent: &Own, conn: &mut Conn, order: &Order) {
     if node.now().since(order.taken) > TAKEN {
         // The others no longer count the claim.
         agent
--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -23,8 +23,8 @@
 use crate::agent::{self, engine_key, Agent, AgentId, Env, Own};
 use crate::log::{self, Event};
 use crate::meter;
+use crate::node::{domain_key, ClusterState};
 use crate::update::{self, Note, Update};
-use crate::world::{domain_key, World};
 
 /// Pause between two looks at which engines lack an agent.
 const LOOK: Duration = Duration::from_millis(250);
@@ -97,15 +97,15 @@
     }
     let engines = engines(ctx, now);
     let unattended: BTreeSet<_> = {
-        let world = ctx.node.world.borrow();
+        let cluster = ctx.node.cluster.borrow();
         let all = engines.values().map(|e| e.addr);
-        all.filter(|addr| !world.attended(*addr)).collect()
+        all.filter(|addr| !cluster.attended(*addr)).collect()
     };
     {
-        let mut world = ctx.node.world.borrow_mut();
-        world.unattended = unattended.into_iter().collect();
+        let mut cluster = ctx.node.cluster.borrow_mut();
+        cluster.unattended = unattended.into_iter().collect();
         let listed = |addr: &SocketAddr| engines.contains_key(&engine_key(*addr));
-        world.delegated.retain(|addr, _| listed(addr));
+        cluster.delegated.retain(|addr, _| listed(addr));
     }
     let gone =
         |key: &u64, d: &Delegate| engines.get(key).is_none_or(|e| e.boot != d.boot || !e.acts);
@@ -139,7 +139,7 @@
         return HashMap::new();
     };
     let fleet = ctx.fleet.borrow();
-    let world = ctx.node.world.borrow();
+    let cluster = ctx.node.cluster.borrow();
     let mut d = ctx.delegates.borrow_mut();
     let engine = |r: &&Replica| {
         let pool = plan.pool(&r.target.pool);
@@ -150,7 +150,7 @@
         let key = engine_key(r.target.addr);
         let boot = r.target.boot.clone();
         let since = *d.listed.entry(boot.clone()).or_insert(now);
-        let acts = acts(ctx, &world, &d, r, since.max(d.running));
+        let acts = acts(ctx, &cluster, &d, r, since.max(d.running));
         let engine = Listed {
             addr: r.target.addr,
             boot,
@@ -165,11 +165,11 @@
 }
 
 /// Whether this entry acts for an engine that it has known for a time.
-fn acts(ctx: &Ctx, world: &World, d: &Delegates, r: &Replica, since: Micros) -> bool {
+fn acts(ctx: &Ctx, cluster: &ClusterState, d: &Delegates, r: &Replica, since: Micros) -> bool {
     let now = ctx.now();
     let key = engine_key(r.target.addr);
     let acting = d.own.get(&key).is_some_and(|o| o.boot == r.target.boot);
-    let alone = world.entries().next().is_some() && now.since(d.received) > ALONE;
+    let alone = cluster.entries().next().is_some() && now.since(d.received) > ALONE;
     if alone && !acting {
         return false;
     }
@@ -177,20 +177,20 @@
     let heard = report.map_or(since, |r| r.at.max(since));
     let domain = domain_key(&r.target.domain);
     let rank = |own: delegate::Entry| {
-        let others = entries(ctx, world).filter(|e| *e != own);
+        let others = entries(ctx, cluster).filter(|e| *e != own);
         delegate::rank(key, domain, own, others)
     };
     let reporter = match report {
         None => Reporter::None,
         Some(r) if !r.delegate => Reporter::Sidecar,
-        Some(r) => match entry(world, r.from) {
+        Some(r) => match entry(cluster, r.from) {
             Some(other) => Reporter::Delegate(rank(other)),
             // An entry that isn't a member yet has no place before this one.
             None => Reporter::Delegate(usize::MAX),
         },
     };
     let engine = Engine {
-        sidecar: world.attended(r.target.addr),
+        sidecar: cluster.attended(r.target.addr),
         reporter,
         silence: now.since(heard),
     };
@@ -207,8 +207,11 @@
 }
 
 /// All entries, this one included.
-fn entries<'a>(ctx: &Ctx, world: &'a World) -> impl Iterator<Item = delegate::Entry> + 'a {
-    let others = world.members.iter().filter(|(_, m)| m.role == Role::Entry);
+fn entries<'a>(ctx: &Ctx, cluster: &'a ClusterState) -> impl Iterator<Item = delegate::Entry> + 'a {
+    let others = cluster
+        .members
+        .iter()
+        .filter(|(_, m)| m.role == Role::Entry);
     let others = others.map(|(host, m)| delegate::Entry {
         host: xxh3_64(host.as_bytes()),
         domain: m.domain,
@@ -217,8 +220,8 @@
 }
 
 /// The entry at an address.
-fn entry(world: &World, addr: SocketAddr) -> Option<delegate::Entry> {
-    let (host, member) = world.members.iter().find(|(_, m)| m.addr == addr)?;
+fn entry(cluster: &ClusterState, addr: SocketAddr) -> Option<delegate::Entry> {
+    let (host, member) = cluster.members.iter().find(|(_, m)| m.addr == addr)?;
     Some(delegate::Entry {
         host: xxh3_64(host.as_bytes()),
         domain: member.domain,
@@ -300,8 +303,8 @@
     match update.delegate {
         0 => hand_over(ctx, key, addr, from),
         _ => {
-            let mut world = ctx.node.world.borrow_mut();
-            world.delegated.insert(addr, now);
+            let mut cluster = ctx.node.cluster.borrow_mut();
+            cluster.delegated.insert(addr, now);
         }
     }
     let d = ctx.delegates.borrow();
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -25,9 +25,9 @@
 use crate::follow::{note_era, pause};
 use crate::log::{self, Dependency, Event};
 use crate::meter;
+use crate::node::Source;
 use crate::peer;
 use crate::update::{self, Listed, Update};
-use crate::world::Source;
 
 /// Pause after a read that failed.
 const AGAIN: Duration = Duration::from_millis(250);
@@ -109,7 +109,7 @@
             }
             Err(_) => {
                 ctx.fleet.borrow_mut().fail(now);
-                let entries: Vec<_> = ctx.node.world.borrow().entries().collect();
+                let entries: Vec<_> = ctx.node.cluster.borrow().entries().collect();
                 if let Some(list) = peer::targets(&ctx.node, entries).await {
                     adopt(&ctx, list);
                 }
@@ -122,8 +122,8 @@
 /// Reads the list from the store, or its changes where reading it in whole takes several calls.
 async fn read(ctx: &Ctx, store: &mut Store) -> Result<peer::List, StoreError> {
     let from = {
-        let world = ctx.node.world.borrow();
-        let list = world.targets.as_ref();
+        let cluster = ctx.node.cluster.borrow();
+        let list = cluster.targets.as_ref();
         list.and_then(|l| l.changes_from(ctx.now()))
     };
     let changed = match from {
@@ -159,8 +159,8 @@
 /// whether it was.
 fn adopt(ctx: &Ctx, list: peer::List) -> bool {
     let own = {
-        let world = ctx.node.world.borrow();
-        world.targets.as_ref().map(|own| own.position)
+        let cluster = ctx.node.cluster.borrow();
+        cluster.targets.as_ref().map(|own| own.position)
     };
     if own.is_none_or(|own| list.rows.at > own) {
         ctx.node.raise_era(list.rows.at.era, Source::Peer);
@@ -176,8 +176,8 @@
 fn take(ctx: &Ctx, list: peer::List, source: &str) {
     let (at, position) = (list.at, list.rows.at);
     let targets = {
-        let mut world = ctx.node.world.borrow_mut();
-        let own = world.targets.get_or_insert_default();
+        let mut cluster = ctx.node.cluster.borrow_mut();
+        let own = cluster.targets.get_or_insert_default();
         match list.changes {
             true => own.merge(at, list.rows),
             false => own.replace(at, list.rows),
@@ -221,7 +221,7 @@
         }),
         ..Update::default()
     };
-    update::send(&ctx.socket, &update, ctx.node.world.borrow().entries());
+    update::send(&ctx.socket, &update, ctx.node.cluster.borrow().entries());
 }
 
 /// Hash of what decides where requests may go. Weights aren't in it: they change at every engine
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -39,8 +39,8 @@
 use crate::agent::AgentId;
 use crate::kept;
 use crate::meter;
+use crate::node::{domain_key, SharedNode, Source};
 use crate::update::{self, Held, Life, Note, Update};
-use crate::world::{domain_key, Shared, Source};
 use site::{Part, Scope};
 
 pub use fleet::Fleet;
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 pub struct Entry {
     /// The process.
-    pub node: Shared,
+    pub node: SharedNode,
     /// What it believes of the targets.
     pub fleet: RefCell<Fleet>,
     /// Its part of each pool's retries.
@@ -103,9 +103,9 @@
         for (pool, budget) in self.budgets.borrow().iter() {
             metrics::gauge!(meter::RETRIES, "pool" => pool.clone()).set(budget.remaining());
         }
-        let world = self.node.world.borrow();
-        meter::set(meter::MEMBERS, world.members.len() as f64);
-        let version = world.plan.as_ref().map_or(0, |p| p.version());
+        let cluster = self.node.cluster.borrow();
+        meter::set(meter::MEMBERS, cluster.members.len() as f64);
+        let version = cluster.plan.as_ref().map_or(0, |p| p.version());
         meter::set(meter::VERSION, version as f64);
     }
 
@@ -134,7 +134,7 @@
             expected: parts.iter().take(update::PARTS).map(held).collect(),
             ..Update::default()
         };
-        update::send(&self.socket, &update, self.node.world.borrow().entries());
+        update::send(&self.socket, &update, self.node.cluster.borrow().entries());
     }
 
     /// Lets a decision use a pool's pace of reading.
@@ -154,14 +154,14 @@
             let config = retry_budget::Config {
                 ratio: bounds.retry_ratio,
                 slack: bounds.retry_slack,
-                entries: self.node.world.borrow().entries().count() + 1,
+                entries: self.node.cluster.borrow().entries().count() + 1,
                 window: bounds.retry_window.into(),
             };
             budgets.insert(pool.to_owned(), retry_budget::Budget::new(config));
         }
         match budgets.get_mut(pool) {
             Some(b) => {
-                b.set_entries(self.node.world.borrow().entries().count() + 1);
+                b.set_entries(self.node.cluster.borrow().entries().count() + 1);
                 use_it(b)
             }
             None => unreachable!("inserted above"),
@@ -171,7 +171,7 @@
 
 /// Runs an entry until it is told to stop and has served what it took.
 pub async fn run(
-    node: Shared,
+    node: SharedNode,
     socket: UdpSocket,
     stop: impl Future<Output = Instant>,
 ) -> io::Result<()> {
@@ -240,8 +240,8 @@
         let s = ctx.node.settings.borrow();
         (xxh3_64(s.host.as_bytes()), domain_key(&s.domain))
     };
-    let world = ctx.node.world.borrow();
-    let sidecars = world.sidecars().map(|m| Sidecar {
+    let cluster = ctx.node.cluster.borrow();
+    let sidecars = cluster.sidecars().map(|m| Sidecar {
         addr: m.addr,
         same_domain: m.domain == domain,
         rank: xxh3_64_with_seed(m.addr.to_string().as_bytes(), own),
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -26,7 +26,7 @@
 const ORDER: f64 = 12.0;
 /// Part of the time to read an opening anew that keeps its first readers at one engine.
 const COLD: f64 = 0.6;
-/// Shared tokens that are worth keeping at least; fewer are read as fast as they are fetched.
+/// SharedNode tokens that are worth keeping at least; fewer are read as fast as they are fetched.
 const LEAST_KEPT: u32 = 500;
 /// Longest own part of a prompt that is kept, as a multiple of the shared tokens that it adds.
 const OWN_KEPT: f64 = 0.6;
@@ -86,7 +86,7 @@
         let s = ctx.node.settings.borrow();
         (s.domain.clone(), Micros::from(s.bounds.weights_deadline))
     };
-    let named = ctx.node.world.borrow().named.get(&prompt.model).cloned();
+    let named = ctx.node.cluster.borrow().named.get(&prompt.model).cloned();
     let fleet = ctx.fleet.borrow();
     let wall = job.team.as_deref().filter(|_| job.walled);
     let scope = |r: &Replica| {
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -292,8 +292,8 @@
         return Sent::NotRun("another target has its address");
     };
     // It doesn't say which weights it has; the newest ones are what it is ordered to load.
-    let world = ctx.node.world.borrow();
-    let named = world.named.get(&prompt.model).map(|n| n.newest());
+    let cluster = ctx.node.cluster.borrow();
+    let named = cluster.named.get(&prompt.model).map(|n| n.newest());
     if let (Some(version), Some(r)) = (named, ctx.fleet.borrow_mut().replicas.get_mut(pick.key)) {
         r.loaded(ctx.now(), &prompt.model, version);
     }
--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -100,7 +100,7 @@
         return true;
     }
     let own = ctx.node.settings.borrow().peer;
-    let entries = ctx.node.world.borrow();
+    let entries = ctx.node.cluster.borrow();
     let place = ProcessRank {
         rank: entries.entries().filter(|a| *a < own).count(),
         total: entries.entries().count() + 1,
@@ -279,7 +279,7 @@
 /// Sends an update to all entries, and again after some pauses for as long as it holds.
 fn send_all(ctx: &Ctx, update: Update) {
     let send =
-        |update: &Update| update::send(&ctx.socket, update, ctx.node.world.borrow().entries());
+        |update: &Update| update::send(&ctx.socket, update, ctx.node.cluster.borrow().entries());
     send(&update);
     send(&update);
     let ctx = Rc::clone(ctx);
@@ -289,7 +289,7 @@
             if !update.strike.is_some_and(|s| holds(&ctx, &s)) {
                 return;
             }
-            update::send(&ctx.socket, &update, ctx.node.world.borrow().entries());
+            update::send(&ctx.socket, &update, ctx.node.cluster.borrow().entries());
         }
     });
 }
--- a/crates/gate/src/entry/view.rs
+++ b/crates/gate/src/entry/view.rs
@@ -16,7 +16,7 @@
 use super::replica::{holds, Replica};
 use super::request::Job;
 use super::usable::{doubt, surely_answers, turn, HEARD};
-use crate::world::domain_key;
+use crate::node::domain_key;
 
 /// How long an entry's note takes to reach a sidecar and to come back in an update.
 const TRANSIT: Micros = Micros::from_millis(5);
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -16,7 +16,7 @@
 
 use crate::log::{self, Dependency, Event};
 use crate::meter;
-use crate::world::{domain_key, Member, OperatorRow, Shared, Source};
+use crate::node::{domain_key, Member, OperatorRow, SharedNode, Source};
 
 /// How long the store may hold a call; long calls are few, and a vanished connection is found by
 /// the kernel's probes, not by this.
@@ -58,7 +58,7 @@
 }
 
 /// Takes over the era that the store's last answer named, and lets the client drop answers of earlier ones.
-pub fn note_era(node: &Shared, store: &mut Store) {
+pub fn note_era(node: &SharedNode, store: &mut Store) {
     let known = *node.era.borrow();
     let kind = match store.last_era_header() {
         EraHeader::Value(era) if known.is_none_or(|k| era >= k) => {
@@ -80,7 +80,7 @@
 
 /// Notes whether the store answers this process, and tells it when that changes.
 fn note<T>(
-    node: &Shared,
+    node: &SharedNode,
     store: &mut Store,
     dependency: &mut Dependency,
     result: &Result<T, StoreError>,
@@ -96,12 +96,12 @@
     }
     dependency.note(result);
     let now = node.now();
-    let lost = &mut node.world.borrow_mut().lost;
+    let lost = &mut node.cluster.borrow_mut().lost;
     *lost = result.is_err().then(|| lost.unwrap_or(now));
 }
 
 /// Follows the operator's rows for as long as the process lives.
-pub async fn operator(node: Shared) {
+pub async fn operator(node: SharedNode) {
     let addr = node.settings.borrow().store;
     let mut store = Store::new(addr);
     let mut dependency = Dependency::new("store");
@@ -151,7 +151,7 @@
 }
 
 /// Logs that a table was read again, if the store has been restored.
-fn reread(node: &Shared, table: &str, rows: &Rows, written: usize) {
+fn reread(node: &SharedNode, table: &str, rows: &Rows, written: usize) {
     if node.restored.get() {
         log::event(&Event::Reread {
             table,
@@ -162,20 +162,20 @@
     }
 }
 
-fn adopt(node: &Shared, rows: Rows, source: Source) {
+fn adopt(node: &SharedNode, rows: Rows, source: Source) {
     let now = node.now();
-    let mut world = node.world.borrow_mut();
-    world.set_clock(now, rows.clock_ms);
+    let mut cluster = node.cluster.borrow_mut();
+    cluster.set_clock(now, rows.clock_ms);
     for Row { key, value, at } in rows.rows {
         // The operator takes nothing back; a row that is gone leaves what was in force.
         if let Some(value) = value {
-            world.adopt(now, &key, OperatorRow { at, value }, source);
+            cluster.adopt(now, &key, OperatorRow { at, value }, source);
         }
     }
 }
 
 /// Enters this process in the list of members and follows that list.
-pub async fn members(node: Shared) {
+pub async fn members(node: SharedNode) {
     let (addr, host, own) = {
         let s = node.settings.borrow();
         let own = Entry {
@@ -213,7 +213,7 @@
 /// Reads the list of members, enters this process again if it isn't there, then reads the list's changes
 /// until a call fails.
 async fn list(
-    node: &Shared,
+    node: &SharedNode,
     store: &mut Store,
     own: &str,
     value: &[u8],
@@ -229,7 +229,7 @@
     let mut members: HashMap<_, _> = all.rows.into_iter().filter_map(member).collect();
     if last.replace(after).is_some_and(|l| after.era > l.era) {
         // Members whose rows the restore has lost write them again; until then they are what they were.
-        let before = node.world.borrow().members.clone();
+        let before = node.cluster.borrow().members.clone();
         before.into_iter().for_each(|(host, member)| {
             members.entry(host).or_insert(member);
         });
@@ -263,23 +263,23 @@
         // Processes start together; without a pause each start is one more call of every process.
         sleep(GATHER).await;
         let changed = news.rows.into_iter().filter_map(member);
-        let mut members = node.world.borrow().members.clone();
+        let mut members = node.cluster.borrow().members.clone();
         members.extend(changed.filter(|(h, _)| h != own));
         know(node, members);
     }
 }
 
 /// Takes over the other processes, and tells of them if they are others than before.
-fn know(node: &Shared, members: HashMap<String, Member>) {
-    let mut world = node.world.borrow_mut();
-    if world.members == members {
+fn know(node: &SharedNode, members: HashMap<String, Member>) {
+    let mut cluster = node.cluster.borrow_mut();
+    if cluster.members == members {
         return;
     }
-    world.members = members;
-    let entries = world.entries().count();
+    cluster.members = members;
+    let entries = cluster.entries().count();
     log::event(&Event::Members {
         entries,
-        sidecars: world.members.len() - entries,
+        sidecars: cluster.members.len() - entries,
     });
 }
 
--- a/crates/gate/src/kept.rs
+++ b/crates/gate/src/kept.rs
@@ -20,8 +20,8 @@
 use crate::agent::all_entries;
 use crate::cache::{Cache, Follower};
 use crate::log::Dependency;
+use crate::node::{ClusterState, SharedNode};
 use crate::update::{self, Update};
-use crate::world::{Shared, World};
 
 /// Processes that follow each store; stores allow eight listeners or more.
 const FOLLOWERS: usize = 2;
@@ -69,7 +69,7 @@
 }
 
 /// Follows the stores that are this host's to follow, for as long as the process lives.
-pub async fn follow(node: Shared, socket: Rc<UdpSocket>, stores: Stores) {
+pub async fn follow(node: SharedNode, socket: Rc<UdpSocket>, stores: Stores) {
     let entry = node.settings.borrow().role == Role::Entry;
     if entry {
         // Until then sidecars that start as well may not be known.
@@ -101,17 +101,17 @@
 }
 
 /// The stores for which this host is among the first by rank.
-fn ours(node: &Shared) -> Vec<SocketAddr> {
+fn ours(node: &SharedNode) -> Vec<SocketAddr> {
     let Some(plan) = node.plan() else {
         return Vec::new();
     };
-    let world = node.world.borrow();
+    let cluster = node.cluster.borrow();
     let host = &node.settings.borrow().host;
-    let role = follower(node, &world);
+    let role = follower(node, &cluster);
     if node.settings.borrow().role != role {
         return Vec::new();
     }
-    let followers = world.members.iter().filter(|(_, m)| m.role == role);
+    let followers = cluster.members.iter().filter(|(_, m)| m.role == role);
     let others: Vec<_> = followers.map(|(h, _)| h).filter(|h| *h != host).collect();
     let stores = plan.kv_stores().iter().map(|k| k.addr);
     let first = |addr: &SocketAddr| {
@@ -124,16 +124,16 @@
 }
 
 /// The role of processes that follow stores: sidecars, or entries where there are none.
-fn follower(node: &Shared, world: &World) -> Role {
+fn follower(node: &SharedNode, cluster: &ClusterState) -> Role {
     let sidecar = node.settings.borrow().role == Role::Sidecar;
-    match sidecar || world.sidecars().next().is_some() {
+    match sidecar || cluster.sidecars().next().is_some() {
         true => Role::Sidecar,
         false => Role::Entry,
     }
 }
 
 /// Follows one store.
-async fn one(node: Shared, socket: Rc<UdpSocket>, stores: Stores, addr: SocketAddr) {
+async fn one(node: SharedNode, socket: Rc<UdpSocket>, stores: Stores, addr: SocketAddr) {
     let mut follower = Follower::new(Conn::new(addr));
     let mut whole = Instant::now();
     let mut store = Dependency::new("kept cache");
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -5,7 +5,7 @@
 //! has to do. Both follow the operator's rows ([`follow`]), hand them on to those whom the store
 //! turns away ([`peer`]), and send one another updates ([`update`]).
 //!
-//! Each process runs on one thread. What it believes lies in a [`world::World`], borrowed for the
+//! Each process runs on one thread. What it believes lies in a [`node::ClusterState`], borrowed for the
 //! length of a decision and never across a wait.
 
 mod agent;
@@ -16,10 +16,10 @@
 pub mod listing;
 pub mod log;
 pub mod meter;
+pub mod node;
 pub mod peer;
 pub mod sidecar;
 pub mod start;
 pub mod update;
-pub mod world;
 
 pub use start::run;
--- a/crates/gate/src/meter.rs
+++ b/crates/gate/src/meter.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpListener;
 
 use crate::log;
-use crate::world::Shared;
+use crate::node::SharedNode;
 
 /// Port of the metrics, as the deploy file names it, unless the environment names another.
 pub const PORT: u16 = 9_464;
@@ -129,7 +129,7 @@
 }
 
 /// Serves the metrics on the host's own address.
-pub async fn serve(node: &Shared) -> std::io::Result<()> {
+pub async fn serve(node: &SharedNode) -> std::io::Result<()> {
     let builder = PrometheusBuilder::new()
         .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &BUCKETS)
         .map_err(std::io::Error::other)?;
--- a/crates/gate/src/world.rs
+++ b/crates/gate/src/node.rs
@@ -28,7 +28,7 @@
 const COPY_AGE: u64 = 60_000;
 
 /// A process's context, handed to all its parts.
-pub type Shared = Rc<Node>;
+pub type SharedNode = Rc<Node>;
 
 /// A process.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// Its settings; they may change while it runs.
     pub settings: RefCell<Settings>,
     /// What it believes.
-    pub world: RefCell<World>,
+    pub cluster: RefCell<ClusterState>,
     /// When it started; the origin of its times.
     pub origin: Instant,
     /// Set once it was told to stop.
@@ -52,7 +52,7 @@
     pub fn new(settings: Settings) -> Self {
         Self {
             settings: RefCell::new(settings),
-            world: RefCell::default(),
+            cluster: RefCell::default(),
             origin: Instant::now(),
             stopping: Cell::new(false),
             era: watch::Sender::new(None),
@@ -68,7 +68,7 @@
         if unknown || known.is_some_and(|k| era <= k) {
             return;
         }
-        self.world.borrow_mut().era = era;
+        self.cluster.borrow_mut().era = era;
         // The first answer that names one is no restore.
         self.era.send_if_modified(|e| {
             *e = Some(era);
@@ -92,7 +92,7 @@
 
     /// The configuration in force.
     pub fn plan(&self) -> Option<Rc<Plan>> {
-        self.world.borrow().plan.clone()
+        self.cluster.borrow().plan.clone()
     }
 }
 
@@ -146,7 +146,7 @@
 
 /// What a process believes of the operator's wishes and of the other processes.
 #[derive(Debug, Default)]
-pub struct World {
+pub struct ClusterState {
     /// The configuration in force.
     pub plan: Option<Rc<Plan>>,
     /// Weights that the operator has named, by model.
@@ -169,7 +169,7 @@
     pub unattended: Vec<SocketAddr>,
 }
 
-impl World {
+impl ClusterState {
     /// Takes over a row of the operator's if it is newer than what is in force.
     ///
     /// Configurations and weights only ever go up within a process's life. A store that answers
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -26,7 +26,7 @@
 
 use crate::listing::Listing;
 use crate::log::{self, Event};
-use crate::world::{OperatorRow, Shared, Source};
+use crate::node::{OperatorRow, SharedNode, Source};
 
 /// Pause between two rounds of questions; several fit into the time in which a configuration must
 /// be known.
@@ -161,7 +161,7 @@
 }
 
 /// Answers other processes' questions.
-pub fn serve(node: &Shared, listener: TcpListener) {
+pub fn serve(node: &SharedNode, listener: TcpListener) {
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         loop {
@@ -178,7 +178,7 @@
     });
 }
 
-async fn answer(node: &Shared, tcp: TcpStream) -> Result<(), PeerError> {
+async fn answer(node: &SharedNode, tcp: TcpStream) -> Result<(), PeerError> {
     let mut frames = framed(tcp);
     let asked = frames.next().await.ok_or(PeerError::Ended)??;
     let ask = Ask::decode(asked)?;
@@ -191,11 +191,11 @@
     Ok(())
 }
 
-fn newer(node: &Shared, ask: &Ask) -> Reply {
-    let world = node.world.borrow();
+fn newer(node: &SharedNode, ask: &Ask) -> Reply {
+    let cluster = node.cluster.borrow();
     let of = |map: &HashMap<String, u64>, key: &String| map.get(key).copied().unwrap_or_default();
     let known = |key: &String| Position::new(of(&ask.eras, key), of(&ask.versions, key));
-    let rows = world.rows.iter().filter(|(k, r)| r.at > known(k));
+    let rows = cluster.rows.iter().filter(|(k, r)| r.at > known(k));
     Reply {
         rows: rows
             .map(|(key, row)| ReplyRow::new(key, row.at, row.value.clone()))
@@ -205,10 +205,10 @@
 }
 
 /// The rows of targets at an address, if this process has read the list of late.
-fn at(node: &Shared, addr: SocketAddr) -> Reply {
-    let world = node.world.borrow();
+fn at(node: &SharedNode, addr: SocketAddr) -> Reply {
+    let cluster = node.cluster.borrow();
     let now = node.now();
-    let listed = world.targets.as_ref();
+    let listed = cluster.targets.as_ref();
     let listed = listed.filter(|l| now.since(l.at) < FRESH);
     // Thousands of rows would take too long to decode for each sidecar that starts.
     let text = addr.to_string();
@@ -219,7 +219,7 @@
     let rows = listed.into_iter().flat_map(Listing::rows).filter(named);
     let mut rows: Vec<_> = rows.map(ReplyRow::listed).collect();
     rows.retain(|r| target(r).is_some_and(|t| t.addr == addr));
-    let delegated = world.delegated.get(&addr).copied();
+    let delegated = cluster.delegated.get(&addr).copied();
     Reply {
         rows,
         delegated: delegated.is_some(),
@@ -235,10 +235,10 @@
 
 /// The list of targets, if this process has it of late; its changes where the position that the other one
 /// has is still known.
-fn listed(node: &Shared, after: Option<Position>) -> Reply {
-    let world = node.world.borrow();
+fn listed(node: &SharedNode, after: Option<Position>) -> Reply {
+    let cluster = node.cluster.borrow();
     let age = |list: &Listing| node.now().since(list.at);
-    let Some(list) = world.targets.as_ref().filter(|l| age(l) < FRESH) else {
+    let Some(list) = cluster.targets.as_ref().filter(|l| age(l) < FRESH) else {
         return Reply::default();
     };
     let changes = after.and_then(|after| list.since(after));
@@ -267,11 +267,14 @@
 }
 
 /// The list of targets as some other entries have it of late, the newest that any of them has.
-pub async fn targets(node: &Shared, entries: impl IntoIterator<Item = SocketAddr>) -> Option<List> {
+pub async fn targets(
+    node: &SharedNode,
+    entries: impl IntoIterator<Item = SocketAddr>,
+) -> Option<List> {
     let some = entries.into_iter().choose_multiple(&mut rand::rng(), ASKED);
     let own = {
-        let world = node.world.borrow();
-        world.targets.as_ref().map(|l| l.position)
+        let cluster = node.cluster.borrow();
+        cluster.targets.as_ref().map(|l| l.position)
     };
     let own = own.unwrap_or_default();
     let ask = Ask {
@@ -316,10 +319,10 @@
 }
 
 /// Asks some entries about the engine at an address.
-pub async fn engine(node: &Shared, addr: SocketAddr) -> Known {
+pub async fn engine(node: &SharedNode, addr: SocketAddr) -> Known {
     let entries: Vec<_> = {
-        let world = node.world.borrow();
-        let entries = world.entries();
+        let cluster = node.cluster.borrow();
+        let entries = cluster.entries();
         entries.choose_multiple(&mut rand::rng(), ASKED)
     };
     let ask = Ask {
@@ -347,10 +350,10 @@
 }
 
 /// Asks others for as long as the store doesn't answer.
-pub async fn ask(node: Shared) {
+pub async fn ask(node: SharedNode) {
     loop {
         sleep(PAUSE).await;
-        let lost = node.world.borrow().lost.is_some();
+        let lost = node.cluster.borrow().lost.is_some();
         if lost || node.plan().is_none() {
             let asked = others(&node).into_iter().map(|a| round(&node, a));
             futures::future::join_all(asked).await;
@@ -358,16 +361,16 @@
     }
 }
 
-fn others(node: &Shared) -> Vec<SocketAddr> {
-    let world = node.world.borrow();
-    let members = world.members.values().map(|m| m.addr);
+fn others(node: &SharedNode) -> Vec<SocketAddr> {
+    let cluster = node.cluster.borrow();
+    let members = cluster.members.values().map(|m| m.addr);
     let seeds = node.settings.borrow().seeds.clone();
     members
         .chain(seeds)
         .choose_multiple(&mut rand::rng(), ASKED)
 }
 
-async fn round(node: &Shared, addr: SocketAddr) {
+async fn round(node: &SharedNode, addr: SocketAddr) {
     let known = positions(node);
     let ask = Ask {
         versions: known.iter().map(|(k, p)| (k.clone(), p.version)).collect(),
@@ -388,9 +391,9 @@
 }
 
 /// Positions of the operator's rows that this process has.
-fn positions(node: &Shared) -> HashMap<String, Position> {
-    let world = node.world.borrow();
-    let rows = world.rows.iter();
+fn positions(node: &SharedNode) -> HashMap<String, Position> {
+    let cluster = node.cluster.borrow();
+    let rows = cluster.rows.iter();
     rows.map(|(k, r)| (k.clone(), r.at)).collect()
 }
 
@@ -401,18 +404,18 @@
     Ok(Reply::decode(reply)?)
 }
 
-fn adopt(node: &Shared, reply: Reply) {
+fn adopt(node: &SharedNode, reply: Reply) {
     let now = node.now();
     let newest = reply.rows.iter().map(|r| r.era).max();
     if let Some(era) = newest {
         node.raise_era(era, Source::Peer);
     }
-    let mut world = node.world.borrow_mut();
+    let mut cluster = node.cluster.borrow_mut();
     for row in reply.rows {
         let value = OperatorRow {
             at: row.at(),
             value: row.value,
         };
-        world.adopt(now, &row.key, value, Source::Peer);
+        cluster.adopt(now, &row.key, value, Source::Peer);
     }
 }
--- a/crates/gate/src/sidecar.rs
+++ b/crates/gate/src/sidecar.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::agent::{self, Agent, AgentId, Env, Own};
-use crate::world::Shared;
+use crate::node::SharedNode;
 use crate::{kept, peer, update};
 
 /// Pause between two questions which incarnation the engine is.
@@ -25,7 +25,7 @@
 
 /// Runs a sidecar until it is told to stop.
 pub async fn run(
-    node: Shared,
+    node: SharedNode,
     socket: UdpSocket,
     stop: impl Future<Output = Instant>,
 ) -> io::Result<()> {
@@ -109,7 +109,7 @@
 ///
 /// Entries send the incarnation with their subscriptions as well. On that alone a sidecar whose datagrams were
 /// lost had none to name in an order for seconds.
-async fn identify(node: &Shared, agent: &Own, addr: SocketAddr) {
+async fn identify(node: &SharedNode, agent: &Own, addr: SocketAddr) {
     loop {
         let (unidentified, unsure) = {
             let mut a = agent.borrow_mut();
--- a/crates/gate/src/start.rs
+++ b/crates/gate/src/start.rs
@@ -12,7 +12,7 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-use crate::world::{Node, Shared};
+use crate::node::{Node, SharedNode};
 use crate::{entry, follow, log, meter, peer, sidecar};
 
 /// How often the settings file is looked at, since it may change without a signal.
@@ -71,7 +71,7 @@
         peer: listener.local_addr()?,
         ..settings
     };
-    let node: Shared = Rc::new(Node::new(settings));
+    let node: SharedNode = Rc::new(Node::new(settings));
     meter::serve(&node).await?;
     tokio::task::spawn_local(reload(Rc::clone(&node), path, hup));
     tokio::task::spawn_local(follow::operator(Rc::clone(&node)));
@@ -97,7 +97,7 @@
 }
 
 /// Takes over changed settings; a file that can't be read leaves the ones in force.
-async fn reload(node: Shared, path: PathBuf, mut hup: Signal) {
+async fn reload(node: SharedNode, path: PathBuf, mut hup: Signal) {
     loop {
         let asked = tokio::time::timeout(RELOOK, hup.recv()).await.is_ok();
         match read(&path) {
--- a/crates/gate/tests/eras.rs
+++ b/crates/gate/tests/eras.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use bytes::Bytes;
-use gate::world::{OperatorRow, Source, World};
+use gate::node::{ClusterState, OperatorRow, Source};
 use model::{Micros, Position};
 
 /// Operator's versions of the configuration.
@@ -26,16 +26,16 @@
 impl Process {
     /// Takes over a row the way that processes do.
     fn adopt(self, row: Row) -> Self {
-        let mut world = World::default();
+        let mut cluster = ClusterState::default();
         let now = Micros::from_secs(100);
         for (at, version) in [(Position::default(), self.force), self.row, row] {
             if version > 0 {
                 let value = Bytes::from(config(version));
-                world.adopt(now, "config", OperatorRow { at, value }, Source::Table);
+                cluster.adopt(now, "config", OperatorRow { at, value }, Source::Table);
             }
         }
-        let plan = world.plan.as_ref().expect("a plan");
-        let kept = &world.rows["config"];
+        let plan = cluster.plan.as_ref().expect("a plan");
+        let kept = &cluster.rows["config"];
         let version = if kept.at == row.0 { row.1 } else { self.row.1 };
         Self {
             row: (kept.at, version),
--- a/crates/gate/tests/world.rs
+++ b/crates/gate/tests/world.rs
@@ -1,7 +1,7 @@
 //! What a process takes over from the store and from other processes.
 
 use bytes::Bytes;
-use gate::world::{OperatorRow, Source, World};
+use gate::node::{ClusterState, OperatorRow, Source};
 use model::{Micros, Position};
 
 /// The key of a model's weights.
@@ -32,10 +32,10 @@
         Case { name: "another process", source: Source::Peer, at: 1_000, old: true },
     ];
     for c in cases {
-        let mut world = World::default();
+        let mut cluster = ClusterState::default();
         let now = Micros::from_millis(c.at);
-        world.adopt(now, KEY, row(7, 2), c.source);
-        let outdated = world.named["lekha"]
+        cluster.adopt(now, KEY, row(7, 2), c.source);
+        let outdated = cluster.named["lekha"]
             .outdated(now, 1)
             .expect("a newer version");
         assert_eq!(outdated > Micros::ZERO, c.old, "{}", c.name);
