--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -37,7 +37,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::agent::AgentId;
-use crate::kept;
+use crate::kv_stores;
 use crate::meter;
 use crate::node::{domain_key, SharedNode, Source};
 use crate::update::{self, Held, Life, Note, Update};
@@ -192,10 +192,10 @@
     tokio::task::spawn_local(hear(Rc::clone(&ctx)));
     tokio::task::spawn_local(ask(Rc::clone(&ctx)));
     tokio::task::spawn_local(delegate::run(Rc::clone(&ctx)));
-    tokio::task::spawn_local(kept::follow(
+    tokio::task::spawn_local(kv_stores::follow(
         Rc::clone(&ctx.node),
         Rc::clone(&ctx.socket),
-        kept::Stores::default(),
+        kv_stores::FollowedStores::default(),
     ));
     let listening = listen::serve(&ctx).await?;
     let told = stop.await;
--- a/crates/gate/src/kept.rs
+++ b/crates/gate/src/kv_stores.rs
@@ -38,25 +38,25 @@
 
 /// What a store holds, and whether it answers.
 #[derive(Debug, Default)]
-struct View {
+struct StoreContents {
     alive: bool,
     cache: Cache,
 }
 
 /// The stores that this process follows.
 #[derive(Clone, Debug, Default)]
-pub struct Stores(Rc<RefCell<HashMap<SocketAddr, View>>>);
+pub struct FollowedStores(Rc<RefCell<HashMap<SocketAddr, StoreContents>>>);
 
-impl Stores {
+impl FollowedStores {
     /// Tells some addresses all that is known.
-    pub fn tell(&self, socket: &UdpSocket, to: impl IntoIterator<Item = SocketAddr> + Clone) {
+    pub fn send_to(&self, socket: &UdpSocket, to: impl IntoIterator<Item = SocketAddr> + Clone) {
         for (addr, view) in self.0.borrow().iter() {
             update::send_parts(socket, view.update(*addr), &view.cache.all(), to.clone());
         }
     }
 }
 
-impl View {
+impl StoreContents {
     fn update(&self, addr: SocketAddr) -> Update {
         Update {
             engine: addr.to_string(),
@@ -69,7 +69,7 @@
 }
 
 /// Follows the stores that are this host's to follow, for as long as the process lives.
-pub async fn follow(node: SharedNode, socket: Rc<UdpSocket>, stores: Stores) {
+pub async fn follow(node: SharedNode, socket: Rc<UdpSocket>, stores: FollowedStores) {
     let entry = node.settings.borrow().role == Role::Entry;
     if entry {
         // Until then sidecars that start as well may not be known.
@@ -133,7 +133,7 @@
 }
 
 /// Follows one store.
-async fn one(node: SharedNode, socket: Rc<UdpSocket>, stores: Stores, addr: SocketAddr) {
+async fn one(node: SharedNode, socket: Rc<UdpSocket>, stores: FollowedStores, addr: SocketAddr) {
     let mut follower = Follower::new(Conn::new(addr));
     let mut whole = Instant::now();
     let mut store = Dependency::new("kept cache");
@@ -143,8 +143,8 @@
         let entries = all_entries(&node);
         let Ok(told) = told else {
             // Nothing is fetched from a store that doesn't answer.
-            stores.0.borrow_mut().insert(addr, View::default());
-            update::send(&socket, &View::default().update(addr), entries);
+            stores.0.borrow_mut().insert(addr, StoreContents::default());
+            update::send(&socket, &StoreContents::default().update(addr), entries);
             sleep(AGAIN).await;
             continue;
         };
@@ -158,7 +158,7 @@
         update::send_parts(&socket, update, &changes, entries.iter().copied());
         if whole.elapsed() > WHOLE {
             whole = Instant::now();
-            stores.tell(&socket, entries.iter().copied());
+            stores.send_to(&socket, entries.iter().copied());
         }
     }
 }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod cache;
 pub mod entry;
 pub mod follow;
-pub mod kept;
+pub mod kv_stores;
 pub mod listing;
 pub mod log;
 pub mod meter;
--- a/crates/gate/src/sidecar.rs
+++ b/crates/gate/src/sidecar.rs
@@ -14,7 +14,7 @@
 
 use crate::agent::{self, Agent, AgentId, Env, Own};
 use crate::node::SharedNode;
-use crate::{kept, peer, update};
+use crate::{kv_stores, peer, update};
 
 /// Pause between two questions which incarnation the engine is.
 const IDENTIFY: Duration = Duration::from_millis(100);
@@ -44,11 +44,11 @@
     }
     let agent = Rc::new(RefCell::new(agent));
     let socket = Rc::new(socket);
-    let kept = kept::Stores::default();
-    tokio::task::spawn_local(kept::follow(
+    let stores = kv_stores::FollowedStores::default();
+    tokio::task::spawn_local(kv_stores::follow(
         Rc::clone(&node),
         Rc::clone(&socket),
-        kept.clone(),
+        stores.clone(),
     ));
     let env = Env {
         node: &node,
@@ -59,14 +59,14 @@
         () = identify(&node, &agent, addr) => {}
         () = agent::events(Rc::clone(&agent), addr) => {}
         () = agent::look(env, Conn::new(addr)) => {}
-        () = receive(env, kept) => {}
+        () = receive(env, stores) => {}
         _ = stop => {}
     }
     Ok(())
 }
 
 /// Receives updates: incarnations, subscriptions and prompts from entries, slots from other agents.
-async fn receive(env: Env<'_>, kept: kept::Stores) {
+async fn receive(env: Env<'_>, stores: kv_stores::FollowedStores) {
     let Env {
         node,
         agent,
@@ -84,7 +84,7 @@
             if agent.borrow_mut().subscribers.subscribe(node.now(), from) {
                 let whole = agent::summary(node, agent);
                 agent::send_whole(agent, socket, &whole, [from]);
-                kept.tell(socket, [from]);
+                stores.send_to(socket, [from]);
             }
             continue;
         }
