--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -110,7 +110,7 @@
             Err(_) => {
                 ctx.fleet.borrow_mut().fail(now);
                 let entries: Vec<_> = ctx.node.cluster.borrow().entries().collect();
-                if let Some(list) = peer::targets(&ctx.node, entries).await {
+                if let Some(list) = peer::fetch_target_list(&ctx.node, entries).await {
                     adopt(&ctx, list);
                 }
                 sleep(AGAIN).await;
@@ -120,7 +120,7 @@
 }
 
 /// Reads the list from the store, or its changes where reading it in whole takes several calls.
-async fn read(ctx: &Ctx, store: &mut Store) -> Result<peer::List, StoreError> {
+async fn read(ctx: &Ctx, store: &mut Store) -> Result<peer::FetchedList, StoreError> {
     let from = {
         let cluster = ctx.node.cluster.borrow();
         let list = cluster.targets.as_ref();
@@ -138,7 +138,7 @@
         Some(rows) => rows,
         None => store.rows(TARGETS_TABLE).await?,
     };
-    Ok(peer::List {
+    Ok(peer::FetchedList {
         at: ctx.now(),
         rows,
         changes,
@@ -149,7 +149,7 @@
 /// would be as many calls to the store as there are entries: 11 and 15 in a hundred of all calls of two
 /// fleets with 31 and 28 entries on a day with many crashes.
 async fn ask(ctx: &Ctx, finder: SocketAddr) -> bool {
-    match peer::targets(&ctx.node, [finder]).await {
+    match peer::fetch_target_list(&ctx.node, [finder]).await {
         Some(list) => adopt(ctx, list),
         None => false,
     }
@@ -157,7 +157,7 @@
 
 /// Takes over the list as another entry has read it, if that was after this one's last reading; tells
 /// whether it was.
-fn adopt(ctx: &Ctx, list: peer::List) -> bool {
+fn adopt(ctx: &Ctx, list: peer::FetchedList) -> bool {
     let own = {
         let cluster = ctx.node.cluster.borrow();
         cluster.targets.as_ref().map(|own| own.position)
@@ -173,7 +173,7 @@
 }
 
 /// Takes over a list, and tells of it if it says something new or lacks targets that are kept.
-fn take(ctx: &Ctx, list: peer::List, source: &str) {
+fn take(ctx: &Ctx, list: peer::FetchedList, source: &str) {
     let (at, position) = (list.at, list.rows.at);
     let targets = {
         let mut cluster = ctx.node.cluster.borrow_mut();
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -13,13 +13,13 @@
 pub mod entry;
 pub mod follow;
 pub mod kv_stores;
-pub mod listing;
 pub mod log;
 pub mod meter;
 pub mod node;
 pub mod peer;
 pub mod sidecar;
 pub mod start;
+pub mod target_list;
 pub mod update;
 
 pub use start::run;
--- a/crates/gate/src/node.rs
+++ b/crates/gate/src/node.rs
@@ -13,9 +13,9 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::listing::Listing;
 use crate::log::{self, Event};
 use crate::meter;
+use crate::target_list::TargetList;
 
 /// Time after its start in which a process first reads what was there before it; a slow store
 /// answers within it.
@@ -156,7 +156,7 @@
     /// Other processes, by host.
     pub members: HashMap<String, Member>,
     /// The list of targets as it was last read from the store, here or by another entry.
-    pub targets: Option<Listing>,
+    pub targets: Option<TargetList>,
     /// Since when the store hasn't answered this process.
     pub lost: Option<Micros>,
     /// Highest era of the store that was read or received.
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -24,9 +24,9 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-use crate::listing::Listing;
 use crate::log::{self, Event};
 use crate::node::{OperatorRow, SharedNode, Source};
+use crate::target_list::TargetList;
 
 /// Pause between two rounds of questions; several fit into the time in which a configuration must
 /// be known.
@@ -43,7 +43,7 @@
 
 /// What a process has.
 #[derive(Clone, PartialEq, Message)]
-struct Ask {
+struct Request {
     /// Versions of its rows by their keys, and the eras that they are of.
     #[prost(map = "string, uint64", tag = "1")]
     versions: HashMap<String, u64>,
@@ -62,7 +62,7 @@
     target: String,
 }
 
-impl Ask {
+impl Request {
     /// Position of the list of targets that is there, if one is.
     fn position(&self) -> Option<Position> {
         (self.after > 0).then(|| Position::new(self.after_era, self.after))
@@ -181,7 +181,7 @@
 async fn answer(node: &SharedNode, tcp: TcpStream) -> Result<(), PeerError> {
     let mut frames = framed(tcp);
     let asked = frames.next().await.ok_or(PeerError::Ended)??;
-    let ask = Ask::decode(asked)?;
+    let ask = Request::decode(asked)?;
     let reply = match ask.target.parse() {
         Ok(addr) => at(node, addr),
         Err(_) if ask.targets => listed(node, ask.position()),
@@ -191,7 +191,7 @@
     Ok(())
 }
 
-fn newer(node: &SharedNode, ask: &Ask) -> Reply {
+fn newer(node: &SharedNode, ask: &Request) -> Reply {
     let cluster = node.cluster.borrow();
     let of = |map: &HashMap<String, u64>, key: &String| map.get(key).copied().unwrap_or_default();
     let known = |key: &String| Position::new(of(&ask.eras, key), of(&ask.versions, key));
@@ -216,7 +216,7 @@
         let value = r.value.as_deref().unwrap_or_default();
         value.windows(text.len()).any(|w| w == text.as_bytes())
     };
-    let rows = listed.into_iter().flat_map(Listing::rows).filter(named);
+    let rows = listed.into_iter().flat_map(TargetList::rows).filter(named);
     let mut rows: Vec<_> = rows.map(ReplyRow::listed).collect();
     rows.retain(|r| target(r).is_some_and(|t| t.addr == addr));
     let delegated = cluster.delegated.get(&addr).copied();
@@ -237,7 +237,7 @@
 /// has is still known.
 fn listed(node: &SharedNode, after: Option<Position>) -> Reply {
     let cluster = node.cluster.borrow();
-    let age = |list: &Listing| node.now().since(list.at);
+    let age = |list: &TargetList| node.now().since(list.at);
     let Some(list) = cluster.targets.as_ref().filter(|l| age(l) < FRESH) else {
         return Reply::default();
     };
@@ -257,7 +257,7 @@
 
 /// The list of targets as another process has it.
 #[derive(Debug)]
-pub struct List {
+pub struct FetchedList {
     /// When it was read, on this process's clock.
     pub at: Micros,
     /// The whole list, or the rows that have changed.
@@ -267,21 +267,21 @@
 }
 
 /// The list of targets as some other entries have it of late, the newest that any of them has.
-pub async fn targets(
+pub async fn fetch_target_list(
     node: &SharedNode,
     entries: impl IntoIterator<Item = SocketAddr>,
-) -> Option<List> {
+) -> Option<FetchedList> {
     let some = entries.into_iter().choose_multiple(&mut rand::rng(), ASKED);
     let own = {
         let cluster = node.cluster.borrow();
         cluster.targets.as_ref().map(|l| l.position)
     };
     let own = own.unwrap_or_default();
-    let ask = Ask {
+    let ask = Request {
         targets: true,
         after: own.version,
         after_era: own.era,
-        ..Ask::default()
+        ..Request::default()
     };
     let asked = some
         .into_iter()
@@ -302,7 +302,7 @@
         at: position,
         clock_ms: 0,
     };
-    (position.version > 0).then_some(List {
+    (position.version > 0).then_some(FetchedList {
         at,
         rows,
         changes: newest.changes,
@@ -311,7 +311,7 @@
 
 /// What entries know of an engine beside a sidecar.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct EngineInfo {
     /// Its incarnation, by the list of late.
     pub boot: Option<Boot>,
     /// How long no entry has acted for its sidecar.
@@ -319,15 +319,15 @@
 }
 
 /// Asks some entries about the engine at an address.
-pub async fn engine(node: &SharedNode, addr: SocketAddr) -> Known {
+pub async fn fetch_engine_info(node: &SharedNode, addr: SocketAddr) -> EngineInfo {
     let entries: Vec<_> = {
         let cluster = node.cluster.borrow();
         let entries = cluster.entries();
         entries.choose_multiple(&mut rand::rng(), ASKED)
     };
-    let ask = Ask {
+    let ask = Request {
         target: addr.to_string(),
-        ..Ask::default()
+        ..Request::default()
     };
     let asked = entries
         .into_iter()
@@ -343,14 +343,14 @@
         .map(|a| a.quiet_ms)
         .min();
     let quiet = seen.or_else(|| answers.iter().map(|a| a.quiet_ms).max());
-    Known {
+    EngineInfo {
         boot: rows.max_by_key(|t| t.renewed).map(|t| t.boot),
         quiet: quiet.map(Micros::from_millis),
     }
 }
 
 /// Asks others for as long as the store doesn't answer.
-pub async fn ask(node: SharedNode) {
+pub async fn query_while_store_is_lost(node: SharedNode) {
     loop {
         sleep(PAUSE).await;
         let lost = node.cluster.borrow().lost.is_some();
@@ -372,10 +372,10 @@
 
 async fn round(node: &SharedNode, addr: SocketAddr) {
     let known = positions(node);
-    let ask = Ask {
+    let ask = Request {
         versions: known.iter().map(|(k, p)| (k.clone(), p.version)).collect(),
         eras: known.into_iter().map(|(k, p)| (k, p.era)).collect(),
-        ..Ask::default()
+        ..Request::default()
     };
     let reply = match timeout(PATIENCE, question(addr, &ask)).await {
         Ok(r) => r,
@@ -397,7 +397,7 @@
     rows.map(|(k, r)| (k.clone(), r.at)).collect()
 }
 
-async fn question(addr: SocketAddr, ask: &Ask) -> Result<Reply, PeerError> {
+async fn question(addr: SocketAddr, ask: &Request) -> Result<Reply, PeerError> {
     let mut frames = framed(platform::call::connect(addr).await?);
     frames.send(Bytes::from(ask.encode_to_vec())).await?;
     let reply = frames.next().await.ok_or(PeerError::Ended)??;
--- a/crates/gate/src/sidecar.rs
+++ b/crates/gate/src/sidecar.rs
@@ -120,7 +120,7 @@
             continue;
         }
         sleep(if unidentified { IDENTIFY } else { AGAIN }).await;
-        let known = peer::engine(node, addr).await;
+        let known = peer::fetch_engine_info(node, addr).await;
         let mut a = agent.borrow_mut();
         if let Some(boot) = known.boot.filter(|_| unidentified) {
             a.identify(boot);
--- a/crates/gate/src/start.rs
+++ b/crates/gate/src/start.rs
@@ -76,7 +76,7 @@
     tokio::task::spawn_local(reload(Rc::clone(&node), path, hup));
     tokio::task::spawn_local(follow::operator(Rc::clone(&node)));
     tokio::task::spawn_local(follow::members(Rc::clone(&node)));
-    tokio::task::spawn_local(peer::ask(Rc::clone(&node)));
+    tokio::task::spawn_local(peer::query_while_store_is_lost(Rc::clone(&node)));
     peer::serve(&node, listener);
     let stop = stopped(term, int);
     match role {
--- a/crates/gate/src/listing.rs
+++ b/crates/gate/src/target_list.rs
@@ -19,7 +19,7 @@
 
 /// The list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Listing {
+pub struct TargetList {
     /// When it was last read, on this process's clock.
     pub at: Micros,
     /// Newest position in the store at that time. It alone tells which of two reads is the newer: a row that
@@ -34,7 +34,7 @@
     read: VecDeque<(Micros, Position)>,
 }
 
-impl Listing {
+impl TargetList {
     /// Takes over a whole read.
     pub fn replace(&mut self, at: Micros, read: Rows) {
         if read.at.era != self.position.era || self.read.is_empty() {
--- a/crates/gate/tests/listing.rs
+++ b/crates/gate/tests/listing.rs
@@ -1,7 +1,7 @@
 //! The list of targets, read in whole by some and handed on as changes.
 
 use bytes::Bytes;
-use gate::listing::Listing;
+use gate::target_list::TargetList;
 use model::{Micros, Position};
 use platform::{Row, Rows};
 use rand::rngs::StdRng;
@@ -16,7 +16,7 @@
     }
 }
 
-fn keys(list: &Listing) -> Vec<&str> {
+fn keys(list: &TargetList) -> Vec<&str> {
     list.rows().map(|r| r.key.as_str()).collect()
 }
 
@@ -27,7 +27,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut store: Vec<Row> = Vec::new();
         let (mut era, mut version) = (1, 10_u64);
-        let (mut reader, mut other) = (Listing::default(), Listing::default());
+        let (mut reader, mut other) = (TargetList::default(), TargetList::default());
         let (mut whole, mut sent) = (0, 0);
         for step in 0..300_u64 {
             let now = Micros::from_millis(600 * step);
@@ -108,7 +108,7 @@
         },
     ];
     for c in cases {
-        let mut list = Listing::default();
+        let mut list = TargetList::default();
         for (version, at) in (0..).zip((0..=c.last).step_by(1_000)) {
             let at = Micros::from_millis(at);
             let position = Position::new(1, version);
@@ -129,7 +129,7 @@
 #[test]
 fn older_rows_replace_no_newer_ones() {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut list = Listing::default();
+    let mut list = TargetList::default();
     let all: Vec<_> = (1..30)
         .map(|v| row(&format!("t{}", v % 5), Position::new(1, v)))
         .collect();
