--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::cache::Cache;
 use crate::node::SharedNode;
-use crate::update::{Held, Note, Update};
+use crate::update::{HeldPart, PromptNote, Update};
 use weights::Rollout;
 
 pub(crate) use report::{all_entries, send_whole, summary};
@@ -90,7 +90,7 @@
     /// Since when it answers.
     since: Micros,
     cache: Cache,
-    fresh: Vec<Held>,
+    fresh: Vec<HeldPart>,
     /// New weights and slots to load them.
     rollout: Rollout,
     /// What it has yet to read.
@@ -170,7 +170,7 @@
     }
 
     /// Takes over what an entry notes of a prompt.
-    pub(crate) fn prompt(&mut self, now: Micros, note: Note) {
+    pub(crate) fn prompt(&mut self, now: Micros, note: PromptNote) {
         match note.tokens {
             Some(tokens) => self.backlog.add(now, note.request, tokens),
             None => self.backlog.remove(note.request),
--- a/crates/gate/src/agent/report.rs
+++ b/crates/gate/src/agent/report.rs
@@ -8,7 +8,7 @@
 
 use super::{Kind, Own, STARTED};
 use crate::node::SharedNode;
-use crate::update::{self, Held, Loaded, Update};
+use crate::update::{self, HeldPart, LoadedWeights, Update};
 
 /// Age up to which the report of a remote engine tells its memory.
 const MEMORY: Micros = Micros::from_millis(1_000);
@@ -54,8 +54,8 @@
     update
 }
 
-fn loaded(weights: &Weights) -> Loaded {
-    Loaded {
+fn loaded(weights: &Weights) -> LoadedWeights {
+    LoadedWeights {
         model: weights.model.clone(),
         version: weights.version,
     }
@@ -87,7 +87,7 @@
 
 /// Changes of parts that are to be sent. They are kept while no entry is known: a sidecar that starts reads
 /// all that its engine has stored, often before it has read the list of members.
-pub(super) fn fresh(node: &SharedNode, agent: &Own) -> Vec<Held> {
+pub(super) fn fresh(node: &SharedNode, agent: &Own) -> Vec<HeldPart> {
     match subscribers(node, agent).first() {
         Some(_) => std::mem::take(&mut agent.borrow_mut().fresh),
         None => Vec::new(),
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -21,7 +21,7 @@
 use crate::log::{self, Event};
 use crate::meter;
 use crate::node::{ClusterState, SharedNode};
-use crate::update::{self, SlotAsk, Update};
+use crate::update::{self, SlotQuery, Update};
 
 /// How long an order waits until it is known which incarnation the engine is. An order that names none may
 /// be carried out late by the next incarnation, and put older weights in the place of newer ones.
@@ -313,7 +313,7 @@
         let update = for_peers(&summary(node, agent));
         to.sort_unstable_by_key(|a| a.delegate);
         for agents in to.chunk_by(|a, b| a.delegate == b.delegate) {
-            let slot_ask = SlotAsk {
+            let slot_ask = SlotQuery {
                 round: ask.round,
                 sent_us: ask.sent.0,
                 delegate: agents[0].delegate,
@@ -329,7 +329,7 @@
 }
 
 /// Answers another agent's ask with the state as of now.
-pub(crate) fn answer(env: Env<'_>, ask: SlotAsk, to: SocketAddr) {
+pub(crate) fn answer(env: Env<'_>, ask: SlotQuery, to: SocketAddr) {
     let Env {
         node,
         agent,
--- a/crates/gate/src/cache.rs
+++ b/crates/gate/src/cache.rs
@@ -12,7 +12,7 @@
 use site::PartId;
 use tokio::time::Instant;
 
-use crate::update::Held;
+use crate::update::HeldPart;
 
 /// How long the other side may hold the question what has changed; the platform's longest.
 const HOLD: Duration = Duration::from_millis(1_000);
@@ -32,7 +32,7 @@
 
 impl Cache {
     /// Takes over some changes; returns them as they are told to others.
-    fn take(&mut self, epoch: u64, stored: &[PartChange]) -> Vec<Held> {
+    fn take(&mut self, epoch: u64, stored: &[PartChange]) -> Vec<HeldPart> {
         self.restart(epoch);
         for s in stored {
             let key = (s.scope, s.part);
@@ -46,7 +46,7 @@
     }
 
     /// Takes over the whole list; returns what has changed.
-    fn replace(&mut self, epoch: u64, stored: &[PartChange]) -> Vec<Held> {
+    fn replace(&mut self, epoch: u64, stored: &[PartChange]) -> Vec<HeldPart> {
         self.restart(epoch);
         let listed = stored.iter().map(|s| ((s.scope, s.part), s.tokens));
         let listed: HashMap<_, _> = listed.collect();
@@ -67,13 +67,13 @@
     }
 
     /// All that is held.
-    pub fn all(&self) -> Vec<Held> {
+    pub fn all(&self) -> Vec<HeldPart> {
         self.held.iter().map(|(k, n)| held((*k, *n))).collect()
     }
 }
 
-fn held(((scope, part), tokens): ((u64, PartId), u32)) -> Held {
-    Held {
+fn held(((scope, part), tokens): ((u64, PartId), u32)) -> HeldPart {
+    HeldPart {
         scope,
         part: part.0,
         tokens,
@@ -91,7 +91,7 @@
 
 impl Update {
     /// Hands it to a cache; returns what others are to be told.
-    pub fn into(self, cache: &mut Cache) -> Vec<Held> {
+    pub fn into(self, cache: &mut Cache) -> Vec<HeldPart> {
         match self {
             Self::Changes(e) => cache.take(e.epoch, &e.changes),
             Self::Whole(e) => cache.replace(e.epoch, &e.changes),
--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -24,7 +24,7 @@
 use crate::log::{self, Event};
 use crate::meter;
 use crate::node::{domain_key, ClusterState};
-use crate::update::{self, Note, Update};
+use crate::update::{self, PromptNote, Update};
 
 /// Pause between two looks at which engines lack an agent.
 const LOOK: Duration = Duration::from_millis(250);
@@ -275,7 +275,7 @@
 }
 
 /// Takes over a note on a prompt at an engine that this entry acts for.
-pub(super) fn prompt(ctx: &Ctx, engine: u64, note: Note) {
+pub(super) fn prompt(ctx: &Ctx, engine: u64, note: PromptNote) {
     if let Some(d) = ctx.delegates.borrow().own.get(&engine) {
         d.agent.borrow_mut().prompt(ctx.now(), note);
     }
--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -13,7 +13,7 @@
 use super::usable::HEARD;
 use crate::agent::AgentId;
 use crate::log::{self, Event};
-use crate::update::{Held, Update};
+use crate::update::{HeldPart, Update};
 
 new_key_type! {
     /// A target.
@@ -304,7 +304,7 @@
     }
 }
 
-fn part(held: &Held) -> Part {
+fn part(held: &HeldPart) -> Part {
     Part {
         id: PartId(held.part),
         tokens: held.tokens,
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -27,7 +27,7 @@
 use crate::meter;
 use crate::node::Source;
 use crate::peer;
-use crate::update::{self, Listed, Update};
+use crate::update::{self, ListRead, Update};
 
 /// Pause after a read that failed.
 const AGAIN: Duration = Duration::from_millis(250);
@@ -57,7 +57,7 @@
     }
 
     /// Takes over what another entry has found; tells whether that is what this one knows.
-    pub(super) fn hear(&self, now: Micros, listed: Listed, from: SocketAddr) -> bool {
+    pub(super) fn hear(&self, now: Micros, listed: ListRead, from: SocketAddr) -> bool {
         self.pollers.borrow_mut().record(now, listed.rank);
         let same = listed.hash == self.own.get();
         if !same {
@@ -214,7 +214,7 @@
     }
     let update = Update {
         entry: true,
-        list: Some(Listed {
+        list: Some(ListRead {
             rank,
             hash,
             era: ctx.node.era.borrow().unwrap_or_default(),
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -40,7 +40,7 @@
 use crate::kv_stores;
 use crate::meter;
 use crate::node::{domain_key, SharedNode, Source};
-use crate::update::{self, Held, Life, Note, Update};
+use crate::update::{self, HeldPart, Incarnation, PromptNote, Update};
 use site::{Part, Scope};
 
 pub use fleet::Fleet;
@@ -110,7 +110,7 @@
     }
 
     /// Reports a prompt to an engine's agent.
-    fn report_prompt(&self, agent: AgentId, note: Note) {
+    fn report_prompt(&self, agent: AgentId, note: PromptNote) {
         let update = Update {
             entry: true,
             note: Some(note),
@@ -123,7 +123,7 @@
     /// Tells the other entries what an engine was sent to read, so that they don't send the same
     /// opening to be read elsewhere.
     fn tell_expected(&self, engine: std::net::SocketAddr, scope: &Scope, parts: &[Part]) {
-        let held = |p: &Part| Held {
+        let held = |p: &Part| HeldPart {
             scope: scope.key(),
             part: p.id.0,
             tokens: p.tokens,
@@ -131,7 +131,7 @@
         let update = Update {
             engine: engine.to_string(),
             entry: true,
-            expected: parts.iter().take(update::PARTS).map(held).collect(),
+            expected: parts.iter().take(update::MAX_PARTS).map(held).collect(),
             ..Update::default()
         };
         update::send(&self.socket, &update, self.node.cluster.borrow().entries());
@@ -217,10 +217,14 @@
         }
         let mut all_confirmed = true;
         for sidecar in wanted {
-            let life = ctx.fleet.borrow().life(ctx.now(), sidecar).map(|b| Life {
-                id: b.id.clone(),
-                born: b.born,
-            });
+            let life = ctx
+                .fleet
+                .borrow()
+                .life(ctx.now(), sidecar)
+                .map(|b| Incarnation {
+                    id: b.id.clone(),
+                    born: b.born,
+                });
             all_confirmed &= life.is_some();
             let update = Update {
                 entry: true,
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -14,7 +14,7 @@
 
 use super::idle::Idle;
 use crate::agent::AgentId;
-use crate::update::{Held, Update};
+use crate::update::{HeldPart, Update};
 
 /// How long an engine is expected to hold what it was sent to read; a long prompt in a queue.
 const EXPECTED: Micros = Micros::from_millis(1_500);
@@ -273,7 +273,7 @@
 }
 
 /// Takes over what is told of parts.
-pub(super) fn take_over(held: &mut HashMap<(u64, PartId), u32>, parts: &[Held]) {
+pub(super) fn take_over(held: &mut HashMap<(u64, PartId), u32>, parts: &[HeldPart]) {
     for h in parts {
         let key = (h.scope, PartId(h.part));
         match h.tokens {
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -25,7 +25,7 @@
 use crate::agent::AgentId;
 use crate::log::{self, Event};
 use crate::meter;
-use crate::update::Note;
+use crate::update::PromptNote;
 
 /// A request's place at a target; freed with this value.
 #[derive(Debug)]
@@ -74,7 +74,7 @@
             ctx.work.borrow_mut().add(now, prompt.input_tokens, reading);
         }
         if let Some((agent, request)) = told {
-            let note = Note {
+            let note = PromptNote {
                 request,
                 tokens: Some(pick.read),
             };
@@ -120,7 +120,7 @@
         }
         self.expected = None;
         if let Some((agent, request)) = self.told.take() {
-            let note = Note {
+            let note = PromptNote {
                 request,
                 tokens: None,
             };
--- a/crates/gate/src/update.rs
+++ b/crates/gate/src/update.rs
@@ -4,7 +4,7 @@
 //! An update is the state as of now, so a lost one isn't sent again; the next one replaces it. What the
 //! engine holds is sent as changes, and in whole every few seconds, so that an entry that has missed a change
 //! or has just started is right again soon. State that is out of date costs time, never an answer. What
-//! mustn't rest on one datagram is asked for ([`SlotAsk`]) or repeated while it holds ([`Strike`]).
+//! mustn't rest on one datagram is asked for ([`SlotQuery`]) or repeated while it holds ([`Strike`]).
 
 use std::net::SocketAddr;
 
@@ -12,9 +12,9 @@
 use tokio::net::UdpSocket;
 
 /// Bytes of a datagram at most; it must not be split on its way.
-pub const LARGEST: usize = 1_200;
+pub const MAX_DATAGRAM: usize = 1_200;
 /// Parts in one datagram at most; at most 24 bytes each.
-pub const PARTS: usize = 40;
+pub const MAX_PARTS: usize = 40;
 
 /// One datagram.
 #[derive(Clone, PartialEq, Message)]
@@ -30,7 +30,7 @@
     pub ended: bool,
     /// What it has loaded.
     #[prost(message, repeated, tag = "3")]
-    pub weights: Vec<Loaded>,
+    pub weights: Vec<LoadedWeights>,
     /// Whether it is carrying out an order.
     #[prost(bool, tag = "4")]
     pub busy: bool,
@@ -79,16 +79,16 @@
     pub fence: u64,
     /// A sidecar's question for another one's state as of now.
     #[prost(message, optional, tag = "30")]
-    pub slot_ask: Option<SlotAsk>,
+    pub slot_ask: Option<SlotQuery>,
     /// The question that this answers.
     #[prost(message, optional, tag = "31")]
-    pub slot_answer: Option<SlotAsk>,
+    pub slot_answer: Option<SlotQuery>,
     /// The engine's life, as its cache events tell it.
     #[prost(uint64, tag = "10")]
     pub epoch: u64,
     /// Parts stored or dropped.
     #[prost(message, repeated, tag = "11")]
-    pub parts: Vec<Held>,
+    pub parts: Vec<HeldPart>,
     /// Whether this comes from an entry; it then tells only what the engine is to read.
     #[prost(bool, tag = "12")]
     pub entry: bool,
@@ -97,30 +97,30 @@
     pub tokens: Vec<u32>,
     /// What an entry tells a sidecar of one prompt.
     #[prost(message, optional, tag = "16")]
-    pub note: Option<Note>,
+    pub note: Option<PromptNote>,
     /// Whether this is about a store of kept KV cache instead of an engine.
     #[prost(bool, tag = "14")]
     pub kept: bool,
     /// What an entry found when it read the platform's list of targets.
     #[prost(message, optional, tag = "18")]
-    pub list: Option<Listed>,
+    pub list: Option<ListRead>,
     /// A crash that an entry holds against a request, or takes back.
     #[prost(message, optional, tag = "19")]
     pub strike: Option<Strike>,
     /// Which life of which target the engine is, as an entry knows it from the list.
     #[prost(message, optional, tag = "22")]
-    pub life: Option<Life>,
+    pub life: Option<Incarnation>,
     /// Whether an entry asks to be told of the engine from now on.
     #[prost(bool, tag = "20")]
     pub asks: bool,
     /// Parts that an entry has just sent the engine to read.
     #[prost(message, repeated, tag = "13")]
-    pub expected: Vec<Held>,
+    pub expected: Vec<HeldPart>,
 }
 
 /// A sidecar's question for another one's state, which the answer repeats.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct SlotAsk {
+pub struct SlotQuery {
     /// Draw of the claim; 0 outside of one.
     #[prost(fixed64, tag = "1")]
     pub round: u64,
@@ -134,7 +134,7 @@
 
 /// The platform's list of targets as an entry has just read it.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Listed {
+pub struct ListRead {
     /// Rank of the entry among those that read.
     #[prost(fixed64, tag = "1")]
     pub rank: u64,
@@ -168,7 +168,7 @@
 
 /// One life of a target.
 #[derive(Clone, PartialEq, Message)]
-pub struct Life {
+pub struct Incarnation {
     /// The target's id.
     #[prost(string, tag = "1")]
     pub id: String,
@@ -179,7 +179,7 @@
 
 /// A prompt at an engine.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Note {
+pub struct PromptNote {
     /// Hash of the request's id.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
@@ -190,7 +190,7 @@
 
 /// A model's weights.
 #[derive(Clone, PartialEq, Message)]
-pub struct Loaded {
+pub struct LoadedWeights {
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -201,7 +201,7 @@
 
 /// A part in an engine's cache.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Held {
+pub struct HeldPart {
     /// Key of its scope.
     #[prost(fixed64, tag = "1")]
     pub scope: u64,
@@ -226,10 +226,10 @@
 pub fn send_parts(
     socket: &UdpSocket,
     update: Update,
-    parts: &[Held],
+    parts: &[HeldPart],
     to: impl IntoIterator<Item = SocketAddr> + Clone,
 ) {
-    let mut chunks = parts.chunks(PARTS);
+    let mut chunks = parts.chunks(MAX_PARTS);
     loop {
         let parts = chunks.next().unwrap_or_default().to_vec();
         let update = Update {
@@ -245,7 +245,7 @@
 
 /// Waits for the next datagram that can be read, with its sender.
 pub async fn receive(socket: &UdpSocket) -> (Update, SocketAddr) {
-    let mut buffer = [0; 2 * LARGEST];
+    let mut buffer = [0; 2 * MAX_DATAGRAM];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((n, from)) => match Update::decode(&buffer[..n]) {
--- a/crates/gate/tests/fleet.rs
+++ b/crates/gate/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! What an entry believes of targets, as the list and sidecars tell it.
 
 use gate::entry::Fleet;
-use gate::update::{Held, Loaded, Update};
+use gate::update::{HeldPart, LoadedWeights, Update};
 use model::{Micros, Position};
 use policy::row_expiry;
 use site::{Boot, Part, PartId, State, Target};
@@ -71,7 +71,7 @@
     let update = Update {
         engine: ADDR.to_owned(),
         alive: true,
-        parts: vec![Held {
+        parts: vec![HeldPart {
             scope: 1,
             part: 7,
             tokens: 30,
@@ -146,7 +146,7 @@
         let update = Update {
             engine: ADDR.to_owned(),
             alive: true,
-            weights: vec![Loaded {
+            weights: vec![LoadedWeights {
                 model: "m".to_owned(),
                 version,
             }],
