--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -181,7 +181,7 @@
     let rollout = &mut a.rollout;
     if let (0, Some(fence)) = (
         rollout.fence,
-        cluster.fence(now, &node.settings.borrow().host),
+        cluster.fencing_token(now, &node.settings.borrow().host),
     ) {
         rollout.fence = fence.max(rollout.fenced + 1);
     }
@@ -219,7 +219,7 @@
     cluster: &'a ClusterState,
 ) -> Option<(&'a Weights, &'a Versions)> {
     report.weights.iter().find_map(|w| {
-        let named = cluster.named.get(&w.model)?;
+        let named = cluster.announced_weights.get(&w.model)?;
         (named.newest() > w.version).then_some((w, named))
     })
 }
@@ -239,12 +239,12 @@
     match agent.kind {
         Kind::Sidecar => {
             let own = &node.settings.borrow().host;
-            let others = cluster.others(own);
+            let others = cluster.other_sidecars(own);
             let before = others.iter().filter(|(h, _)| *h < own).count();
             (before, others.len() + 1)
         }
         Kind::Delegate => {
-            let engines = &cluster.unattended;
+            let engines = &cluster.engines_without_sidecar;
             let before = engines.iter().filter(|e| **e < agent.addr).count();
             (before, engines.len().max(before + 1))
         }
@@ -257,7 +257,7 @@
     let a = agent.borrow();
     let (rank, agents) = place(node, &cluster, &a);
     let own = node.settings.borrow().host.clone();
-    let sidecars = cluster.others(&own);
+    let sidecars = cluster.other_sidecars(&own);
     let same = rollout::same_group(rank, agents);
     let rank_of = |i: usize| match a.kind {
         Kind::Sidecar if i >= rank => i + 1,
--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -99,13 +99,13 @@
     let unattended: BTreeSet<_> = {
         let cluster = ctx.node.cluster.borrow();
         let all = engines.values().map(|e| e.addr);
-        all.filter(|addr| !cluster.attended(*addr)).collect()
+        all.filter(|addr| !cluster.has_sidecar(*addr)).collect()
     };
     {
         let mut cluster = ctx.node.cluster.borrow_mut();
-        cluster.unattended = unattended.into_iter().collect();
+        cluster.engines_without_sidecar = unattended.into_iter().collect();
         let listed = |addr: &SocketAddr| engines.contains_key(&engine_key(*addr));
-        cluster.delegated.retain(|addr, _| listed(addr));
+        cluster.delegate_reports.retain(|addr, _| listed(addr));
     }
     let gone =
         |key: &u64, d: &Delegate| engines.get(key).is_none_or(|e| e.boot != d.boot || !e.acts);
@@ -190,7 +190,7 @@
         },
     };
     let engine = Engine {
-        sidecar: cluster.attended(r.target.addr),
+        sidecar: cluster.has_sidecar(r.target.addr),
         reporter,
         silence: now.since(heard),
     };
@@ -304,7 +304,7 @@
         0 => hand_over(ctx, key, addr, from),
         _ => {
             let mut cluster = ctx.node.cluster.borrow_mut();
-            cluster.delegated.insert(addr, now);
+            cluster.delegate_reports.insert(addr, now);
         }
     }
     let d = ctx.delegates.borrow();
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -86,7 +86,13 @@
         let s = ctx.node.settings.borrow();
         (s.domain.clone(), Micros::from(s.bounds.weights_deadline))
     };
-    let named = ctx.node.cluster.borrow().named.get(&prompt.model).cloned();
+    let named = ctx
+        .node
+        .cluster
+        .borrow()
+        .announced_weights
+        .get(&prompt.model)
+        .cloned();
     let fleet = ctx.fleet.borrow();
     let wall = job.team.as_deref().filter(|_| job.walled);
     let scope = |r: &Replica| {
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -293,7 +293,10 @@
     };
     // It doesn't say which weights it has; the newest ones are what it is ordered to load.
     let cluster = ctx.node.cluster.borrow();
-    let named = cluster.named.get(&prompt.model).map(|n| n.newest());
+    let named = cluster
+        .announced_weights
+        .get(&prompt.model)
+        .map(|n| n.newest());
     if let (Some(version), Some(r)) = (named, ctx.fleet.borrow_mut().replicas.get_mut(pick.key)) {
         r.loaded(ctx.now(), &prompt.model, version);
     }
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -96,7 +96,7 @@
     }
     dependency.note(result);
     let now = node.now();
-    let lost = &mut node.cluster.borrow_mut().lost;
+    let lost = &mut node.cluster.borrow_mut().store_lost_since;
     *lost = result.is_err().then(|| lost.unwrap_or(now));
 }
 
@@ -165,11 +165,11 @@
 fn adopt(node: &SharedNode, rows: Rows, source: Source) {
     let now = node.now();
     let mut cluster = node.cluster.borrow_mut();
-    cluster.set_clock(now, rows.clock_ms);
+    cluster.set_store_clock(now, rows.clock_ms);
     for Row { key, value, at } in rows.rows {
         // The operator takes nothing back; a row that is gone leaves what was in force.
         if let Some(value) = value {
-            cluster.adopt(now, &key, OperatorRow { at, value }, source);
+            cluster.apply_row(now, &key, OperatorRow { at, value }, source);
         }
     }
 }
--- a/crates/gate/src/node.rs
+++ b/crates/gate/src/node.rs
@@ -80,7 +80,7 @@
             log::event(&Event::Restored {
                 era,
                 before,
-                source: source.word(),
+                source: source.as_str(),
             });
         }
     }
@@ -118,7 +118,7 @@
 
 impl Source {
     /// The word for it in log lines.
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Self::Table | Self::Feed => "store",
             Self::Peer => "peer",
@@ -150,23 +150,23 @@
     /// The configuration in force.
     pub plan: Option<Rc<Plan>>,
     /// Weights that the operator has named, by model.
-    pub named: HashMap<String, Versions>,
+    pub announced_weights: HashMap<String, Versions>,
     /// The operator's rows as they were read, for processes that the store turns away.
-    pub rows: HashMap<String, OperatorRow>,
+    pub operator_rows: HashMap<String, OperatorRow>,
     /// Other processes, by host.
     pub members: HashMap<String, Member>,
     /// The list of targets as it was last read from the store, here or by another entry.
     pub targets: Option<TargetList>,
     /// Since when the store hasn't answered this process.
-    pub lost: Option<Micros>,
+    pub store_lost_since: Option<Micros>,
     /// Highest era of the store that was read or received.
     pub era: u64,
     /// The store's clock as last read, and when that was.
-    pub clock: Option<(u64, Micros)>,
+    pub store_clock: Option<(u64, Micros)>,
     /// When a delegate of an engine last reported, by the engine's address.
-    pub delegated: HashMap<SocketAddr, Micros>,
+    pub delegate_reports: HashMap<SocketAddr, Micros>,
     /// Engines that no sidecar is a member for, in order.
-    pub unattended: Vec<SocketAddr>,
+    pub engines_without_sidecar: Vec<SocketAddr>,
 }
 
 impl ClusterState {
@@ -175,24 +175,28 @@
     /// Configurations and weights only ever go up within a process's life. A store that answers
     /// with an older state, or a peer that lags, can't bring back a key that was taken away. A row of a
     /// restored store counts as newer whatever its version there; the operator's own version decides.
-    pub fn adopt(&mut self, now: Micros, key: &str, row: OperatorRow, source: Source) {
-        let known = self.rows.get(key);
+    pub fn apply_row(&mut self, now: Micros, key: &str, row: OperatorRow, source: Source) {
+        let known = self.operator_rows.get(key);
         if known.is_some_and(|k| k.at >= row.at) {
             return;
         }
         let error = match () {
-            () if key == platform::config::CONFIG_KEY => self.configure(&row.value, source.word()),
-            () if platform::config::is_weights_key(key) => self.name(now, &row.value, source),
+            () if key == platform::config::CONFIG_KEY => {
+                self.apply_configuration(&row.value, source.as_str())
+            }
+            () if platform::config::is_weights_key(key) => {
+                self.record_announcement(now, &row.value, source)
+            }
             () => Ok(()),
         };
         if let Err(e) = error {
             let error = &e.to_string();
             log::event(&Event::BadRow { key, error });
         }
-        self.rows.insert(key.to_owned(), row);
+        self.operator_rows.insert(key.to_owned(), row);
     }
 
-    fn configure(
+    fn apply_configuration(
         &mut self,
         value: &Bytes,
         source: &str,
@@ -211,7 +215,7 @@
         Ok(())
     }
 
-    fn name(
+    fn record_announcement(
         &mut self,
         now: Micros,
         value: &Bytes,
@@ -219,12 +223,15 @@
     ) -> Result<(), platform::config::ConfigError> {
         let weights = platform::config::decode_weights(value)?;
         let start = source != Source::Feed && now < START;
-        let known = self.named.entry(weights.model.clone()).or_default();
+        let known = self
+            .announced_weights
+            .entry(weights.model.clone())
+            .or_default();
         if known.record(now, weights.version, start) {
             log::event(&Event::Named {
                 model: &weights.model,
                 version: weights.version,
-                source: source.word(),
+                source: source.as_str(),
             });
         }
         Ok(())
@@ -237,30 +244,30 @@
     }
 
     /// Takes over the store's clock.
-    pub fn set_clock(&mut self, now: Micros, clock: u64) {
+    pub fn set_store_clock(&mut self, now: Micros, clock: u64) {
         // A late answer shows a time that has passed.
-        let newer = self.clock_at(now).is_none_or(|c| clock > c);
+        let newer = self.store_clock_at(now).is_none_or(|c| clock > c);
         if newer && clock > 0 {
-            self.clock = Some((clock, now));
+            self.store_clock = Some((clock, now));
         }
     }
 
     /// The store's clock as of now.
-    fn clock_at(&self, now: Micros) -> Option<u64> {
-        let (clock, at) = self.clock?;
+    fn store_clock_at(&self, now: Micros) -> Option<u64> {
+        let (clock, at) = self.store_clock?;
         Some(clock + now.since(at).as_millis())
     }
 
     /// A fencing token of a host, above all that any host has drawn before.
-    pub fn fence(&self, now: Micros, host: &str) -> Option<u64> {
+    pub fn fencing_token(&self, now: Micros, host: &str) -> Option<u64> {
         let tie = xxh3_64(host.as_bytes()) >> (u64::BITS - FENCE_TIE);
         // A restored store's clock may be the copy's.
-        let clock = self.clock_at(now)? + self.era * COPY_AGE;
+        let clock = self.store_clock_at(now)? + self.era * COPY_AGE;
         Some(clock << FENCE_TIE | tie)
     }
 
     /// Sidecars on other hosts with their hosts' names, in order.
-    pub fn others(&self, own: &str) -> Vec<(&String, SocketAddr)> {
+    pub fn other_sidecars(&self, own: &str) -> Vec<(&String, SocketAddr)> {
         let sidecars = self.members.iter();
         let others = sidecars.filter(|(h, m)| m.role == Role::Sidecar && *h != own);
         let mut others: Vec<_> = others.map(|(h, m)| (h, m.addr)).collect();
@@ -269,7 +276,7 @@
     }
 
     /// Whether a sidecar is a member for an engine.
-    pub fn attended(&self, engine: SocketAddr) -> bool {
+    pub fn has_sidecar(&self, engine: SocketAddr) -> bool {
         self.members.values().any(|m| m.engine == Some(engine))
     }
 
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -195,7 +195,10 @@
     let cluster = node.cluster.borrow();
     let of = |map: &HashMap<String, u64>, key: &String| map.get(key).copied().unwrap_or_default();
     let known = |key: &String| Position::new(of(&ask.eras, key), of(&ask.versions, key));
-    let rows = cluster.rows.iter().filter(|(k, r)| r.at > known(k));
+    let rows = cluster
+        .operator_rows
+        .iter()
+        .filter(|(k, r)| r.at > known(k));
     Reply {
         rows: rows
             .map(|(key, row)| ReplyRow::new(key, row.at, row.value.clone()))
@@ -219,7 +222,7 @@
     let rows = listed.into_iter().flat_map(TargetList::rows).filter(named);
     let mut rows: Vec<_> = rows.map(ReplyRow::listed).collect();
     rows.retain(|r| target(r).is_some_and(|t| t.addr == addr));
-    let delegated = cluster.delegated.get(&addr).copied();
+    let delegated = cluster.delegate_reports.get(&addr).copied();
     Reply {
         rows,
         delegated: delegated.is_some(),
@@ -353,7 +356,7 @@
 pub async fn query_while_store_is_lost(node: SharedNode) {
     loop {
         sleep(PAUSE).await;
-        let lost = node.cluster.borrow().lost.is_some();
+        let lost = node.cluster.borrow().store_lost_since.is_some();
         if lost || node.plan().is_none() {
             let asked = others(&node).into_iter().map(|a| round(&node, a));
             futures::future::join_all(asked).await;
@@ -393,7 +396,7 @@
 /// Positions of the operator's rows that this process has.
 fn positions(node: &SharedNode) -> HashMap<String, Position> {
     let cluster = node.cluster.borrow();
-    let rows = cluster.rows.iter();
+    let rows = cluster.operator_rows.iter();
     rows.map(|(k, r)| (k.clone(), r.at)).collect()
 }
 
@@ -416,6 +419,6 @@
             at: row.at(),
             value: row.value,
         };
-        cluster.adopt(now, &row.key, value, Source::Peer);
+        cluster.apply_row(now, &row.key, value, Source::Peer);
     }
 }
--- a/crates/gate/tests/eras.rs
+++ b/crates/gate/tests/eras.rs
@@ -31,11 +31,11 @@
         for (at, version) in [(Position::default(), self.force), self.row, row] {
             if version > 0 {
                 let value = Bytes::from(config(version));
-                cluster.adopt(now, "config", OperatorRow { at, value }, Source::Table);
+                cluster.apply_row(now, "config", OperatorRow { at, value }, Source::Table);
             }
         }
         let plan = cluster.plan.as_ref().expect("a plan");
-        let kept = &cluster.rows["config"];
+        let kept = &cluster.operator_rows["config"];
         let version = if kept.at == row.0 { row.1 } else { self.row.1 };
         Self {
             row: (kept.at, version),
--- a/crates/gate/tests/world.rs
+++ b/crates/gate/tests/world.rs
@@ -34,8 +34,8 @@
     for c in cases {
         let mut cluster = ClusterState::default();
         let now = Micros::from_millis(c.at);
-        cluster.adopt(now, KEY, row(7, 2), c.source);
-        let outdated = cluster.named["lekha"]
+        cluster.apply_row(now, KEY, row(7, 2), c.source);
+        let outdated = cluster.announced_weights["lekha"]
             .outdated(now, 1)
             .expect("a newer version");
         assert_eq!(outdated > Micros::ZERO, c.old, "{}", c.name);
