--- a/crates/gate/src/agent/watch.rs
+++ b/crates/gate/src/agent/watch.rs
@@ -63,7 +63,7 @@
         let reads = agent.borrow().reads_report(node.now());
         if reads {
             let report = replica::fetch_report(&mut conn, PATIENCE).await;
-            meter::count(meter::REPORTS, "agent", agent.borrow().kind.word());
+            meter::increment(meter::ENGINE_REPORTS, "agent", agent.borrow().kind.word());
             dependency.note(&report);
             agent.borrow_mut().note(node.now(), report);
         }
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -408,7 +408,7 @@
 }
 
 fn note(order: &Order, outcome: &str, label: &'static str) {
-    meter::count(meter::ORDERS, "outcome", label);
+    meter::increment(meter::ORDERS, "outcome", label);
     log::event(&Event::Ordered {
         model: &order.lack.weights.model,
         version: order.lack.weights.version,
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -99,7 +99,7 @@
         }
         dependency.note(&read);
         let now = ctx.now();
-        meter::span(meter::STORE, now.since(asked).into());
+        meter::record_duration(meter::STORE_CALL, now.since(asked).into());
         ctx.gauges();
         match read {
             Ok(list) => {
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -101,12 +101,12 @@
         let running: u32 = fleet.replicas.values().map(|r| r.inflight).sum();
         meter::set(meter::RUNNING, running.into());
         for (pool, budget) in self.budgets.borrow().iter() {
-            metrics::gauge!(meter::RETRIES, "pool" => pool.clone()).set(budget.remaining());
+            metrics::gauge!(meter::RETRIES_LEFT, "pool" => pool.clone()).set(budget.remaining());
         }
         let cluster = self.node.cluster.borrow();
         meter::set(meter::MEMBERS, cluster.members.len() as f64);
         let version = cluster.plan.as_ref().map_or(0, |p| p.version());
-        meter::set(meter::VERSION, version as f64);
+        meter::set(meter::CONFIGURATION_VERSION, version as f64);
     }
 
     /// Reports a prompt to an engine's agent.
--- a/crates/gate/src/entry/refuse.rs
+++ b/crates/gate/src/entry/refuse.rs
@@ -183,7 +183,7 @@
         _ => r.reason.back().map(|b| spread(b, r.left)),
     };
     let status = r.reason.status();
-    meter::count(meter::REFUSALS, "reason", r.reason.word());
+    meter::increment(meter::REFUSALS, "reason", r.reason.word());
     log::event(&Event::Refused {
         request: r.id,
         route: r.route,
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -220,7 +220,7 @@
     fn begun(&mut self) {
         let after = self.ctx.now().since(self.job.came).into();
         self.first = Some(after);
-        meter::span(meter::FIRST, after);
+        meter::record_duration(meter::FIRST_EVENT, after);
         let Some(live) = &mut self.live else {
             return;
         };
@@ -379,8 +379,8 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         let after = self.ctx.now().since(self.job.came);
-        meter::count(meter::STREAMS, "end", self.end.word());
-        meter::span(meter::WHOLE, after.into());
+        meter::increment(meter::STREAMS, "end", self.end.word());
+        meter::record_duration(meter::ANSWER_END, after.into());
         log::event(&Event::Streamed {
             request: &self.job.id,
             end: self.end.word(),
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -220,7 +220,7 @@
 async fn open(pick: &Pick) -> Option<Upstream> {
     let tcp = platform::call::connect(pick.addr).await.ok()?;
     let (send, conn) = http1::handshake(TokioIo::new(tcp)).await.ok()?;
-    metrics::counter!(meter::CONNECTIONS).increment(1);
+    metrics::counter!(meter::TARGET_CONNECTIONS).increment(1);
     let task = tokio::task::spawn_local(async move {
         // The error reaches whoever waits for an answer on this connection.
         let _ = conn.await;
@@ -326,16 +326,16 @@
 /// Tells of a sending.
 pub(super) fn tell(ctx: &Ctx, job: &Job, pick: &Pick, left: Duration) {
     if let Some(age) = pick.age {
-        meter::span(meter::BELIEF_AGE, age.into());
+        meter::record_duration(meter::LOAD_AGE, age.into());
     }
     if let Some(prompt) = &job.prompt {
         let fetched = prompt.input_tokens.saturating_sub(pick.held + pick.read);
-        meter::add(meter::TOKENS, "way", "held", pick.held.into());
-        meter::add(meter::TOKENS, "way", "read", pick.read.into());
-        meter::add(meter::TOKENS, "way", "fetched", fetched.into());
+        meter::add(meter::PROMPT_TOKENS, "way", "held", pick.held.into());
+        meter::add(meter::PROMPT_TOKENS, "way", "read", pick.read.into());
+        meter::add(meter::PROMPT_TOKENS, "way", "fetched", fetched.into());
     }
     let listed = ctx.now().since(ctx.fleet.borrow().listed);
-    meter::span(meter::LIST_AGE, listed.into());
+    meter::record_duration(meter::LIST_AGE, listed.into());
     log::event(&Event::Sent {
         request: &job.id,
         target: &pick.boot.id,
--- a/crates/gate/src/entry/serve.rs
+++ b/crates/gate/src/entry/serve.rs
@@ -157,7 +157,7 @@
 /// Sends a job until a target answers it or nothing more can be done.
 async fn answer(ctx: &Ctx, watch: &Rc<Watch>, mut job: Job) -> Response<Answer> {
     ctx.budget(&job.pool, |b| b.record_request(ctx.now()));
-    meter::span(meter::WAITING, ctx.now().since(job.came).into());
+    meter::record_duration(meter::WAITING, ctx.now().since(job.came).into());
     match tries::first_answer(ctx, &mut job).await {
         Ok(Found::Stream(live)) => {
             told(ctx, &job, live.response.status());
@@ -165,7 +165,7 @@
         }
         Ok(Found::Whole(response)) => {
             told(ctx, &job, response.status());
-            meter::span(meter::WHOLE, ctx.now().since(job.came).into());
+            meter::record_duration(meter::ANSWER_END, ctx.now().since(job.came).into());
             let (parts, body) = response.into_parts();
             let body = Full::new(body).map_err(|e| match e {});
             Response::from_parts(parts, Answer::new(body, Rc::clone(watch)))
@@ -176,13 +176,13 @@
 
 fn told(ctx: &Ctx, job: &Job, status: StatusCode) {
     let after = ctx.now().since(job.came);
-    meter::span(meter::HEAD, after.into());
+    meter::record_duration(meter::ANSWER_HEAD, after.into());
     let class = match status.as_u16() {
         200..300 => "2xx",
         300..500 => "4xx",
         _ => "5xx",
     };
-    meter::count(meter::ANSWERS, "status", class);
+    meter::increment(meter::ANSWERS, "status", class);
     log::event(&Event::Answered {
         request: &job.id,
         route: &job.route.name,
--- a/crates/gate/src/entry/tries.rs
+++ b/crates/gate/src/entry/tries.rs
@@ -144,7 +144,7 @@
     status: Option<StatusCode>,
     ran: bool,
 ) {
-    meter::count(meter::FAILED_TRIES, "reason", reason);
+    meter::increment(meter::FAILED_ATTEMPTS, "reason", reason);
     log::event(&Event::Tried {
         request: &job.id,
         target: &boot.id,
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -73,7 +73,7 @@
     let known = node.era.borrow().unwrap_or_default();
     store.raise_era(known);
     if let Some(kind) = kind {
-        meter::count(meter::ERAS, "kind", kind);
+        meter::increment(meter::STORE_ERAS, "kind", kind);
         log::event(&Event::BadEra { kind, known });
     }
 }
--- a/crates/gate/src/meter.rs
+++ b/crates/gate/src/meter.rs
@@ -39,83 +39,92 @@
 /// Requests refused or failed here, by reason.
 pub const REFUSALS: &str = "clementinestep_refusals_total";
 /// Tries that came to nothing, by reason.
-pub const FAILED_TRIES: &str = "clementinestep_failed_tries_total";
+pub const FAILED_ATTEMPTS: &str = "clementinestep_failed_tries_total";
 /// New connections to targets.
-pub const CONNECTIONS: &str = "clementinestep_target_connections_total";
+pub const TARGET_CONNECTIONS: &str = "clementinestep_target_connections_total";
 /// Streams ended, by how.
 pub const STREAMS: &str = "clementinestep_streams_total";
 /// Seconds from a request's arrival to its answer's head.
-pub const HEAD: &str = "clementinestep_answer_head_seconds";
+pub const ANSWER_HEAD: &str = "clementinestep_answer_head_seconds";
 /// Seconds from a request's arrival to its stream's first event.
-pub const FIRST: &str = "clementinestep_first_event_seconds";
+pub const FIRST_EVENT: &str = "clementinestep_first_event_seconds";
 /// Seconds from a request's arrival to its answer's end.
-pub const WHOLE: &str = "clementinestep_answer_whole_seconds";
+pub const ANSWER_END: &str = "clementinestep_answer_whole_seconds";
 /// Seconds from a request's arrival until it was first sent to a target.
 pub const WAITING: &str = "clementinestep_waiting_seconds";
 /// Prompt tokens sent to engines, by whether they were held there, fetched or read.
-pub const TOKENS: &str = "clementinestep_prompt_tokens_total";
+pub const PROMPT_TOKENS: &str = "clementinestep_prompt_tokens_total";
 /// Seconds since a target's load was last heard of, when it was used.
-pub const BELIEF_AGE: &str = "clementinestep_belief_age_seconds";
+pub const LOAD_AGE: &str = "clementinestep_belief_age_seconds";
 /// Seconds since the list of targets was last known to be as it was, when it was used.
 pub const LIST_AGE: &str = "clementinestep_list_age_seconds";
 /// Seconds that a call to the store took, held calls not counted.
-pub const STORE: &str = "clementinestep_store_call_seconds";
+pub const STORE_CALL: &str = "clementinestep_store_call_seconds";
 /// Requests of callers that are at targets.
 pub const RUNNING: &str = "clementinestep_running";
 /// Retries left, by pool.
-pub const RETRIES: &str = "clementinestep_retries_left";
+pub const RETRIES_LEFT: &str = "clementinestep_retries_left";
 /// Orders to engines, by outcome.
 pub const ORDERS: &str = "clementinestep_orders_total";
 /// Reports of engines that were read, by agent; those of delegates cost the engine time.
-pub const REPORTS: &str = "clementinestep_engine_reports_total";
+pub const ENGINE_REPORTS: &str = "clementinestep_engine_reports_total";
 /// Engines that this entry is the delegate of.
 pub const DELEGATES: &str = "clementinestep_delegates";
 /// Eras of the store that were restored, and answers whose era can't be used, by kind.
-pub const ERAS: &str = "clementinestep_store_eras_total";
+pub const STORE_ERAS: &str = "clementinestep_store_eras_total";
 /// Datagrams that can't be read.
 pub const BAD_UPDATES: &str = "clementinestep_bad_updates_total";
 /// Version of the configuration in force.
-pub const VERSION: &str = "clementinestep_configuration_version";
+pub const CONFIGURATION_VERSION: &str = "clementinestep_configuration_version";
 /// Other processes known.
 pub const MEMBERS: &str = "clementinestep_members";
 
 fn describe() {
     describe_counter!(ANSWERS, "requests answered, by status");
     describe_counter!(REFUSALS, "requests refused or failed here, by reason");
-    describe_counter!(FAILED_TRIES, "tries that came to nothing, by reason");
-    describe_counter!(CONNECTIONS, "new connections to targets");
+    describe_counter!(FAILED_ATTEMPTS, "tries that came to nothing, by reason");
+    describe_counter!(TARGET_CONNECTIONS, "new connections to targets");
     describe_counter!(STREAMS, "streams ended, by how");
-    describe_histogram!(HEAD, Unit::Seconds, "arrival to the answer's head");
-    describe_histogram!(FIRST, Unit::Seconds, "arrival to the first event");
-    describe_histogram!(WHOLE, Unit::Seconds, "arrival to the answer's end");
+    describe_histogram!(ANSWER_HEAD, Unit::Seconds, "arrival to the answer's head");
+    describe_histogram!(FIRST_EVENT, Unit::Seconds, "arrival to the first event");
+    describe_histogram!(ANSWER_END, Unit::Seconds, "arrival to the answer's end");
     describe_histogram!(WAITING, Unit::Seconds, "arrival to the first sending");
-    describe_counter!(TOKENS, "prompt tokens, by held, fetched or read");
-    describe_histogram!(BELIEF_AGE, Unit::Seconds, "age of a used target's load");
+    describe_counter!(PROMPT_TOKENS, "prompt tokens, by held, fetched or read");
+    describe_histogram!(LOAD_AGE, Unit::Seconds, "age of a used target's load");
     describe_histogram!(
         LIST_AGE,
         Unit::Seconds,
         "age of the list of targets when used"
     );
-    describe_histogram!(STORE, Unit::Seconds, "calls to the store");
+    describe_histogram!(STORE_CALL, Unit::Seconds, "calls to the store");
     describe_gauge!(RUNNING, "requests at targets");
-    describe_gauge!(RETRIES, "retries left, by pool");
+    describe_gauge!(RETRIES_LEFT, "retries left, by pool");
     describe_counter!(ORDERS, "orders to engines, by outcome");
-    describe_counter!(REPORTS, "reports of engines that were read, by agent");
+    describe_counter!(
+        ENGINE_REPORTS,
+        "reports of engines that were read, by agent"
+    );
     describe_gauge!(DELEGATES, "engines that this entry is the delegate of");
-    describe_counter!(ERAS, "restores of the store, and eras that can't be used");
+    describe_counter!(
+        STORE_ERAS,
+        "restores of the store, and eras that can't be used"
+    );
     describe_counter!(BAD_UPDATES, "datagrams that can't be read");
-    describe_gauge!(VERSION, "version of the configuration in force");
+    describe_gauge!(
+        CONFIGURATION_VERSION,
+        "version of the configuration in force"
+    );
     describe_gauge!(MEMBERS, "other processes known");
 }
 
 /// Counts one.
-pub fn count(name: &'static str, label: &'static str, value: &'static str) {
+pub fn increment(name: &'static str, label: &'static str, value: &'static str) {
     counter!(name, label => value).increment(1);
 }
 
 /// Notes a span.
-pub fn span(name: &'static str, span: Duration) {
-    histogram!(name).record(span.as_secs_f64());
+pub fn record_duration(name: &'static str, duration: Duration) {
+    histogram!(name).record(duration.as_secs_f64());
 }
 
 /// Counts several.
--- a/crates/gate/src/node.rs
+++ b/crates/gate/src/node.rs
@@ -76,7 +76,7 @@
         });
         if let Some(before) = known {
             self.restored.set(true);
-            meter::count(meter::ERAS, "kind", "restored");
+            meter::increment(meter::STORE_ERAS, "kind", "restored");
             log::event(&Event::Restored {
                 era,
                 before,
--- a/crates/gate/src/update.rs
+++ b/crates/gate/src/update.rs
@@ -250,7 +250,9 @@
         match socket.recv_from(&mut buffer).await {
             Ok((n, from)) => match Update::decode(&buffer[..n]) {
                 Ok(update) => return (update, from),
-                Err(_) => crate::meter::count(crate::meter::BAD_UPDATES, "reason", "unreadable"),
+                Err(_) => {
+                    crate::meter::increment(crate::meter::BAD_UPDATES, "reason", "unreadable")
+                }
             },
             // Only a port that nobody listens on at a former receiver comes back as an error.
             Err(_) => tokio::task::yield_now().await,
