--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -8,7 +8,7 @@
 //! leave an agent nothing, its fencing token rises because it is the time of the store's steady clock.
 
 mod report;
-mod watch;
+mod run;
 mod weights;
 
 use std::cell::RefCell;
@@ -31,8 +31,8 @@
 use weights::Rollout;
 
 pub(crate) use report::{all_entries, send_whole, summary};
-pub(crate) use watch::{events, look};
-pub(crate) use weights::answer;
+pub(crate) use run::{follow_cache, run};
+pub(crate) use weights::answer_slot_query;
 
 /// How long the engine may take to answer its own calls.
 pub(crate) const PATIENCE: Duration = Duration::from_millis(250);
@@ -62,7 +62,7 @@
 }
 
 impl Kind {
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Self::Sidecar => "sidecar",
             Self::Delegate => "delegate",
@@ -99,7 +99,7 @@
     pub(crate) subscribers: Subscribers,
 }
 
-pub(crate) type Own = Rc<RefCell<Agent>>;
+pub(crate) type SharedAgent = Rc<RefCell<Agent>>;
 
 impl Agent {
     /// The agent on an engine's host.
@@ -149,28 +149,28 @@
     }
 
     /// Whether its engine has to be asked which incarnation it is.
-    pub(crate) fn unidentified(&self) -> bool {
+    pub(crate) fn needs_identity(&self) -> bool {
         let unnamed = |r: &Report| r.boot.is_none();
         self.alive && self.boot.is_none() && self.report.as_ref().is_some_and(unnamed)
     }
 
     /// Takes over that the whole system starts for the first time.
-    pub(crate) fn bootstrap(&mut self) {
+    pub(crate) fn record_first_start(&mut self) {
         self.rollout.holder().record_first_start();
     }
 
     /// Whether another process may have ordered the engine before this one started.
-    pub(crate) fn unsure(&mut self, now: Micros) -> bool {
+    pub(crate) fn has_unknown_orders(&mut self, now: Micros) -> bool {
         self.alive && self.rollout.holder().has_unknown_orders(now)
     }
 
     /// Takes over how long no delegate has acted for the engine.
-    pub(crate) fn quiet(&mut self, now: Micros, quiet: Micros) {
+    pub(crate) fn record_quiet(&mut self, now: Micros, quiet: Micros) {
         self.rollout.holder().record_quiet(now, quiet);
     }
 
     /// Takes over what an entry notes of a prompt.
-    pub(crate) fn prompt(&mut self, now: Micros, note: PromptNote) {
+    pub(crate) fn record_prompt(&mut self, now: Micros, note: PromptNote) {
         match note.tokens {
             Some(tokens) => self.backlog.add(now, note.request, tokens),
             None => self.backlog.remove(note.request),
@@ -186,8 +186,8 @@
     }
 
     /// When it last ordered its engine, and with which fencing token.
-    pub(crate) fn ordered(&self) -> Option<(Micros, u64)> {
-        self.rollout.ordered()
+    pub(crate) fn last_order(&self) -> Option<(Micros, u64)> {
+        self.rollout.last_order()
     }
 
     /// Whether the engine's report is read now. A sidecar reads it all the time; a delegate, whose reads take
@@ -203,7 +203,7 @@
     }
 
     /// Takes over a report, or that there was none.
-    fn note(&mut self, now: Micros, report: Result<Report, EngineError>) {
+    fn record_report(&mut self, now: Micros, report: Result<Report, EngineError>) {
         if report.is_ok() && !self.alive {
             self.since = now;
         }
@@ -233,6 +233,6 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Env<'a> {
     pub(crate) node: &'a SharedNode,
-    pub(crate) agent: &'a Own,
+    pub(crate) agent: &'a SharedAgent,
     pub(crate) socket: &'a UdpSocket,
 }
--- a/crates/gate/src/agent/report.rs
+++ b/crates/gate/src/agent/report.rs
@@ -6,7 +6,7 @@
 use site::{Role, Weights};
 use tokio::net::UdpSocket;
 
-use super::{Kind, Own, STARTED};
+use super::{Kind, SharedAgent, STARTED};
 use crate::node::SharedNode;
 use crate::update::{self, HeldPart, LoadedWeights, Update};
 
@@ -14,7 +14,7 @@
 const MEMORY: Micros = Micros::from_millis(1_000);
 
 /// The engine's load and weights.
-pub(crate) fn summary(node: &SharedNode, agent: &Own) -> Update {
+pub(crate) fn summary(node: &SharedNode, agent: &SharedAgent) -> Update {
     let now = node.now();
     let mut a = agent.borrow_mut();
     a.backlog.expire(now);
@@ -63,7 +63,7 @@
 
 /// The entries that an agent reports to: subscribers and, while a sidecar has just started and they may not
 /// have subscribed yet, all that are known. A delegate reports to all, its own process included.
-pub(super) fn subscribers(node: &SharedNode, agent: &Own) -> Vec<SocketAddr> {
+pub(super) fn subscribers(node: &SharedNode, agent: &SharedAgent) -> Vec<SocketAddr> {
     let now = node.now();
     let cluster = node.cluster.borrow();
     if agent.borrow().kind == Kind::Delegate {
@@ -87,7 +87,7 @@
 
 /// Changes of parts that are to be sent. They are kept while no entry is known: a sidecar that starts reads
 /// all that its engine has stored, often before it has read the list of members.
-pub(super) fn fresh(node: &SharedNode, agent: &Own) -> Vec<HeldPart> {
+pub(super) fn fresh(node: &SharedNode, agent: &SharedAgent) -> Vec<HeldPart> {
     match subscribers(node, agent).first() {
         Some(_) => std::mem::take(&mut agent.borrow_mut().fresh),
         None => Vec::new(),
@@ -96,7 +96,7 @@
 
 /// Sends all that the engine holds to some addresses.
 pub(crate) fn send_whole(
-    agent: &Own,
+    agent: &SharedAgent,
     socket: &UdpSocket,
     update: &Update,
     to: impl IntoIterator<Item = SocketAddr> + Clone,
--- a/crates/gate/src/agent/watch.rs
+++ b/crates/gate/src/agent/run.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep, Instant};
 
 use super::report::{for_peers, fresh, send_whole, subscribers, summary, timeless};
-use super::{weights, Env, Kind, Own, PATIENCE};
+use super::{weights, Env, Kind, SharedAgent, PATIENCE};
 use crate::cache::Follower;
 use crate::log::Dependency;
 use crate::meter;
@@ -26,7 +26,7 @@
 const IDLE: Duration = Duration::from_secs(2);
 
 /// Follows what the engine stores and drops.
-pub(crate) async fn events(agent: Own, addr: SocketAddr) {
+pub(crate) async fn follow_cache(agent: SharedAgent, addr: SocketAddr) {
     let mut follower = Follower::new(Conn::new(addr));
     loop {
         let Ok(changes) = follower.changes().await else {
@@ -48,7 +48,7 @@
 }
 
 /// Looks at the engine, gives it its orders, reports to the entries.
-pub(crate) async fn look(env: Env<'_>, mut conn: Conn) {
+pub(crate) async fn run(env: Env<'_>, mut conn: Conn) {
     let Env {
         node,
         agent,
@@ -63,9 +63,9 @@
         let reads = agent.borrow().reads_report(node.now());
         if reads {
             let report = replica::fetch_report(&mut conn, PATIENCE).await;
-            meter::increment(meter::ENGINE_REPORTS, "agent", agent.borrow().kind.word());
-            dependency.note(&report);
-            agent.borrow_mut().note(node.now(), report);
+            meter::increment(meter::ENGINE_REPORTS, "agent", agent.borrow().kind.as_str());
+            dependency.record(&report);
+            agent.borrow_mut().record_report(node.now(), report);
         }
         weights::schedule(node, agent);
         if let Some(order) = weights::claim(env) {
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -17,7 +17,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::report::{all_entries, for_peers, summary};
-use super::{engine_key, Agent, AgentId, Env, Kind, Own, PATIENCE};
+use super::{engine_key, Agent, AgentId, Env, Kind, SharedAgent, PATIENCE};
 use crate::log::{self, Event};
 use crate::meter;
 use crate::node::{ClusterState, SharedNode};
@@ -114,7 +114,7 @@
     }
 
     /// When the engine was last ordered by this agent, and with which token.
-    pub(super) fn ordered(&self) -> Option<(Micros, u64)> {
+    pub(super) fn last_order(&self) -> Option<(Micros, u64)> {
         Some((self.ordered?, self.fence))
     }
 
@@ -172,7 +172,7 @@
 }
 
 /// Finds what the engine lacks and whether it is free to load.
-pub(super) fn schedule(node: &SharedNode, agent: &Own) {
+pub(super) fn schedule(node: &SharedNode, agent: &SharedAgent) {
     let now = node.now();
     let cluster = node.cluster.borrow();
     let mut a = agent.borrow_mut();
@@ -252,7 +252,7 @@
 }
 
 /// The agents that this one shares slots with: sidecars that are members, and delegates.
-pub(super) fn peers(node: &SharedNode, agent: &Own) -> Vec<AgentId> {
+pub(super) fn peers(node: &SharedNode, agent: &SharedAgent) -> Vec<AgentId> {
     let cluster = node.cluster.borrow();
     let a = agent.borrow();
     let (rank, agents) = place(node, &cluster, &a);
@@ -275,7 +275,7 @@
 }
 
 /// The processes of these agents, and all entries where there may be delegates.
-pub(super) fn processes(node: &SharedNode, agent: &Own) -> Vec<SocketAddr> {
+pub(super) fn processes(node: &SharedNode, agent: &SharedAgent) -> Vec<SocketAddr> {
     let agents = peers(node, agent);
     let mut addrs: Vec<_> = agents.into_iter().map(|a| a.addr).collect();
     if agent.borrow().kind == Kind::Delegate {
@@ -329,7 +329,7 @@
 }
 
 /// Answers another agent's ask with the state as of now.
-pub(crate) fn answer(env: Env<'_>, ask: SlotQuery, to: SocketAddr) {
+pub(crate) fn answer_slot_query(env: Env<'_>, ask: SlotQuery, to: SocketAddr) {
     let Env {
         node,
         agent,
@@ -345,7 +345,11 @@
     update::send(socket, &update, [to]);
 }
 
-fn step(node: &SharedNode, agent: &Own, peers: &[AgentId]) -> (Step<AgentId>, Option<Order>) {
+fn step(
+    node: &SharedNode,
+    agent: &SharedAgent,
+    peers: &[AgentId],
+) -> (Step<AgentId>, Option<Order>) {
     let now = node.now();
     let mut a = agent.borrow_mut();
     let a = &mut *a;
@@ -370,7 +374,7 @@
 }
 
 /// Gives the engine an order.
-pub(super) async fn give(node: &SharedNode, agent: &Own, conn: &mut Conn, order: &Order) {
+pub(super) async fn give(node: &SharedNode, agent: &SharedAgent, conn: &mut Conn, order: &Order) {
     if node.now().since(order.taken) > TAKEN {
         // The others no longer count the claim.
         agent
--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -20,7 +20,7 @@
 
 use super::replica::Replica;
 use super::Ctx;
-use crate::agent::{self, engine_key, Agent, AgentId, Env, Own};
+use crate::agent::{self, engine_key, Agent, AgentId, Env, SharedAgent};
 use crate::log::{self, Event};
 use crate::meter;
 use crate::node::{domain_key, ClusterState};
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 struct Delegate {
     boot: Boot,
-    agent: Own,
+    agent: SharedAgent,
     task: AbortHandle,
 }
 
@@ -246,15 +246,15 @@
     ctx.delegates.borrow_mut().own.insert(key, delegate);
 }
 
-async fn act(ctx: Ctx, agent: Own, addr: SocketAddr) {
+async fn act(ctx: Ctx, agent: SharedAgent, addr: SocketAddr) {
     let env = Env {
         node: &ctx.node,
         agent: &agent,
         socket: &ctx.socket,
     };
     tokio::join!(
-        agent::events(Rc::clone(&agent), addr),
-        agent::look(env, Conn::new(addr)),
+        agent::follow_cache(Rc::clone(&agent), addr),
+        agent::run(env, Conn::new(addr)),
     );
 }
 
@@ -269,7 +269,7 @@
         addr: agent.addr.to_string(),
         acts: false,
     });
-    if let Some((at, fence)) = agent.ordered() {
+    if let Some((at, fence)) = agent.last_order() {
         d.orders.insert(key, Order { at, fence });
     }
 }
@@ -277,7 +277,7 @@
 /// Takes over a note on a prompt at an engine that this entry acts for.
 pub(super) fn prompt(ctx: &Ctx, engine: u64, note: PromptNote) {
     if let Some(d) = ctx.delegates.borrow().own.get(&engine) {
-        d.agent.borrow_mut().prompt(ctx.now(), note);
+        d.agent.borrow_mut().record_prompt(ctx.now(), note);
     }
 }
 
@@ -319,7 +319,7 @@
             agent: &asked.agent,
             socket: &ctx.socket,
         };
-        agent::answer(env, ask, from);
+        agent::answer_slot_query(env, ask, from);
     }
 }
 
@@ -329,7 +329,7 @@
     let now = ctx.now();
     let lease = Micros::from(ctx.node.settings.borrow().bounds.lease);
     let mut d = ctx.delegates.borrow_mut();
-    let current = d.own.get(&key).and_then(|o| o.agent.borrow().ordered());
+    let current = d.own.get(&key).and_then(|o| o.agent.borrow().last_order());
     let current = current.map(|(at, fence)| Order { at, fence });
     let Some(order) = current.or_else(|| d.orders.get(&key).copied()) else {
         return;
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -22,7 +22,7 @@
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 use super::{suspects, Ctx};
-use crate::follow::{note_era, pause};
+use crate::follow::{record_era, retry_pause};
 use crate::log::{self, Dependency, Event};
 use crate::meter;
 use crate::node::Source;
@@ -92,12 +92,12 @@
             read = read(&ctx, &mut store) => read,
             () = ctx.list.found() => continue,
         };
-        note_era(&ctx.node, &mut store);
+        record_era(&ctx.node, &mut store);
         if matches!(read, Err(StoreError::Gone | StoreError::OutdatedEra(..))) {
-            pause().await;
+            retry_pause().await;
             continue;
         }
-        dependency.note(&read);
+        dependency.record(&read);
         let now = ctx.now();
         meter::record_duration(meter::STORE_CALL, now.since(asked).into());
         ctx.gauges();
@@ -253,7 +253,7 @@
         let changed = async {
             tokio::select! {
                 () = ctx.list.changed.notified() => {}
-                _ = era.changed() => pause().await,
+                _ = era.changed() => retry_pause().await,
             }
         };
         if timeout(left, changed).await.is_ok() {
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -51,14 +51,14 @@
 }
 
 /// A random pause before the store is asked again.
-pub async fn pause() {
+pub async fn retry_pause() {
     let span = PAUSE.as_millis() as u64..LONGEST.as_millis() as u64;
     let ms = rand::rng().random_range(span);
     sleep(Duration::from_millis(ms)).await;
 }
 
 /// Takes over the era that the store's last answer named, and lets the client drop answers of earlier ones.
-pub fn note_era(node: &SharedNode, store: &mut Store) {
+pub fn record_era(node: &SharedNode, store: &mut Store) {
     let known = *node.era.borrow();
     let kind = match store.last_era_header() {
         EraHeader::Value(era) if known.is_none_or(|k| era >= k) => {
@@ -79,13 +79,13 @@
 }
 
 /// Notes whether the store answers this process, and tells it when that changes.
-fn note<T>(
+fn record_answer<T>(
     node: &SharedNode,
     store: &mut Store,
     dependency: &mut Dependency,
     result: &Result<T, StoreError>,
 ) {
-    note_era(node, store);
+    record_era(node, store);
     // Lost history and a late answer are answers like any other.
     let answered = matches!(
         result,
@@ -94,14 +94,14 @@
     if answered {
         return;
     }
-    dependency.note(result);
+    dependency.record(result);
     let now = node.now();
     let lost = &mut node.cluster.borrow_mut().store_lost_since;
     *lost = result.is_err().then(|| lost.unwrap_or(now));
 }
 
 /// Follows the operator's rows for as long as the process lives.
-pub async fn operator(node: SharedNode) {
+pub async fn follow_operator_rows(node: SharedNode) {
     let addr = node.settings.borrow().store;
     let mut store = Store::new(addr);
     let mut dependency = Dependency::new("store");
@@ -109,9 +109,9 @@
     loop {
         era.mark_unchanged();
         let all = store.rows(OPERATOR_TABLE).await;
-        note(&node, &mut store, &mut dependency, &all);
+        record_answer(&node, &mut store, &mut dependency, &all);
         let Ok(rows) = all else {
-            pause().await;
+            retry_pause().await;
             continue;
         };
         let mut after = rows.at;
@@ -123,7 +123,7 @@
                 news = store.changes(OPERATOR_TABLE, after, HOLD) => news,
                 _ = era.changed() => Err(StoreError::Gone),
             };
-            note(&node, &mut store, &mut dependency, &news);
+            record_answer(&node, &mut store, &mut dependency, &news);
             match news {
                 Ok(rows) => {
                     after = after.max(rows.at);
@@ -131,7 +131,7 @@
                 }
                 // The history between is gone, so all is read again; not by all processes at one moment.
                 Err(StoreError::Gone | StoreError::OutdatedEra(..)) => {
-                    pause().await;
+                    retry_pause().await;
                     break;
                 }
                 // So it is until an answer names the era again.
@@ -140,7 +140,7 @@
                     break;
                 }
                 Err(_) => {
-                    pause().await;
+                    retry_pause().await;
                     // A fresh read shows at once whether the store answers, where a held call
                     // would tell only at its end.
                     break;
@@ -175,7 +175,7 @@
 }
 
 /// Enters this process in the list of members and follows that list.
-pub async fn members(node: SharedNode) {
+pub async fn follow_members(node: SharedNode) {
     let (addr, host, own) = {
         let s = node.settings.borrow();
         let own = Entry {
@@ -191,21 +191,21 @@
     let mut dependency = Dependency::new("members");
     loop {
         let entered = store.put(MEMBERS_TABLE, &host, &value).await;
-        dependency.note(&entered);
+        dependency.record(&entered);
         if entered.is_ok() {
             break;
         }
-        pause().await;
+        retry_pause().await;
         sleep(LONGEST).await;
     }
     let mut last = None;
     loop {
         let read = list(&node, &mut store, &host, &value, &mut last).await;
-        note_era(&node, &mut store);
-        dependency.note(&read);
+        record_era(&node, &mut store);
+        dependency.record(&read);
         if read.is_err() {
             sleep(LONGEST).await;
-            pause().await;
+            retry_pause().await;
         }
     }
 }
@@ -222,7 +222,7 @@
     let mut era = node.era.subscribe();
     era.mark_unchanged();
     let all = store.rows(MEMBERS_TABLE).await?;
-    note_era(node, store);
+    record_era(node, store);
     let mut after = all.at;
     let listed = all.rows.iter().any(|r| r.key == own);
     reread(node, MEMBERS_TABLE, &all, usize::from(!listed));
@@ -235,11 +235,11 @@
         });
     }
     members.remove(own);
-    know(node, members);
+    set_members(node, members);
     if !listed {
         spread().await;
         store.put(MEMBERS_TABLE, own, value).await?;
-        note_era(node, store);
+        record_era(node, store);
     }
     loop {
         let news = tokio::select! {
@@ -247,10 +247,10 @@
             news = store.changes(MEMBERS_TABLE, after, HOLD) => news,
             _ = era.changed() => Err(StoreError::Gone),
         };
-        note_era(node, store);
+        record_era(node, store);
         let news = match news {
             Err(StoreError::Gone | StoreError::OutdatedEra(..)) => {
-                pause().await;
+                retry_pause().await;
                 return Ok(());
             }
             Err(StoreError::MissingEra) => {
@@ -265,12 +265,12 @@
         let changed = news.rows.into_iter().filter_map(member);
         let mut members = node.cluster.borrow().members.clone();
         members.extend(changed.filter(|(h, _)| h != own));
-        know(node, members);
+        set_members(node, members);
     }
 }
 
 /// Takes over the other processes, and tells of them if they are others than before.
-fn know(node: &SharedNode, members: HashMap<String, Member>) {
+fn set_members(node: &SharedNode, members: HashMap<String, Member>) {
     let mut cluster = node.cluster.borrow_mut();
     if cluster.members == members {
         return;
--- a/crates/gate/src/kv_stores.rs
+++ b/crates/gate/src/kv_stores.rs
@@ -139,7 +139,7 @@
     let mut store = Dependency::new("kept cache");
     loop {
         let told = follower.changes().await;
-        store.note(&told);
+        store.record(&told);
         let entries = all_entries(&node);
         let Ok(told) = told else {
             // Nothing is fetched from a store that doesn't answer.
--- a/crates/gate/src/log.rs
+++ b/crates/gate/src/log.rs
@@ -360,7 +360,7 @@
     }
 
     /// Notes how it answered; tells if that is a change.
-    pub fn note<T>(&mut self, result: &Result<T, impl std::fmt::Display>) {
+    pub fn record<T>(&mut self, result: &Result<T, impl std::fmt::Display>) {
         match (result, self.lost) {
             (Ok(_), Some(since)) => {
                 self.lost = None;
--- a/crates/gate/src/sidecar.rs
+++ b/crates/gate/src/sidecar.rs
@@ -12,7 +12,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, Instant};
 
-use crate::agent::{self, Agent, AgentId, Env, Own};
+use crate::agent::{self, Agent, AgentId, Env, SharedAgent};
 use crate::node::SharedNode;
 use crate::{kv_stores, peer, update};
 
@@ -40,7 +40,7 @@
     };
     let mut agent = Agent::sidecar(addr, lease.into());
     if bootstrap {
-        agent.bootstrap();
+        agent.record_first_start();
     }
     let agent = Rc::new(RefCell::new(agent));
     let socket = Rc::new(socket);
@@ -57,8 +57,8 @@
     };
     tokio::select! {
         () = identify(&node, &agent, addr) => {}
-        () = agent::events(Rc::clone(&agent), addr) => {}
-        () = agent::look(env, Conn::new(addr)) => {}
+        () = agent::follow_cache(Rc::clone(&agent), addr) => {}
+        () = agent::run(env, Conn::new(addr)) => {}
         () = receive(env, stores) => {}
         _ = stop => {}
     }
@@ -90,7 +90,7 @@
         }
         if update.entry {
             if let Some(note) = update.note {
-                agent.borrow_mut().prompt(node.now(), note);
+                agent.borrow_mut().record_prompt(node.now(), note);
             }
             continue;
         }
@@ -100,7 +100,7 @@
         };
         agent.borrow_mut().receive(node.now(), &update, id);
         if let Some(ask) = update.slot_ask.filter(|a| a.delegate == 0) {
-            agent::answer(env, ask, from);
+            agent::answer_slot_query(env, ask, from);
         }
     }
 }
@@ -109,11 +109,11 @@
 ///
 /// Entries send the incarnation with their subscriptions as well. On that alone a sidecar whose datagrams were
 /// lost had none to name in an order for seconds.
-async fn identify(node: &SharedNode, agent: &Own, addr: SocketAddr) {
+async fn identify(node: &SharedNode, agent: &SharedAgent, addr: SocketAddr) {
     loop {
         let (unidentified, unsure) = {
             let mut a = agent.borrow_mut();
-            (a.unidentified(), a.unsure(node.now()))
+            (a.needs_identity(), a.has_unknown_orders(node.now()))
         };
         if !unidentified && !unsure {
             sleep(IDENTIFIED).await;
@@ -126,7 +126,7 @@
             a.identify(boot);
         }
         if let Some(quiet) = known.quiet.filter(|_| unsure) {
-            a.quiet(node.now(), quiet);
+            a.record_quiet(node.now(), quiet);
         }
     }
 }
--- a/crates/gate/src/start.rs
+++ b/crates/gate/src/start.rs
@@ -74,8 +74,8 @@
     let node: SharedNode = Rc::new(Node::new(settings));
     meter::serve(&node).await?;
     tokio::task::spawn_local(reload(Rc::clone(&node), path, hup));
-    tokio::task::spawn_local(follow::operator(Rc::clone(&node)));
-    tokio::task::spawn_local(follow::members(Rc::clone(&node)));
+    tokio::task::spawn_local(follow::follow_operator_rows(Rc::clone(&node)));
+    tokio::task::spawn_local(follow::follow_members(Rc::clone(&node)));
     tokio::task::spawn_local(peer::query_while_store_is_lost(Rc::clone(&node)));
     peer::serve(&node, listener);
     let stop = stopped(term, int);
