--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -1,11 +1,13 @@
 //! The agent of an engine: it follows the engine, orders its weights and reports on it.
 //!
-//! Usually the agent is the sidecar on the engine's host ([`crate::sidecar`]), which reads the engine's
-//! report all the time. For an engine without one an entry is its delegate (`entry::delegate`): reports
-//! of a remote engine cost it time, so a delegate reads one only where an order depends on it.
+//! Usually the agent is the sidecar on the engine's host ([`crate::sidecar`]), which reads the
+//! engine's report all the time. For an engine without one an entry is its delegate
+//! (`entry::delegate`): reports of a remote engine cost it time, so a delegate reads one only where
+//! an order depends on it.
 //!
-//! Orders of two agents never follow one another within a lease ([`policy::holder`]). Over restarts, which
-//! leave an agent nothing, its fencing token rises because it is the time of the store's steady clock.
+//! Orders of two agents never follow one another within a lease ([`policy::holder`]). Over
+//! restarts, which leave an agent nothing, its fencing token rises because it is the time of the
+//! store's steady clock.
 
 mod report;
 mod run;
@@ -40,7 +42,8 @@
 const REREAD: Micros = Micros::from_millis(500);
 /// Age up to which a report that a delegate has read is good enough for an order.
 const AHEAD: Micros = Micros::from_millis(150);
-/// How long after its start a sidecar reports to all entries; each that uses it subscribes within that.
+/// How long after its start a sidecar reports to all entries; each that uses it subscribes within
+/// that.
 const STARTED: Micros = Micros(2 * subscription::RENEW_INTERVAL.0);
 
 /// An agent, as other processes address it.
@@ -140,8 +143,8 @@
         }
     }
 
-    /// Takes over which incarnation the engine is. An entry that hasn't read the list since the former one
-    /// ended still names that one.
+    /// Takes over which incarnation the engine is. An entry that hasn't read the list since the
+    /// former one ended still names that one.
     pub(crate) fn identify(&mut self, boot: Boot) {
         if self.former.as_ref() != Some(&boot) {
             self.boot = Some(boot);
@@ -180,7 +183,7 @@
     /// Takes over another agent's update.
     pub(crate) fn receive(&mut self, now: Micros, update: &Update, from: AgentId) {
         if update.engine == self.addr.to_string() {
-            return self.rollout.share(now, update);
+            return self.rollout.receive_other_holder(now, update);
         }
         self.rollout.receive(now, update, from);
     }
@@ -190,15 +193,16 @@
         self.rollout.last_order()
     }
 
-    /// Whether the engine's report is read now. A sidecar reads it all the time; a delegate, whose reads take
-    /// the engine's time, to learn its weights and count of orders, before an order and at a load's end.
-    fn reads_report(&self, now: Micros) -> bool {
+    /// Whether the engine's report is read now. A sidecar reads it all the time; a delegate, whose
+    /// reads take the engine's time, to learn its weights and count of orders, before an order and
+    /// at a load's end.
+    fn needs_report(&self, now: Micros) -> bool {
         let age = now.since(self.read);
         match (self.kind, &self.report) {
             (Kind::Sidecar, _) => true,
             (_, None) => self.read == Micros::ZERO || age >= REREAD,
             _ if self.doubtful => age >= REREAD,
-            _ => self.rollout.reads_report(now) && age >= AHEAD,
+            _ => self.rollout.needs_report(now) && age >= AHEAD,
         }
     }
 
@@ -218,7 +222,7 @@
             self.former = self.boot.take().or(self.former.take());
         }
         if let Ok(report) = report {
-            self.rollout.count(now, report.seq);
+            self.rollout.update_order_count(now, report.seq);
             self.report = Some(report);
         }
     }
--- a/crates/gate/src/agent/report.rs
+++ b/crates/gate/src/agent/report.rs
@@ -48,7 +48,7 @@
     if a.kind == Kind::Delegate {
         update.unread = a.backlog.unread_prompts();
     }
-    a.rollout.report(now, &mut update);
+    a.rollout.fill_update(now, &mut update);
     // From its own order on, before the engine's report shows it.
     update.busy |= update.loading_ms.is_some();
     update
@@ -61,8 +61,9 @@
     }
 }
 
-/// The entries that an agent reports to: subscribers and, while a sidecar has just started and they may not
-/// have subscribed yet, all that are known. A delegate reports to all, its own process included.
+/// The entries that an agent reports to: subscribers and, while a sidecar has just started and they
+/// may not have subscribed yet, all that are known. A delegate reports to all, its own process
+/// included.
 pub(super) fn subscribers(node: &SharedNode, agent: &SharedAgent) -> Vec<SocketAddr> {
     let now = node.now();
     let cluster = node.cluster.borrow();
@@ -85,8 +86,8 @@
     cluster.entries().chain(own).collect()
 }
 
-/// Changes of parts that are to be sent. They are kept while no entry is known: a sidecar that starts reads
-/// all that its engine has stored, often before it has read the list of members.
+/// Changes of parts that are to be sent. They are kept while no entry is known: a sidecar that
+/// starts reads all that its engine has stored, often before it has read the list of members.
 pub(super) fn fresh(node: &SharedNode, agent: &SharedAgent) -> Vec<HeldPart> {
     match subscribers(node, agent).first() {
         Some(_) => std::mem::take(&mut agent.borrow_mut().fresh),
--- a/crates/gate/src/agent/run.rs
+++ b/crates/gate/src/agent/run.rs
@@ -60,7 +60,7 @@
     let mut peers = Peers::default();
     let mut dependency = Dependency::new("engine");
     loop {
-        let reads = agent.borrow().reads_report(node.now());
+        let reads = agent.borrow().needs_report(node.now());
         if reads {
             let report = replica::fetch_report(&mut conn, PATIENCE).await;
             meter::increment(meter::ENGINE_REPORTS, "agent", agent.borrow().kind.as_str());
@@ -68,11 +68,11 @@
             agent.borrow_mut().record_report(node.now(), report);
         }
         weights::schedule(node, agent);
-        if let Some(order) = weights::claim(env) {
+        if let Some(order) = weights::claim_slot(env) {
             let update = summary(node, agent);
             peers.report(env, &update);
             update::send(socket, &update, subscribers(node, agent));
-            weights::give(node, agent, &mut conn, &order).await;
+            weights::send_order(node, agent, &mut conn, &order).await;
         }
         let update = summary(node, agent);
         peers.report(env, &update);
@@ -99,7 +99,8 @@
 }
 
 impl Peers {
-    /// Reports to the other agents what has changed, and all of it now and then while weights change.
+    /// Reports to the other agents what has changed, and all of it now and then while weights
+    /// change.
     fn report(&mut self, env: Env<'_>, update: &Update) {
         let Env {
             node,
@@ -123,6 +124,6 @@
         }
         self.reported = timeless;
         self.renewed = Some(Instant::now());
-        update::send(socket, &update, weights::processes(node, agent));
+        update::send(socket, &update, weights::peer_processes(node, agent));
     }
 }
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -1,6 +1,8 @@
-//! New weights for an agent's engine: updates to and from the other agents, and the order.
+//! Loading new weights on an agent's engine: the exchange of updates with other agents, the claim
+//! of a slot, and the order to the engine.
 //!
-//! [`policy::slots`] decides when the engine loads, [`policy::holder`] whether this process may order it.
+//! [`policy::slots`] decides when the engine loads, and [`policy::holder`] whether this process may
+//! order it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,41 +25,43 @@
 use crate::node::{ClusterState, SharedNode};
 use crate::update::{self, SlotQuery, Update};
 
-/// How long an order waits until it is known which incarnation the engine is. An order that names none may
-/// be carried out late by the next incarnation, and put older weights in the place of newer ones.
-const NAMED: Micros = Micros::from_millis(2_500);
+/// How long an order waits until the engine's incarnation is known. An order without an incarnation
+/// may be executed late by the next incarnation and replace newer weights by older ones.
+const IDENTITY_WAIT: Micros = Micros::from_millis(2_500);
 
-/// Age up to which a slot that was taken is used; a process that was paused in between takes another one.
-const TAKEN: Micros = Micros::from_millis(250);
+/// Time after a claim succeeds within which the order must be sent. A process that was paused in
+/// between claims a slot again.
+const SLOT_LIFETIME: Micros = Micros::from_millis(250);
 
-/// How long a delegate that was received of stays one to ask for a slot; three of its updates.
-const DELEGATE: Micros = Micros::from_secs(6);
+/// How long a delegate is queried for slots after its last update: three of its update intervals.
+const DELEGATE_TTL: Micros = Micros::from_secs(6);
 
-/// What an agent knows of new weights.
+/// State of an agent's weight loads.
 #[derive(Debug)]
 pub(super) struct Rollout {
     pub(super) slots: Slots<AgentId>,
-    /// The right to order the engine.
+    /// This process's right to order the engine.
     holder: Holder,
-    /// Draw of this process.
+    /// Random number of this process, a new one after each start.
     process: u64,
-    /// Fencing token; 0 until the store's clock is known.
-    fence: u64,
-    /// The highest token with which another process has ordered the engine, as far as known.
-    fenced: u64,
-    /// When the engine was last ordered.
-    ordered: Option<Micros>,
-    lack: Option<Missing>,
-    /// Delegates of other engines, and when each was last received.
+    /// Fencing token of this process's orders; 0 until the store's clock is known.
+    fencing_token: u64,
+    /// Highest known fencing token with which another process has ordered the engine.
+    highest_other_token: u64,
+    /// When this process last ordered the engine.
+    ordered_at: Option<Micros>,
+    /// Weights that the engine still has to load.
+    pending: Option<PendingLoad>,
+    /// Delegates of other engines, and when the last update of each was received.
     delegates: HashMap<AgentId, Micros>,
 }
 
-/// Weights that the engine is to load.
+/// Weights that the engine has to load.
 #[derive(Clone, Debug)]
-struct Missing {
+struct PendingLoad {
     weights: Weights,
-    /// When this process received their version.
-    received: Micros,
+    /// When this process received the announcement of the version.
+    received_at: Micros,
 }
 
 impl Rollout {
@@ -66,72 +70,73 @@
             slots: Slots::default(),
             holder,
             process: rand::random(),
-            fence: 0,
-            fenced: 0,
-            ordered: None,
-            lack: None,
+            fencing_token: 0,
+            highest_other_token: 0,
+            ordered_at: None,
+            pending: None,
             delegates: HashMap::new(),
         }
     }
 
-    /// Takes over the update or answer of another engine's agent.
+    /// Records an update or slot answer from the agent of another engine.
     pub(super) fn receive(&mut self, now: Micros, update: &Update, from: AgentId) {
         if from.delegate != 0 {
             self.delegates.insert(from, now);
         }
-        // An engine that loads may report late.
-        let known = update.alive || update.loading_ms.is_some();
-        let state = known.then(|| state(update));
+        // The report of an engine that is loading may be late.
+        let reachable = update.alive || update.loading_ms.is_some();
+        let state = reachable.then(|| peer_state(update));
         self.slots.receive(now, from, state);
-        if let Some(ask) = update.slot_answer {
-            let sent = Micros(ask.sent_us);
-            let round = ask.round;
+        if let Some(query) = update.slot_answer {
+            let sent = Micros(query.sent_us);
+            let round = query.round;
             self.slots.answered(now, from, Query { round, sent });
         }
     }
 
-    /// Takes over the update of another agent of the same engine.
-    pub(super) fn share(&mut self, now: Micros, update: &Update) {
+    /// Records an update from another agent of the same engine.
+    pub(super) fn receive_other_holder(&mut self, now: Micros, update: &Update) {
         let Some(age) = update.ordered_ms else {
             return;
         };
-        self.fenced = self.fenced.max(update.fence);
+        self.highest_other_token = self.highest_other_token.max(update.fence);
         let at = now - Micros::from_millis(age.into());
         self.holder.record_other_holder(at);
     }
 
-    /// Takes over the engine's count of orders.
-    pub(super) fn count(&mut self, now: Micros, orders: u64) {
+    /// Records the number of orders that the engine has accepted.
+    pub(super) fn update_order_count(&mut self, now: Micros, orders: u64) {
         if self.holder.update_count(now, orders) {
-            // The next order needs a token above that of the process that gave this one.
-            self.fence = 0;
+            // Another process has ordered the engine; the next order needs a higher token than
+            // that.
+            self.fencing_token = 0;
         }
     }
 
-    /// The right to order the engine.
+    /// This process's right to order the engine.
     pub(super) fn holder(&mut self) -> &mut Holder {
         &mut self.holder
     }
 
-    /// When the engine was last ordered by this agent, and with which token.
+    /// When this agent last ordered the engine, and its fencing token.
     pub(super) fn last_order(&self) -> Option<(Micros, u64)> {
-        Some((self.ordered?, self.fence))
+        Some((self.ordered_at?, self.fencing_token))
     }
 
-    /// Delegates of other engines.
+    /// Delegates of other engines that have sent an update recently.
     fn delegates(&self, now: Micros) -> impl Iterator<Item = AgentId> + '_ {
-        let recent = move |at: &Micros| now.since(*at) < DELEGATE;
+        let recent = move |at: &Micros| now.since(*at) < DELEGATE_TTL;
         let delegates = self.delegates.iter().filter(move |(_, at)| recent(at));
         delegates.map(|(a, _)| *a)
     }
 
-    /// Whether a delegate needs the engine's report as of now.
-    pub(super) fn reads_report(&self, now: Micros) -> bool {
+    /// Whether a delegate needs a current report of the engine.
+    pub(super) fn needs_report(&self, now: Micros) -> bool {
         self.slots.needs_report(now)
     }
 
-    /// Adds to the update for the entries and the other agents.
-    pub(super) fn report(&self, now: Micros, update: &mut Update) {
+    /// Sets the fields about weight loads in an update to entries and other agents.
+    pub(super) fn fill_update(&self, now: Micros, update: &mut Update) {
         let ms = |t: Micros| u32::try_from(t.as_millis()).unwrap_or(u32::MAX);
         let state = self.slots.state(now, 0, Vec::new());
         update.due_ms = state.due.map(ms);
@@ -142,14 +147,14 @@
         update.process = self.process;
         update.sent_us = state.sent.0;
         if update.delegate != 0 {
-            update.ordered_ms = self.ordered.map(|at| ms(now.since(at)));
-            update.fence = self.fence;
+            update.ordered_ms = self.ordered_at.map(|at| ms(now.since(at)));
+            update.fence = self.fencing_token;
         }
     }
 }
 
-/// An agent's update as decisions see it.
-fn state(update: &Update) -> State {
+/// Converts an agent's update to the state that [`policy::slots`] uses.
+fn peer_state(update: &Update) -> State {
     let ms = |ms: u32| Micros::from_millis(ms.into());
     let weights = update.weights.iter();
     State {
@@ -171,7 +176,7 @@
     ModelKey(xxh3_64(model.as_bytes()))
 }
 
-/// Finds what the engine lacks and whether it is free to load.
+/// Determines which weights the engine has to load, and whether it is due to load them.
 pub(super) fn schedule(node: &SharedNode, agent: &SharedAgent) {
     let now = node.now();
     let cluster = node.cluster.borrow();
@@ -180,13 +185,13 @@
     let a = &mut *a;
     let rollout = &mut a.rollout;
     if let (0, Some(fence)) = (
-        rollout.fence,
+        rollout.fencing_token,
         cluster.fencing_token(now, &node.settings.borrow().host),
     ) {
-        rollout.fence = fence.max(rollout.fenced + 1);
+        rollout.fencing_token = fence.max(rollout.highest_other_token + 1);
     }
     let Some(report) = a.report.as_ref().filter(|_| a.alive) else {
-        rollout.lack = None;
+        rollout.pending = None;
         return match a.ended {
             true => rollout.slots.engine_exited(now),
             false => rollout.slots.report_missed(now),
@@ -195,37 +200,38 @@
     let weights = report.weights.iter();
     let weights: Vec<_> = weights.map(|w| (model_key(&w.model), w.version)).collect();
     rollout.slots.report(now, &weights, report.busy);
-    // An engine that this process may not order yet stands in no other engine's way.
-    let may = rollout.fence != 0 && rollout.holder.may_order(now);
-    let lack = lacking(report, &cluster).filter(|_| may);
-    rollout.lack = lack.map(|(has, named)| Missing {
+    // An engine that this process may not order yet must not take a slot from another engine.
+    let may_order = rollout.fencing_token != 0 && rollout.holder.may_order(now);
+    let pending = first_outdated(report, &cluster).filter(|_| may_order);
+    rollout.pending = pending.map(|(weights, versions)| PendingLoad {
         weights: Weights {
-            model: has.model.clone(),
-            version: named.newest(),
+            model: weights.model.clone(),
+            version: versions.newest(),
         },
-        received: named.received_at(),
+        received_at: versions.received_at(),
     });
-    let lack = lack.map(|(has, named)| OutdatedWeights {
-        model: model_key(&has.model),
-        version: has.version,
-        announced: named,
+    let pending = pending.map(|(weights, versions)| OutdatedWeights {
+        model: model_key(&weights.model),
+        version: weights.version,
+        announced: versions,
     });
-    rollout.slots.schedule(now, &group, lack.as_ref());
+    rollout.slots.schedule(now, &group, pending.as_ref());
 }
 
-/// The first weights in use that are older than the newest that were named.
-fn lacking<'a>(
+/// The first loaded weights for which a newer version has been announced, and the announced
+/// versions.
+fn first_outdated<'a>(
     report: &'a Report,
     cluster: &'a ClusterState,
 ) -> Option<(&'a Weights, &'a Versions)> {
     report.weights.iter().find_map(|w| {
-        let named = cluster.announced_weights.get(&w.model)?;
-        (named.newest() > w.version).then_some((w, named))
+        let versions = cluster.announced_weights.get(&w.model)?;
+        (versions.newest() > w.version).then_some((w, versions))
     })
 }
 
 fn group(node: &SharedNode, cluster: &ClusterState, agent: &Agent) -> Group {
-    let (rank, hosts) = place(node, cluster, agent);
+    let (rank, hosts) = rank(node, cluster, agent);
     Group {
         engine: engine_key(agent.addr),
         rank,
@@ -234,8 +240,8 @@
     }
 }
 
-/// An agent's place among the agents that are listed, and their number.
-fn place(node: &SharedNode, cluster: &ClusterState, agent: &Agent) -> (usize, usize) {
+/// An agent's rank among the listed agents of its kind, and their number.
+fn rank(node: &SharedNode, cluster: &ClusterState, agent: &Agent) -> (usize, usize) {
     match agent.kind {
         Kind::Sidecar => {
             let own = &node.settings.borrow().host;
@@ -251,11 +257,12 @@
     }
 }
 
-/// The agents that this one shares slots with: sidecars that are members, and delegates.
+/// The agents that share slots with this one: sidecars of its group that are members, and
+/// delegates.
 pub(super) fn peers(node: &SharedNode, agent: &SharedAgent) -> Vec<AgentId> {
     let cluster = node.cluster.borrow();
     let a = agent.borrow();
-    let (rank, agents) = place(node, &cluster, &a);
+    let (rank, agents) = rank(node, &cluster, &a);
     let own = node.settings.borrow().host.clone();
     let sidecars = cluster.other_sidecars(&own);
     let same = rollout::same_group(rank, agents);
@@ -274,8 +281,9 @@
     sidecars.chain(a.rollout.delegates(node.now())).collect()
 }
 
-/// The processes of these agents, and all entries where there may be delegates.
-pub(super) fn processes(node: &SharedNode, agent: &SharedAgent) -> Vec<SocketAddr> {
+/// Addresses of the processes that run the agents returned by [`peers`]. A delegate also reports to
+/// all entries, which may run other delegates.
+pub(super) fn peer_processes(node: &SharedNode, agent: &SharedAgent) -> Vec<SocketAddr> {
     let agents = peers(node, agent);
     let mut addrs: Vec<_> = agents.into_iter().map(|a| a.addr).collect();
     if agent.borrow().kind == Kind::Delegate {
@@ -286,40 +294,42 @@
     addrs
 }
 
-/// An order that is to be sent.
+/// An order to load weights, ready to be sent.
 pub(super) struct Order {
-    lack: Missing,
-    fence: u64,
-    /// Orders that the engine must have accepted before.
-    after: u64,
-    active: u32,
-    boot: Option<String>,
-    taken: Micros,
-    /// Sidecars that were passed over.
-    silent: usize,
+    load: PendingLoad,
+    fencing_token: u64,
+    /// Number of orders that the engine must have accepted before this one.
+    expected_seq: u64,
+    /// Requests that run on the engine.
+    active_requests: u32,
+    engine_id: Option<String>,
+    claimed_at: Micros,
+    /// Sidecars that were skipped because they didn't answer.
+    skipped: usize,
 }
 
-/// Asks the other agents for a slot, or takes it once they have answered. From then on the engine counts
-/// as loading, which the others receive before the order is answered.
-pub(super) fn claim(env: Env<'_>) -> Option<Order> {
+/// Queries the other agents for a slot. Returns the order once they have answered and a slot is
+/// free; from then on the engine counts as loading, which the other agents receive before the
+/// engine has answered the order.
+pub(super) fn claim_slot(env: Env<'_>) -> Option<Order> {
     let Env {
         node,
         agent,
         socket,
     } = env;
     let peers = peers(node, agent);
-    let (step, order) = step(node, agent, &peers);
-    if let Some((ask, mut to)) = step.query {
+    let (step, order) = advance_claim(node, agent, &peers);
+    if let Some((query, mut to)) = step.query {
         let update = for_peers(&summary(node, agent));
         to.sort_unstable_by_key(|a| a.delegate);
         for agents in to.chunk_by(|a, b| a.delegate == b.delegate) {
-            let slot_ask = SlotQuery {
-                round: ask.round,
-                sent_us: ask.sent.0,
+            let slot_query = SlotQuery {
+                round: query.round,
+                sent_us: query.sent.0,
                 delegate: agents[0].delegate,
             };
             let update = Update {
-                slot_ask: Some(slot_ask),
+                slot_ask: Some(slot_query),
                 ..update.clone()
             };
             update::send(socket, &update, agents.iter().map(|a| a.addr));
@@ -328,8 +338,8 @@
     order
 }
 
-/// Answers another agent's ask with the state as of now.
-pub(crate) fn answer_slot_query(env: Env<'_>, ask: SlotQuery, to: SocketAddr) {
+/// Answers another agent's slot query with the current state.
+pub(crate) fn answer_slot_query(env: Env<'_>, query: SlotQuery, to: SocketAddr) {
     let Env {
         node,
         agent,
@@ -339,13 +349,13 @@
         return;
     }
     let update = Update {
-        slot_answer: Some(ask),
+        slot_answer: Some(query),
         ..for_peers(&summary(node, agent))
     };
     update::send(socket, &update, [to]);
 }
 
-fn step(
+fn advance_claim(
     node: &SharedNode,
     agent: &SharedAgent,
     peers: &[AgentId],
@@ -354,78 +364,83 @@
     let mut a = agent.borrow_mut();
     let a = &mut *a;
     let r = &mut a.rollout;
-    let (Some(lack), Some(report)) = (&r.lack, &a.report) else {
+    let (Some(pending), Some(report)) = (&r.pending, &a.report) else {
         return (r.slots.step(now, peers, false, 0), None);
     };
     let boot = report.boot.as_ref().or(a.boot.as_ref());
-    let named = boot.is_some() || now.since(a.since) > NAMED;
-    let ordered = !report.busy && named;
-    let step = r.slots.step(now, peers, ordered, rand::random());
+    let identified = boot.is_some() || now.since(a.since) > IDENTITY_WAIT;
+    let can_order = !report.busy && identified;
+    let step = r.slots.step(now, peers, can_order, rand::random());
     let order = step.orders.then(|| Order {
-        lack: lack.clone(),
-        fence: r.fence,
-        after: report.seq,
-        active: report.active,
-        boot: boot.map(|b| b.id.clone()),
-        taken: now,
-        silent: step.skipped,
+        load: pending.clone(),
+        fencing_token: r.fencing_token,
+        expected_seq: report.seq,
+        active_requests: report.active,
+        engine_id: boot.map(|b| b.id.clone()),
+        claimed_at: now,
+        skipped: step.skipped,
     });
     (step, order)
 }
 
-/// Gives the engine an order.
-pub(super) async fn give(node: &SharedNode, agent: &SharedAgent, conn: &mut Conn, order: &Order) {
-    if node.now().since(order.taken) > TAKEN {
-        // The others no longer count the claim.
+/// Sends an order to the engine and records its outcome.
+pub(super) async fn send_order(
+    node: &SharedNode,
+    agent: &SharedAgent,
+    conn: &mut Conn,
+    order: &Order,
+) {
+    if node.now().since(order.claimed_at) > SLOT_LIFETIME {
+        // The other agents no longer count the claim.
         agent
             .borrow_mut()
             .rollout
             .slots
             .ordered(node.now(), Outcome::Refused);
-        return note(order, "not sent: the slot has expired", "expired");
+        return log_order(order, "not sent: the slot has expired", "expired");
     }
     let host = node.settings.borrow().host.clone();
     let load = LoadOrder {
-        weights: &order.lack.weights,
+        weights: &order.load.weights,
         swap: Swap::Retain,
         holder: &host,
-        fencing_token: order.fence,
-        expected_seq: order.after,
-        engine_id: order.boot.as_deref(),
+        fencing_token: order.fencing_token,
+        expected_seq: order.expected_seq,
+        engine_id: order.engine_id.as_deref(),
     };
-    agent.borrow_mut().rollout.ordered = Some(node.now());
-    let taken = replica::send_order(conn, &load, PATIENCE).await;
-    let outcome = outcome(&taken);
+    agent.borrow_mut().rollout.ordered_at = Some(node.now());
+    let result = replica::send_order(conn, &load, PATIENCE).await;
+    let outcome = load_outcome(&result);
     let mut a = agent.borrow_mut();
     if outcome != Outcome::Refused {
         a.rollout.holder.record_order();
     }
     a.rollout.slots.ordered(node.now(), outcome);
     drop(a);
-    let (text, label) = match &taken {
+    let (text, label) = match &result {
         Ok(OrderOutcome::Accepted) => ("begun".to_owned(), "begun"),
         Ok(OrderOutcome::AlreadyLoaded) => ("done".to_owned(), "done"),
         Ok(OrderOutcome::Busy) => ("busy".to_owned(), "busy"),
         Err(e) => (e.to_string(), "failed"),
     };
-    note(order, &text, label);
+    log_order(order, &text, label);
 }
 
-fn note(order: &Order, outcome: &str, label: &'static str) {
+fn log_order(order: &Order, outcome: &str, label: &'static str) {
     meter::increment(meter::ORDERS, "outcome", label);
     log::event(&Event::Ordered {
-        model: &order.lack.weights.model,
-        version: order.lack.weights.version,
-        fence: order.fence,
+        model: &order.load.weights.model,
+        version: order.load.weights.version,
+        fence: order.fencing_token,
         outcome,
-        after_ms: order.taken.since(order.lack.received).as_millis(),
-        active: order.active,
-        silent: order.silent,
+        after_ms: order.claimed_at.since(order.load.received_at).as_millis(),
+        active: order.active_requests,
+        silent: order.skipped,
     });
 }
 
-fn outcome(taken: &Result<OrderOutcome, EngineError>) -> Outcome {
-    match taken {
+fn load_outcome(result: &Result<OrderOutcome, EngineError>) -> Outcome {
+    match result {
         Ok(OrderOutcome::Accepted) => Outcome::Accepted,
         Ok(OrderOutcome::AlreadyLoaded | OrderOutcome::Busy) | Err(EngineError::Refused(_)) => {
             Outcome::Refused
