--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -1,13 +1,14 @@
-//! The agent of an engine: it follows the engine, orders its weights and reports on it.
+//! The agent of an engine: it follows the engine's state, orders it to load weights, and reports on
+//! it to entries and other agents.
 //!
 //! Usually the agent is the sidecar on the engine's host ([`crate::sidecar`]), which reads the
-//! engine's report all the time. For an engine without one an entry is its delegate
-//! (`entry::delegate`): reports of a remote engine cost it time, so a delegate reads one only where
-//! an order depends on it.
+//! engine's report continuously. An engine without a sidecar has an entry as its delegate
+//! (`entry::delegate`). Reports cost a remote engine time, so a delegate reads one only if an order
+//! depends on it.
 //!
-//! Orders of two agents never follow one another within a lease ([`policy::holder`]). Over
-//! restarts, which leave an agent nothing, its fencing token rises because it is the time of the
-//! store's steady clock.
+//! Orders of two agents never follow one another within a lease ([`policy::holder`]). An agent
+//! keeps no state over a restart; its fencing token rises nevertheless, because it is derived from
+//! the store's monotonic clock.
 
 mod report;
 mod run;
@@ -32,35 +33,35 @@
 use crate::update::{HeldPart, PromptNote, Update};
 use weights::Rollout;
 
-pub(crate) use report::{all_entries, send_whole, summary};
+pub(crate) use report::{all_entries, send_all_parts, summary};
 pub(crate) use run::{follow_cache, run};
 pub(crate) use weights::answer_slot_query;
 
-/// How long the engine may take to answer its own calls.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(250);
-/// Pause of a delegate before it reads the report of an engine again that may not be there.
-const REREAD: Micros = Micros::from_millis(500);
-/// Age up to which a report that a delegate has read is good enough for an order.
-const AHEAD: Micros = Micros::from_millis(150);
-/// How long after its start a sidecar reports to all entries; each that uses it subscribes within
-/// that.
-const STARTED: Micros = Micros(2 * subscription::RENEW_INTERVAL.0);
-
-/// An agent, as other processes address it.
+/// Timeout of an agent's calls to its engine.
+pub(crate) const ENGINE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Interval at which a delegate reads the report of an engine that may be gone.
+const REREAD_INTERVAL: Micros = Micros::from_millis(500);
+/// Age up to which a delegate uses a report for an order.
+const MAX_REPORT_AGE: Micros = Micros::from_millis(150);
+/// Time after its start during which a sidecar reports to all entries; each entry that needs its
+/// updates subscribes within that time.
+const STARTUP_PERIOD: Micros = Micros(2 * subscription::RENEW_INTERVAL.0);
+
+/// Identifies an agent to other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AgentId {
-    /// Where its process is reached.
+    /// Address of the agent's process.
     pub(crate) addr: SocketAddr,
-    /// Key of its engine if it is a delegate; 0 for a sidecar, which has only one.
+    /// Key of a delegate's engine; 0 for a sidecar, which has only one engine.
     pub(crate) delegate: u64,
 }
 
-/// What an agent is to its engine.
+/// Kind of an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
-    /// The process on its host.
+    /// The process on the engine's host.
     Sidecar,
-    /// An entry that acts for the sidecar.
+    /// An entry that acts in place of a sidecar.
     Delegate,
 }
 
@@ -77,56 +78,63 @@
 #[derive(Debug)]
 pub(crate) struct Agent {
     pub(crate) kind: Kind,
-    /// Where the engine is reached.
+    /// Address of the engine.
     pub(crate) addr: SocketAddr,
+    /// Last report of the engine; `None` once the engine has ended.
     pub(crate) report: Option<Report>,
-    /// When the report was read, or couldn't be.
-    read: Micros,
+    /// When the report was last requested, successfully or not.
+    report_read_at: Micros,
+    /// Whether the last request for the report succeeded.
     pub(crate) alive: bool,
-    /// Whether nothing listens at its address.
+    /// Whether the engine refused the last connection, which means that its process has ended.
     ended: bool,
-    /// Whether its events can't be read, so that its report has to tell whether it is there.
-    doubtful: bool,
-    /// Which incarnation it is, and which one was there before it.
+    /// Whether the engine's cache events can't be read; its report then has to show whether it
+    /// still runs.
+    events_failed: bool,
+    /// Incarnation of the engine, if known.
     pub(crate) boot: Option<Boot>,
-    former: Option<Boot>,
-    /// Since when it answers.
-    since: Micros,
+    /// Previous incarnation of the engine, if known.
+    previous: Option<Boot>,
+    /// When the engine last became reachable.
+    alive_since: Micros,
+    /// Parts in the engine's cache.
     cache: Cache,
-    fresh: Vec<HeldPart>,
-    /// New weights and slots to load them.
+    /// Changes of the cache that haven't been sent to the entries yet.
+    part_changes: Vec<HeldPart>,
+    /// State of weight loads.
     rollout: Rollout,
-    /// What it has yet to read.
+    /// Prompts that the engine hasn't read yet.
     pub(crate) backlog: Backlog,
-    /// The entries that it reports to.
+    /// The entries that the agent reports to.
     pub(crate) subscribers: Subscribers,
 }
 
+/// An agent that the tasks of its process share.
 pub(crate) type SharedAgent = Rc<RefCell<Agent>>;
 
 impl Agent {
-    /// The agent on an engine's host.
+    /// Creates the agent on the engine's host.
     pub(crate) fn sidecar(addr: SocketAddr, lease: Micros) -> Self {
         Self {
             kind: Kind::Sidecar,
             addr,
             report: None,
-            read: Micros::ZERO,
+            report_read_at: Micros::ZERO,
             alive: false,
             ended: false,
-            doubtful: false,
+            events_failed: false,
             boot: None,
-            former: None,
-            since: Micros::ZERO,
+            previous: None,
+            alive_since: Micros::ZERO,
             cache: Cache::default(),
-            fresh: Vec::new(),
+            part_changes: Vec::new(),
             rollout: Rollout::new(Holder::new(lease)),
             backlog: Backlog::default(),
             subscribers: Subscribers::default(),
         }
     }
 
-    /// An agent for an incarnation of an engine on another host.
+    /// Creates the agent of one incarnation of an engine on another host.
     pub(crate) fn delegate(addr: SocketAddr, boot: Boot, lease: Micros) -> Self {
         Self {
             kind: Kind::Delegate,
@@ -135,7 +143,7 @@
         }
     }
 
-    /// Its id for other processes, without their way to it.
+    /// The value of [`AgentId::delegate`] for this agent.
     pub(crate) fn id(&self) -> u64 {
         match self.kind {
             Kind::Sidecar => 0,
@@ -143,21 +151,21 @@
         }
     }
 
-    /// Takes over which incarnation the engine is. An entry that hasn't read the list since the
-    /// former one ended still names that one.
+    /// Records the engine's incarnation. The previous incarnation is ignored: an entry that hasn't
+    /// read the list of targets since that one ended still reports it.
     pub(crate) fn identify(&mut self, boot: Boot) {
-        if self.former.as_ref() != Some(&boot) {
+        if self.previous.as_ref() != Some(&boot) {
             self.boot = Some(boot);
         }
     }
 
-    /// Whether its engine has to be asked which incarnation it is.
+    /// Whether entries have to be queried for the engine's incarnation.
     pub(crate) fn needs_identity(&self) -> bool {
         let unnamed = |r: &Report| r.boot.is_none();
         self.alive && self.boot.is_none() && self.report.as_ref().is_some_and(unnamed)
     }
 
-    /// Takes over that the whole system starts for the first time.
+    /// Records that the whole system starts for the first time.
     pub(crate) fn record_first_start(&mut self) {
         self.rollout.holder().record_first_start();
     }
@@ -167,12 +175,12 @@
         self.alive && self.rollout.holder().has_unknown_orders(now)
     }
 
-    /// Takes over how long no delegate has acted for the engine.
+    /// Records for how long no delegate has acted for the engine.
     pub(crate) fn record_quiet(&mut self, now: Micros, quiet: Micros) {
         self.rollout.holder().record_quiet(now, quiet);
     }
 
-    /// Takes over what an entry notes of a prompt.
+    /// Records an entry's note on a prompt that it has sent to the engine.
     pub(crate) fn record_prompt(&mut self, now: Micros, note: PromptNote) {
         match note.tokens {
             Some(tokens) => self.backlog.add(now, note.request, tokens),
@@ -180,7 +188,7 @@
         }
     }
 
-    /// Takes over another agent's update.
+    /// Records another agent's update.
     pub(crate) fn receive(&mut self, now: Micros, update: &Update, from: AgentId) {
         if update.engine == self.addr.to_string() {
             return self.rollout.receive_other_holder(now, update);
@@ -188,38 +196,38 @@
         self.rollout.receive(now, update, from);
     }
 
-    /// When it last ordered its engine, and with which fencing token.
+    /// When the agent last ordered its engine, and its fencing token.
     pub(crate) fn last_order(&self) -> Option<(Micros, u64)> {
         self.rollout.last_order()
     }
 
-    /// Whether the engine's report is read now. A sidecar reads it all the time; a delegate, whose
-    /// reads take the engine's time, to learn its weights and count of orders, before an order and
-    /// at a load's end.
+    /// Whether to read the engine's report now. A sidecar reads it continuously. A delegate's reads
+    /// cost the engine time, so a delegate reads the report only to get the weights and the number
+    /// of orders at first, before an order, at the end of a load, and while the engine may be gone.
     fn needs_report(&self, now: Micros) -> bool {
-        let age = now.since(self.read);
+        let age = now.since(self.report_read_at);
         match (self.kind, &self.report) {
             (Kind::Sidecar, _) => true,
-            (_, None) => self.read == Micros::ZERO || age >= REREAD,
-            _ if self.doubtful => age >= REREAD,
-            _ => self.rollout.needs_report(now) && age >= AHEAD,
+            (_, None) => self.report_read_at == Micros::ZERO || age >= REREAD_INTERVAL,
+            _ if self.events_failed => age >= REREAD_INTERVAL,
+            _ => self.rollout.needs_report(now) && age >= MAX_REPORT_AGE,
         }
     }
 
-    /// Takes over a report, or that there was none.
+    /// Records the engine's report, or the failure to read it.
     fn record_report(&mut self, now: Micros, report: Result<Report, EngineError>) {
         if report.is_ok() && !self.alive {
-            self.since = now;
+            self.alive_since = now;
         }
-        self.read = now;
+        self.report_read_at = now;
         self.alive = report.is_ok();
         self.ended = report
             .as_ref()
             .is_err_and(EngineError::is_connection_refused);
         if self.ended {
-            // Another will be there; nothing that is known of this one holds for it.
+            // The next incarnation shares no state with this one.
             self.report = None;
-            self.former = self.boot.take().or(self.former.take());
+            self.previous = self.boot.take().or(self.previous.take());
         }
         if let Ok(report) = report {
             self.rollout.update_order_count(now, report.seq);
@@ -228,12 +236,12 @@
     }
 }
 
-/// Key of an engine's address.
+/// Hash of an engine's address, which identifies the engine to other processes.
 pub(crate) fn engine_key(addr: SocketAddr) -> u64 {
     xxh3_64(addr.to_string().as_bytes())
 }
 
-/// What an agent needs of its process.
+/// References that the functions of an agent need.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Env<'a> {
     pub(crate) node: &'a SharedNode,
--- a/crates/gate/src/agent/report.rs
+++ b/crates/gate/src/agent/report.rs
@@ -1,4 +1,4 @@
-//! What an agent reports to the entries and the other agents.
+//! Updates from an agent to the entries and the other agents.
 
 use std::net::SocketAddr;
 
@@ -6,14 +6,14 @@
 use site::{Role, Weights};
 use tokio::net::UdpSocket;
 
-use super::{Kind, SharedAgent, STARTED};
+use super::{Kind, SharedAgent, STARTUP_PERIOD};
 use crate::node::SharedNode;
 use crate::update::{self, HeldPart, LoadedWeights, Update};
 
-/// Age up to which the report of a remote engine tells its memory.
-const MEMORY: Micros = Micros::from_millis(1_000);
+/// Age up to which a delegate passes on the memory use from an engine's report.
+const MEMORY_REPORT_TTL: Micros = Micros::from_millis(1_000);
 
-/// The engine's load and weights.
+/// Creates an update with the engine's load and weights.
 pub(crate) fn summary(node: &SharedNode, agent: &SharedAgent) -> Update {
     let now = node.now();
     let mut a = agent.borrow_mut();
@@ -21,7 +21,8 @@
     let mut update = Update {
         engine: a.addr.to_string(),
         delegate: a.id(),
-        // A report that doesn't reach another host doesn't mean that the engine is gone.
+        // That a delegate on another host can't read the report doesn't mean that the engine is
+        // gone.
         alive: a.alive || (a.kind == Kind::Delegate && !a.ended),
         ended: a.ended,
         epoch: a.cache.epoch,
@@ -39,7 +40,7 @@
             update.used = r.memory_used;
             update.total = r.memory_total;
         }
-        (Kind::Delegate, Some(r)) if now.since(a.read) < MEMORY => {
+        (Kind::Delegate, Some(r)) if now.since(a.report_read_at) < MEMORY_REPORT_TTL => {
             update.used = r.memory_used;
             update.total = r.memory_total;
         }
@@ -49,7 +50,7 @@
         update.unread = a.backlog.unread_prompts();
     }
     a.rollout.fill_update(now, &mut update);
-    // From its own order on, before the engine's report shows it.
+    // The engine counts as busy once it was ordered, before its report shows the load.
     update.busy |= update.loading_ms.is_some();
     update
 }
@@ -61,22 +62,24 @@
     }
 }
 
-/// The entries that an agent reports to: subscribers and, while a sidecar has just started and they
-/// may not have subscribed yet, all that are known. A delegate reports to all, its own process
-/// included.
+/// The entries that an agent reports to. A sidecar reports to its subscribers and, shortly after
+/// its start, when entries may not have subscribed yet, to all known entries. A delegate reports to
+/// all entries, its own process included.
 pub(super) fn subscribers(node: &SharedNode, agent: &SharedAgent) -> Vec<SocketAddr> {
     let now = node.now();
     let cluster = node.cluster.borrow();
     if agent.borrow().kind == Kind::Delegate {
         return all_entries(node);
     }
-    let asked: Vec<_> = agent.borrow().subscribers.active(now).collect();
-    let known = cluster.entries().filter(|_| now < STARTED);
-    let others = known.filter(|e| !asked.contains(e)).collect::<Vec<_>>();
-    asked.into_iter().chain(others).collect()
+    let subscribed: Vec<_> = agent.borrow().subscribers.active(now).collect();
+    let known = cluster.entries().filter(|_| now < STARTUP_PERIOD);
+    let others = known
+        .filter(|e| !subscribed.contains(e))
+        .collect::<Vec<_>>();
+    subscribed.into_iter().chain(others).collect()
 }
 
-/// All entries, this process included if it is one.
+/// Addresses of all entries, including this process if it is an entry.
 pub(crate) fn all_entries(node: &SharedNode) -> Vec<SocketAddr> {
     let own = {
         let s = node.settings.borrow();
@@ -86,17 +89,17 @@
     cluster.entries().chain(own).collect()
 }
 
-/// Changes of parts that are to be sent. They are kept while no entry is known: a sidecar that
-/// starts reads all that its engine has stored, often before it has read the list of members.
-pub(super) fn fresh(node: &SharedNode, agent: &SharedAgent) -> Vec<HeldPart> {
+/// Takes the part changes that are to be sent. They are retained while no entry is known: a newly
+/// started sidecar reads its engine's whole cache, often before it has read the list of members.
+pub(super) fn take_part_changes(node: &SharedNode, agent: &SharedAgent) -> Vec<HeldPart> {
     match subscribers(node, agent).first() {
-        Some(_) => std::mem::take(&mut agent.borrow_mut().fresh),
+        Some(_) => std::mem::take(&mut agent.borrow_mut().part_changes),
         None => Vec::new(),
     }
 }
 
-/// Sends all that the engine holds to some addresses.
-pub(crate) fn send_whole(
+/// Sends an update with all parts in the engine's cache to the given addresses.
+pub(crate) fn send_all_parts(
     agent: &SharedAgent,
     socket: &UdpSocket,
     update: &Update,
@@ -106,8 +109,9 @@
     update::send_parts(socket, update.clone(), &held, to);
 }
 
-/// An update without its times, which change from one moment to the next.
-pub(super) fn timeless(update: &Update) -> Update {
+/// Copy of an update without its times, which change constantly, for comparison with earlier
+/// updates.
+pub(super) fn without_times(update: &Update) -> Update {
     Update {
         due_ms: update.due_ms.map(|_| 0),
         loading_ms: update.loading_ms.map(|_| 0),
@@ -117,7 +121,7 @@
     }
 }
 
-/// What other agents need to know of the engine.
+/// Copy of an update with only those fields that other agents need.
 pub(super) fn for_peers(update: &Update) -> Update {
     Update {
         weights: update.weights.clone(),
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -19,7 +19,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::report::{all_entries, for_peers, summary};
-use super::{engine_key, Agent, AgentId, Env, Kind, SharedAgent, PATIENCE};
+use super::{engine_key, Agent, AgentId, Env, Kind, SharedAgent, ENGINE_TIMEOUT};
 use crate::log::{self, Event};
 use crate::meter;
 use crate::node::{ClusterState, SharedNode};
@@ -368,7 +368,7 @@
         return (r.slots.step(now, peers, false, 0), None);
     };
     let boot = report.boot.as_ref().or(a.boot.as_ref());
-    let identified = boot.is_some() || now.since(a.since) > IDENTITY_WAIT;
+    let identified = boot.is_some() || now.since(a.alive_since) > IDENTITY_WAIT;
     let can_order = !report.busy && identified;
     let step = r.slots.step(now, peers, can_order, rand::random());
     let order = step.orders.then(|| Order {
@@ -409,7 +409,7 @@
         engine_id: order.engine_id.as_deref(),
     };
     agent.borrow_mut().rollout.ordered_at = Some(node.now());
-    let result = replica::send_order(conn, &load, PATIENCE).await;
+    let result = replica::send_order(conn, &load, ENGINE_TIMEOUT).await;
     let outcome = load_outcome(&result);
     let mut a = agent.borrow_mut();
     if outcome != Outcome::Refused {
--- a/crates/gate/src/node.rs
+++ b/crates/gate/src/node.rs
@@ -1,4 +1,4 @@
-//! What one process believes.
+//! State of one process: its settings, and what it has received about the rest of the system.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,38 +17,39 @@
 use crate::meter;
 use crate::target_list::TargetList;
 
-/// Time after its start in which a process first reads what was there before it; a slow store
-/// answers within it.
-const START: Micros = Micros::from_millis(3_000);
+/// Time after the start of a process within which it first reads the state from before its start,
+/// even from a slow store.
+const STARTUP_PERIOD: Micros = Micros::from_millis(3_000);
 
-/// Lowest bits of a fencing token, which keep apart hosts that draw one in the same millisecond.
-const FENCE_TIE: u32 = 10;
+/// Number of lowest bits of a fencing token that hold a hash of the host, which distinguishes hosts
+/// that create a token in the same millisecond.
+const HOST_HASH_BITS: u32 = 10;
 
-/// Milliseconds that no copy of the store is older than.
-const COPY_AGE: u64 = 60_000;
+/// Maximum age of a backup that the store is restored from, in milliseconds.
+const MAX_BACKUP_AGE_MS: u64 = 60_000;
 
-/// A process's context, handed to all its parts.
+/// The state of a process, which all its tasks share.
 pub type SharedNode = Rc<Node>;
 
-/// A process.
+/// State of a process.
 #[derive(Debug)]
 pub struct Node {
-    /// Its settings; they may change while it runs.
+    /// Settings of the process; they may change while it runs.
     pub settings: RefCell<Settings>,
-    /// What it believes.
+    /// The process's view of the system.
     pub cluster: RefCell<ClusterState>,
-    /// When it started; the origin of its times.
+    /// When the process started; the origin of all [`Micros`] times.
     pub origin: Instant,
-    /// Set once it was told to stop.
+    /// Whether the process has received a signal to stop.
     pub stopping: Cell<bool>,
     /// Highest era of the store that was read or received.
     pub era: watch::Sender<Option<u64>>,
-    /// Whether the store has been restored since this process's start.
+    /// Whether the store has been restored since the process started.
     pub restored: Cell<bool>,
 }
 
 impl Node {
-    /// A process that knows nothing yet.
+    /// Creates the state of a process that has received nothing yet.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings: RefCell::new(settings),
@@ -60,16 +61,17 @@
         }
     }
 
-    /// Takes over an era of the store; those who follow it read all again if it is a new one.
+    /// Records an era of the store. If it is newer than the known one, the store has been restored,
+    /// and all tasks that follow the store read it again.
     pub fn raise_era(&self, era: u64, source: Source) {
         let known = *self.era.borrow();
-        // Another process that knows of none sends 0.
+        // A process that doesn't know the era sends 0.
         let unknown = era == 0 && source == Source::Peer;
         if unknown || known.is_some_and(|k| era <= k) {
             return;
         }
         self.cluster.borrow_mut().era = era;
-        // The first answer that names one is no restore.
+        // The first era that the process receives doesn't indicate a restore.
         self.era.send_if_modified(|e| {
             *e = Some(era);
             known.is_some()
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Now, as decisions see it.
+    /// Current time since the start of the process.
     pub fn now(&self) -> Micros {
         self.origin.elapsed().into()
     }
@@ -96,28 +98,28 @@
     }
 }
 
-/// A row that the operator has written.
+/// A row of the operator's table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorRow {
-    /// Where it was written in the store.
+    /// Store position at which the row was written.
     pub at: Position,
-    /// Its value.
+    /// Value of the row.
     pub value: Bytes,
 }
 
-/// Where a row of the operator's came from.
+/// Source of a row or era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// A read of the whole table, which doesn't say when a row was written.
+    /// A read of the whole table, which doesn't show when a row was written.
     Table,
-    /// The store's feed of changes: it was written just now.
+    /// The store's feed of changes: the row was written just now.
     Feed,
     /// Another process.
     Peer,
 }
 
 impl Source {
-    /// The word for it in log lines.
+    /// Name of the source in log lines.
     fn as_str(self) -> &'static str {
         match self {
             Self::Table | Self::Feed => "store",
@@ -129,58 +131,61 @@
 /// Another process of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Where it is reached.
+    /// Address of the process.
     pub addr: SocketAddr,
-    /// What it does.
+    /// Role of the process.
     pub role: Role,
-    /// Key of its failure domain.
+    /// Hash of the name of its failure domain.
     pub domain: u64,
-    /// The engine beside it, if it is a sidecar.
+    /// Address of the engine on the same host, if the process is a sidecar.
     pub engine: Option<SocketAddr>,
 }
 
-/// A failure domain's name as decisions compare it.
+/// Hash of a failure domain's name, as the policies compare it.
 pub fn domain_key(domain: &str) -> u64 {
     xxh3_64(domain.as_bytes())
 }
 
-/// What a process believes of the operator's wishes and of the other processes.
+/// A process's view of the system: the operator's configuration, the other processes and the
+/// targets.
 #[derive(Debug, Default)]
 pub struct ClusterState {
     /// The configuration in force.
     pub plan: Option<Rc<Plan>>,
-    /// Weights that the operator has named, by model.
+    /// Versions of weights that the operator has announced, by model.
     pub announced_weights: HashMap<String, Versions>,
-    /// The operator's rows as they were read, for processes that the store turns away.
+    /// The operator's rows as they were read, to be passed on to processes that can't reach the
+    /// store.
     pub operator_rows: HashMap<String, OperatorRow>,
     /// Other processes, by host.
     pub members: HashMap<String, Member>,
-    /// The list of targets as it was last read from the store, here or by another entry.
+    /// The list of targets as last read from the store, by this process or by another entry.
     pub targets: Option<TargetList>,
-    /// Since when the store hasn't answered this process.
+    /// Since when the store hasn't answered this process; `None` while it answers.
     pub store_lost_since: Option<Micros>,
     /// Highest era of the store that was read or received.
     pub era: u64,
-    /// The store's clock as last read, and when that was.
+    /// The store's clock in milliseconds when last read, and the time of that read.
     pub store_clock: Option<(u64, Micros)>,
-    /// When a delegate of an engine last reported, by the engine's address.
+    /// When a delegate last reported on an engine, by the engine's address.
     pub delegate_reports: HashMap<SocketAddr, Micros>,
-    /// Engines that no sidecar is a member for, in order.
+    /// Sorted addresses of engines without a sidecar among the members.
     pub engines_without_sidecar: Vec<SocketAddr>,
 }
 
 impl ClusterState {
-    /// Takes over a row of the operator's if it is newer than what is in force.
+    /// Applies a row of the operator's table if it is newer than the known one.
     ///
-    /// Configurations and weights only ever go up within a process's life. A store that answers
-    /// with an older state, or a peer that lags, can't bring back a key that was taken away. A row of a
-    /// restored store counts as newer whatever its version there; the operator's own version decides.
+    /// The versions of the configuration and of weights never decrease while a process runs, so a
+    /// store that answers with an older state, or a lagging peer, can't restore an API key that was
+    /// revoked. A row of a restored store counts as newer whatever its store version; the version
+    /// that the operator has given to the configuration or weights decides.
     pub fn apply_row(&mut self, now: Micros, key: &str, row: OperatorRow, source: Source) {
         let known = self.operator_rows.get(key);
         if known.is_some_and(|k| k.at >= row.at) {
             return;
         }
-        let error = match () {
+        let result = match () {
             () if key == platform::config::CONFIG_KEY => {
                 self.apply_configuration(&row.value, source.as_str())
             }
@@ -189,7 +194,7 @@
             }
             () => Ok(()),
         };
-        if let Err(e) = error {
+        if let Err(e) = result {
             let error = &e.to_string();
             log::event(&Event::BadRow { key, error });
         }
@@ -222,12 +227,12 @@
         source: Source,
     ) -> Result<(), platform::config::ConfigError> {
         let weights = platform::config::decode_weights(value)?;
-        let start = source != Source::Feed && now < START;
-        let known = self
+        let at_startup = source != Source::Feed && now < STARTUP_PERIOD;
+        let versions = self
             .announced_weights
             .entry(weights.model.clone())
             .or_default();
-        if known.record(now, weights.version, start) {
+        if versions.record(now, weights.version, at_startup) {
             log::event(&Event::Named {
                 model: &weights.model,
                 version: weights.version,
@@ -237,36 +242,36 @@
         Ok(())
     }
 
-    /// Addresses of all entries but this one.
+    /// Addresses of all entries except this process.
     pub fn entries(&self) -> impl Iterator<Item = SocketAddr> + Clone + '_ {
         let entries = self.members.values().filter(|m| m.role == Role::Entry);
         entries.map(|m| m.addr)
     }
 
-    /// Takes over the store's clock.
+    /// Records the store's clock.
     pub fn set_store_clock(&mut self, now: Micros, clock: u64) {
-        // A late answer shows a time that has passed.
+        // A delayed answer shows an earlier time.
         let newer = self.store_clock_at(now).is_none_or(|c| clock > c);
         if newer && clock > 0 {
             self.store_clock = Some((clock, now));
         }
     }
 
-    /// The store's clock as of now.
+    /// The store's clock now, extrapolated from the last read.
     fn store_clock_at(&self, now: Micros) -> Option<u64> {
         let (clock, at) = self.store_clock?;
         Some(clock + now.since(at).as_millis())
     }
 
-    /// A fencing token of a host, above all that any host has drawn before.
+    /// Creates a fencing token for a host, higher than all tokens that any host has created before.
     pub fn fencing_token(&self, now: Micros, host: &str) -> Option<u64> {
-        let tie = xxh3_64(host.as_bytes()) >> (u64::BITS - FENCE_TIE);
-        // A restored store's clock may be the copy's.
-        let clock = self.store_clock_at(now)? + self.era * COPY_AGE;
-        Some(clock << FENCE_TIE | tie)
+        let host_hash = xxh3_64(host.as_bytes()) >> (u64::BITS - HOST_HASH_BITS);
+        // The clock of a restored store may continue from the time of its backup.
+        let clock = self.store_clock_at(now)? + self.era * MAX_BACKUP_AGE_MS;
+        Some(clock << HOST_HASH_BITS | host_hash)
     }
 
-    /// Sidecars on other hosts with their hosts' names, in order.
+    /// Sidecars on other hosts, sorted by host name.
     pub fn other_sidecars(&self, own: &str) -> Vec<(&String, SocketAddr)> {
         let sidecars = self.members.iter();
         let others = sidecars.filter(|(h, m)| m.role == Role::Sidecar && *h != own);
@@ -275,12 +280,12 @@
         others
     }
 
-    /// Whether a sidecar is a member for an engine.
+    /// Whether any member is the sidecar of an engine.
     pub fn has_sidecar(&self, engine: SocketAddr) -> bool {
         self.members.values().any(|m| m.engine == Some(engine))
     }
 
-    /// All sidecars but this process.
+    /// All sidecars except this process.
     pub fn sidecars(&self) -> impl Iterator<Item = Member> + '_ {
         let members = self.members.values().copied();
         members.filter(|m| m.role == Role::Sidecar)
--- a/crates/gate/src/sidecar.rs
+++ b/crates/gate/src/sidecar.rs
@@ -82,8 +82,8 @@
         }
         if update.asks {
             if agent.borrow_mut().subscribers.subscribe(node.now(), from) {
-                let whole = agent::summary(node, agent);
-                agent::send_whole(agent, socket, &whole, [from]);
+                let update = agent::summary(node, agent);
+                agent::send_all_parts(agent, socket, &update, [from]);
                 stores.send_to(socket, [from]);
             }
             continue;
@@ -105,10 +105,11 @@
     }
 }
 
-/// Asks entries which incarnation the engine is and whether one of them has acted for it, until both are known.
+/// Asks entries which incarnation the engine is and whether one of them has acted for it, until
+/// both are known.
 ///
-/// Entries send the incarnation with their subscriptions as well. On that alone a sidecar whose datagrams were
-/// lost had none to name in an order for seconds.
+/// Entries send the incarnation with their subscriptions as well. On that alone a sidecar whose
+/// datagrams were lost had none to name in an order for seconds.
 async fn identify(node: &SharedNode, agent: &SharedAgent, addr: SocketAddr) {
     loop {
         let (unidentified, unsure) = {
--- a/crates/gate/src/update.rs
+++ b/crates/gate/src/update.rs
@@ -1,197 +1,200 @@
-//! Updates between processes: datagrams about one engine, from sidecars to the entries and to one another,
-//! and between entries.
+//! Updates: datagrams about one engine that processes send one another.
 //!
-//! An update is the state as of now, so a lost one isn't sent again; the next one replaces it. What the
-//! engine holds is sent as changes, and in whole every few seconds, so that an entry that has missed a change
-//! or has just started is right again soon. State that is out of date costs time, never an answer. What
-//! mustn't rest on one datagram is asked for ([`SlotQuery`]) or repeated while it holds ([`Strike`]).
+//! An update contains the current state, so a lost update isn't sent again; the next one replaces
+//! it. Parts in the engine's cache are sent as changes, and all of them every few seconds, so that
+//! an entry that has missed a change or has just started is soon up to date. Outdated state makes
+//! requests slower but never fails one. Information that mustn't depend on a single datagram is
+//! queried ([`SlotQuery`]) or repeated while it is valid ([`Strike`]).
 
 use std::net::SocketAddr;
 
 use prost::Message;
 use tokio::net::UdpSocket;
 
-/// Bytes of a datagram at most; it must not be split on its way.
+/// Maximum size of a datagram in bytes, so that no network splits it.
 pub const MAX_DATAGRAM: usize = 1_200;
-/// Parts in one datagram at most; at most 24 bytes each.
+/// Maximum number of parts in one datagram, each of at most 24 bytes.
 pub const MAX_PARTS: usize = 40;
 
-/// One datagram.
+/// Content of a datagram.
 #[derive(Clone, PartialEq, Message)]
 pub struct Update {
-    /// Address of the engine, as targets are listed.
+    /// Address of the engine, as in the list of targets.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// Whether the engine answers its sidecar.
+    /// Whether the engine answers its agent.
     #[prost(bool, tag = "2")]
     pub alive: bool,
-    /// Whether its process has ended; another that starts in its place is another target.
+    /// Whether the engine's process has ended; an engine that starts in its place is another
+    /// target.
     #[prost(bool, tag = "21")]
     pub ended: bool,
-    /// What it has loaded.
+    /// Weights that the engine has loaded.
     #[prost(message, repeated, tag = "3")]
     pub weights: Vec<LoadedWeights>,
-    /// Whether it is carrying out an order.
+    /// Whether the engine is executing an order.
     #[prost(bool, tag = "4")]
     pub busy: bool,
-    /// Requests whose prompt has been read.
+    /// Number of requests that have finished prefill.
     #[prost(uint32, tag = "5")]
     pub begun: u32,
-    /// Requests whose prompt hasn't been read yet.
+    /// Number of requests that haven't finished prefill.
     #[prost(uint32, tag = "6")]
     pub unread: u32,
-    /// Tokens of memory that can't yield.
+    /// KV cache in use that can't be evicted, in tokens.
     #[prost(uint32, tag = "7")]
     pub used: u32,
-    /// Tokens of memory in all.
+    /// Total KV cache, in tokens.
     #[prost(uint32, tag = "8")]
     pub total: u32,
-    /// Milliseconds for which its turn to load has been there, if it has come.
+    /// Milliseconds since the engine became due to load, if it is due.
     #[prost(uint32, optional, tag = "23")]
     pub due_ms: Option<u32>,
-    /// Milliseconds for which it has been loading weights, if it is.
+    /// Milliseconds since the engine started to load weights, if it is loading.
     #[prost(uint32, optional, tag = "24")]
     pub loading_ms: Option<u32>,
-    /// Milliseconds that a load takes, as far as its sidecar knows.
+    /// Duration of a load in milliseconds, if the agent knows it.
     #[prost(uint32, optional, tag = "25")]
     pub load_ms: Option<u32>,
-    /// The version that it lacks; 0 if it lacks none.
+    /// Version that the engine still has to load; 0 if it is up to date.
     #[prost(uint64, tag = "26")]
     pub wanted: u64,
-    /// Whether its sidecar claims a slot to load.
+    /// Whether the agent claims a slot to load.
     #[prost(bool, tag = "27")]
     pub claims: bool,
-    /// Draw of the sidecar's process, another one after each start.
+    /// Random number of the agent's process, a new one after each start.
     #[prost(fixed64, tag = "28")]
     pub process: u64,
-    /// Microseconds since the sidecar's start.
+    /// When the update was sent, in microseconds since the start of the agent's process.
     #[prost(uint64, tag = "29")]
     pub sent_us: u64,
-    /// Key of the engine if this comes from an entry that is its delegate; 0 otherwise. Of a note, the
-    /// delegate that it is for.
+    /// Key of the engine if its delegate has sent the update; 0 otherwise. In an update with a
+    /// note, the delegate that the note is for.
     #[prost(fixed64, tag = "32")]
     pub delegate: u64,
-    /// Milliseconds since its delegate ordered the engine, if it has.
+    /// Milliseconds since the delegate last ordered the engine, if it has.
     #[prost(uint32, optional, tag = "33")]
     pub ordered_ms: Option<u32>,
-    /// The delegate's fencing token.
+    /// Fencing token of the delegate's orders.
     #[prost(uint64, tag = "34")]
     pub fence: u64,
-    /// A sidecar's question for another one's state as of now.
+    /// Query for the current state of another agent.
     #[prost(message, optional, tag = "30")]
     pub slot_ask: Option<SlotQuery>,
-    /// The question that this answers.
+    /// The query that this update answers.
     #[prost(message, optional, tag = "31")]
     pub slot_answer: Option<SlotQuery>,
-    /// The engine's life, as its cache events tell it.
+    /// Incarnation of the engine according to its cache events.
     #[prost(uint64, tag = "10")]
     pub epoch: u64,
-    /// Parts stored or dropped.
+    /// Parts stored in the engine's cache or evicted from it.
     #[prost(message, repeated, tag = "11")]
     pub parts: Vec<HeldPart>,
-    /// Whether this comes from an entry; it then tells only what the engine is to read.
+    /// Whether an entry has sent the update; it then contains only prompts that the engine has to
+    /// read.
     #[prost(bool, tag = "12")]
     pub entry: bool,
-    /// Prompt tokens that it has yet to read, by step of urgency.
+    /// Prompt tokens that the engine hasn't read yet, by priority tier.
     #[prost(uint32, repeated, tag = "15")]
     pub tokens: Vec<u32>,
-    /// What an entry tells a sidecar of one prompt.
+    /// An entry's note to an agent on one prompt.
     #[prost(message, optional, tag = "16")]
     pub note: Option<PromptNote>,
-    /// Whether this is about a store of kept KV cache instead of an engine.
+    /// Whether the update is about a KV store instead of an engine.
     #[prost(bool, tag = "14")]
     pub kept: bool,
-    /// What an entry found when it read the platform's list of targets.
+    /// An entry's read of the platform's list of targets.
     #[prost(message, optional, tag = "18")]
     pub list: Option<ListRead>,
-    /// A crash that an entry holds against a request, or takes back.
+    /// A crash that an entry counts against a request, or clears.
     #[prost(message, optional, tag = "19")]
     pub strike: Option<Strike>,
-    /// Which life of which target the engine is, as an entry knows it from the list.
+    /// The engine's target id and incarnation, as an entry has read them from the list of targets.
     #[prost(message, optional, tag = "22")]
     pub life: Option<Incarnation>,
-    /// Whether an entry asks to be told of the engine from now on.
+    /// Whether an entry subscribes to the agent's updates.
     #[prost(bool, tag = "20")]
     pub asks: bool,
-    /// Parts that an entry has just sent the engine to read.
+    /// Parts of a prompt that an entry has just sent to the engine.
     #[prost(message, repeated, tag = "13")]
     pub expected: Vec<HeldPart>,
 }
 
-/// A sidecar's question for another one's state, which the answer repeats.
+/// Query for the current state of another agent. The answer repeats the query.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct SlotQuery {
-    /// Draw of the claim; 0 outside of one.
+    /// Random number of the claim that the query belongs to; 0 outside of a claim.
     #[prost(fixed64, tag = "1")]
     pub round: u64,
-    /// Microseconds since the asking sidecar's start.
+    /// When the query was sent, in microseconds since the start of the querying agent's process.
     #[prost(uint64, tag = "2")]
     pub sent_us: u64,
-    /// Key of the engine whose delegate is asked; 0 for a sidecar.
+    /// Key of the engine whose delegate is queried; 0 for a sidecar.
     #[prost(fixed64, tag = "3")]
     pub delegate: u64,
 }
 
-/// The platform's list of targets as an entry has just read it.
+/// Result of an entry's read of the platform's list of targets.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct ListRead {
-    /// Rank of the entry among those that read.
+    /// Rank of the entry among the entries that read the list.
     #[prost(fixed64, tag = "1")]
     pub rank: u64,
     /// Hash of the list.
     #[prost(fixed64, tag = "2")]
     pub hash: u64,
-    /// Era of the store that it was read in.
+    /// Era of the store at the time of the read.
     #[prost(uint64, tag = "3")]
     pub era: u64,
 }
 
-/// A crash held against a request.
+/// A crash counted against a request.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Strike {
     /// Upper half of the request's fingerprint.
     #[prost(fixed64, tag = "1")]
     pub high: u64,
-    /// Lower half of it.
+    /// Lower half of the request's fingerprint.
     #[prost(fixed64, tag = "2")]
     pub low: u64,
     /// Hash of the id of the target that crashed.
     #[prost(fixed64, tag = "3")]
     pub target: u64,
-    /// When the life of the target that crashed had begun.
+    /// Start time of the incarnation that crashed.
     #[prost(uint64, tag = "4")]
     pub born: u64,
-    /// Whether a good answer has cleared the request instead.
+    /// Whether the request is cleared instead, after a successful answer.
     #[prost(bool, tag = "5")]
     pub cleared: bool,
 }
 
-/// One life of a target.
+/// One incarnation of a target.
 #[derive(Clone, PartialEq, Message)]
 pub struct Incarnation {
     /// The target's id.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// When this life began.
+    /// Start time of the incarnation.
     #[prost(uint64, tag = "2")]
     pub born: u64,
 }
 
-/// A prompt at an engine.
+/// Note on a prompt that was sent to an engine.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct PromptNote {
     /// Hash of the request's id.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
-    /// Tokens that the engine has yet to read; none if it has read the prompt or won't.
+    /// Prompt tokens that the engine has to read; `None` once it has read the prompt or won't read
+    /// it.
     #[prost(uint32, optional, tag = "2")]
     pub tokens: Option<u32>,
 }
 
-/// A model's weights.
+/// Loaded weights of a model.
 #[derive(Clone, PartialEq, Message)]
 pub struct LoadedWeights {
-    /// The model.
+    /// Name of the model.
     #[prost(string, tag = "1")]
     pub model: String,
     /// Version of its weights.
@@ -199,30 +202,30 @@
     pub version: u64,
 }
 
-/// A part in an engine's cache.
+/// A part in the cache of an engine or KV store.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct HeldPart {
-    /// Key of its scope.
+    /// Key of the part's scope.
     #[prost(fixed64, tag = "1")]
     pub scope: u64,
-    /// The part.
+    /// Id of the part.
     #[prost(uint64, tag = "2")]
     pub part: u64,
-    /// Tokens that are there; 0 if it is gone.
+    /// Number of tokens held; 0 if the part was evicted.
     #[prost(uint32, tag = "3")]
     pub tokens: u32,
 }
 
-/// Sends an update to some addresses. What can't be sent at once is dropped.
+/// Sends an update to the given addresses. Datagrams that can't be sent at once are dropped.
 pub fn send(socket: &UdpSocket, update: &Update, to: impl IntoIterator<Item = SocketAddr>) {
     let bytes = update.encode_to_vec();
     for addr in to {
-        // A full link or a host that is gone: the next datagram says more.
+        // An overloaded link or an unreachable host; the next update replaces this one.
         let _ = socket.try_send_to(&bytes, addr);
     }
 }
 
-/// Sends an update with some parts to some addresses, in as many datagrams as the parts need.
+/// Sends an update with parts to the given addresses, in as many datagrams as the parts need.
 pub fn send_parts(
     socket: &UdpSocket,
     update: Update,
@@ -243,7 +246,7 @@
     }
 }
 
-/// Waits for the next datagram that can be read, with its sender.
+/// Waits for the next valid datagram and returns it with its sender.
 pub async fn receive(socket: &UdpSocket) -> (Update, SocketAddr) {
     let mut buffer = [0; 2 * MAX_DATAGRAM];
     loop {
@@ -254,7 +257,7 @@
                     crate::meter::increment(crate::meter::BAD_UPDATES, "reason", "unreadable")
                 }
             },
-            // Only a port that nobody listens on at a former receiver comes back as an error.
+            // The only error is an ICMP reply that an earlier receiver's port is closed.
             Err(_) => tokio::task::yield_now().await,
         }
     }
