--- a/crates/gate/src/agent/run.rs
+++ b/crates/gate/src/agent/run.rs
@@ -43,7 +43,7 @@
         let mut a = agent.borrow_mut();
         a.events_failed = false;
         let epoch = a.cache.epoch;
-        let changes = changes.into(&mut a.cache);
+        let changes = changes.apply_to(&mut a.cache);
         if a.cache.epoch != epoch {
             // A new incarnation of the engine starts with an empty cache and no prompts.
             a.part_changes.clear();
--- a/crates/gate/src/cache.rs
+++ b/crates/gate/src/cache.rs
@@ -1,8 +1,9 @@
-//! Following what an engine or a store of kept KV cache holds.
+//! Following the parts in the cache of an engine or of a KV store.
 //!
-//! Either tells its latest changes to those who ask for them, a call at a time. A process that starts
-//! late or was slow finds a gap in them, and what was dropped in the gap would be believed in for as
-//! long as the weights last. It then reads the whole list, seldom, since that makes the engine pause.
+//! Engines and KV stores return their latest changes on request. A process that has started late or
+//! was slow finds a gap in the changes, and would regard parts evicted in the gap as held for as
+//! long as the weights are in use. After a gap it therefore reads the list of all parts, but
+//! rarely, since that makes the engine pause.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,65 +15,70 @@
 
 use crate::update::HeldPart;
 
-/// How long the other side may hold the question what has changed; the platform's longest.
-const HOLD: Duration = Duration::from_millis(1_000);
-/// How long its answer may take beyond that.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// Shortest time between two readings of the whole list. In a storm of lost events the list would be
-/// as old after this time without another reading as it is with the changes that did come.
-const LIST: Duration = Duration::from_secs(5);
-
-/// What is held at one place.
+/// How long the engine or store may hold a request for changes; the platform allows no more.
+const MAX_HOLD: Duration = Duration::from_millis(1_000);
+/// How long the answer may take beyond that, and how long the answer to a request for all parts may
+/// take.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Minimum time between two reads of the list of all parts. If many events are lost, the list would
+/// after this time be as outdated without another read as it is with the changes that were
+/// received.
+const LIST_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Parts in the cache of one engine or KV store.
 #[derive(Debug, Default)]
 pub struct Cache {
-    /// Changes with each start of the place.
+    /// Number that changes with each start of the engine or store.
     pub epoch: u64,
+    /// Number of tokens held, by scope and part.
     held: HashMap<(u64, PartId), u32>,
 }
 
 impl Cache {
-    /// Takes over some changes; returns them as they are told to others.
-    fn take(&mut self, epoch: u64, stored: &[PartChange]) -> Vec<HeldPart> {
-        self.restart(epoch);
-        for s in stored {
-            let key = (s.scope, s.part);
-            match s.tokens {
+    /// Applies changes and returns them in the form that is sent to other processes.
+    fn apply_changes(&mut self, epoch: u64, parts: &[PartChange]) -> Vec<HeldPart> {
+        self.set_epoch(epoch);
+        for p in parts {
+            let key = (p.scope, p.part);
+            match p.tokens {
                 0 => self.held.remove(&key),
                 n => self.held.insert(key, n),
             };
         }
-        let told = stored.iter().map(|s| ((s.scope, s.part), s.tokens));
-        told.map(held).collect()
+        let changes = parts.iter().map(|p| ((p.scope, p.part), p.tokens));
+        changes.map(held_part).collect()
     }
 
-    /// Takes over the whole list; returns what has changed.
-    fn replace(&mut self, epoch: u64, stored: &[PartChange]) -> Vec<HeldPart> {
-        self.restart(epoch);
-        let listed = stored.iter().map(|s| ((s.scope, s.part), s.tokens));
+    /// Replaces the contents by a list of all parts and returns the changes.
+    fn replace(&mut self, epoch: u64, parts: &[PartChange]) -> Vec<HeldPart> {
+        self.set_epoch(epoch);
+        let listed = parts.iter().map(|p| ((p.scope, p.part), p.tokens));
         let listed: HashMap<_, _> = listed.collect();
-        let gone = self.held.keys().filter(|k| !listed.contains_key(k));
-        let gone = gone.map(|k| held((*k, 0)));
+        let evicted = self.held.keys().filter(|k| !listed.contains_key(k));
+        let evicted = evicted.map(|k| held_part((*k, 0)));
         let new = listed.iter().filter(|(k, n)| self.held.get(k) != Some(n));
-        let changes = gone.chain(new.map(|(k, n)| held((*k, *n)))).collect();
+        let changes = evicted
+            .chain(new.map(|(k, n)| held_part((*k, *n))))
+            .collect();
         self.held = listed;
         changes
     }
 
-    /// Forgets all that another life of the place held.
-    fn restart(&mut self, epoch: u64) {
+    /// Clears the contents if the engine or store has restarted.
+    fn set_epoch(&mut self, epoch: u64) {
         if self.epoch != epoch {
             self.epoch = epoch;
             self.held.clear();
         }
     }
 
-    /// All that is held.
+    /// All parts in the cache.
     pub fn all(&self) -> Vec<HeldPart> {
-        self.held.iter().map(|(k, n)| held((*k, *n))).collect()
+        self.held.iter().map(|(k, n)| held_part((*k, *n))).collect()
     }
 }
 
-fn held(((scope, part), tokens): ((u64, PartId), u32)) -> HeldPart {
+fn held_part(((scope, part), tokens): ((u64, PartId), u32)) -> HeldPart {
     HeldPart {
         scope,
         part: part.0,
@@ -80,40 +86,42 @@
     }
 }
 
-/// What a call has brought.
+/// Result of a request for changes.
 #[derive(Debug)]
-pub enum Update {
+pub enum CacheUpdate {
     /// The latest changes.
     Changes(PartChanges),
-    /// All that is held.
+    /// All parts in the cache.
     Whole(PartChanges),
 }
 
-impl Update {
-    /// Hands it to a cache; returns what others are to be told.
-    pub fn into(self, cache: &mut Cache) -> Vec<HeldPart> {
+impl CacheUpdate {
+    /// Applies the result to a cache and returns the changes to send to other processes.
+    pub fn apply_to(self, cache: &mut Cache) -> Vec<HeldPart> {
         match self {
-            Self::Changes(e) => cache.take(e.epoch, &e.changes),
-            Self::Whole(e) => cache.replace(e.epoch, &e.changes),
+            Self::Changes(c) => cache.apply_changes(c.epoch, &c.changes),
+            Self::Whole(c) => cache.replace(c.epoch, &c.changes),
         }
     }
 }
 
-/// How far the changes of one place have been read.
+/// Follows the changes of one engine or KV store.
 #[derive(Debug)]
 pub struct Follower {
     conn: Conn,
+    /// Number of the next change to read.
     next: u64,
-    listed: Option<Instant>,
+    /// When the list of all parts was last read.
+    last_list: Option<Instant>,
 }
 
 impl Follower {
-    /// Reads from the first change that is still told.
+    /// Creates a follower that starts at the oldest available change.
     pub fn new(conn: Conn) -> Self {
         Self {
             conn,
             next: 0,
-            listed: None,
+            last_list: None,
         }
     }
 
@@ -121,26 +129,27 @@
     ///
     /// # Errors
     ///
-    /// If the place doesn't answer or its answer can't be read; the next call begins from the first
-    /// change again.
-    pub async fn changes(&mut self) -> Result<Update, EngineError> {
-        let read = self.read().await;
-        if read.is_err() {
+    /// Fails if the engine or store doesn't answer or its answer is malformed. The next call then
+    /// starts again at the oldest available change.
+    pub async fn changes(&mut self) -> Result<CacheUpdate, EngineError> {
+        let result = self.fetch().await;
+        if result.is_err() {
             self.next = 0;
         }
-        read
+        result
     }
 
-    async fn read(&mut self) -> Result<Update, EngineError> {
-        let events = replica::fetch_changes(&mut self.conn, self.next, HOLD, PATIENCE).await?;
-        let due = self.listed.is_none_or(|at| at.elapsed() > LIST);
-        if !events.lost || !due {
-            self.next = events.next;
-            return Ok(Update::Changes(events));
+    async fn fetch(&mut self) -> Result<CacheUpdate, EngineError> {
+        let changes =
+            replica::fetch_changes(&mut self.conn, self.next, MAX_HOLD, ANSWER_TIMEOUT).await?;
+        let due = self.last_list.is_none_or(|at| at.elapsed() > LIST_INTERVAL);
+        if !changes.lost || !due {
+            self.next = changes.next;
+            return Ok(CacheUpdate::Changes(changes));
         }
-        self.listed = Some(Instant::now());
-        let all = replica::fetch_all_parts(&mut self.conn, PATIENCE).await?;
-        self.next = all.next;
-        Ok(Update::Whole(all))
+        self.last_list = Some(Instant::now());
+        let list = replica::fetch_all_parts(&mut self.conn, ANSWER_TIMEOUT).await?;
+        self.next = list.next;
+        Ok(CacheUpdate::Whole(list))
     }
 }
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -1,8 +1,8 @@
-//! Following the store: the operator's rows and the list of the system's own processes.
+//! Following the store's tables of the operator's rows and of the system's processes, the members.
 //!
-//! Both change seldom, so each process holds a call open that the store answers at the next change.
-//! A call that fails is followed by another after a short random pause, so that all processes
-//! together don't come back at one moment.
+//! Both tables change rarely, so each process keeps a call open that the store answers at the next
+//! change. A failed call is retried after a short random pause, so that the processes don't all
+//! call the store at the same time.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,23 +18,25 @@
 use crate::meter;
 use crate::node::{domain_key, Member, OperatorRow, SharedNode, Source};
 
-/// How long the store may hold a call; long calls are few, and a vanished connection is found by
-/// the kernel's probes, not by this.
-const HOLD: Duration = Duration::from_secs(20);
-/// Shortest pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(80);
-/// How long changes of the members' list are gathered.
-const GATHER: Duration = Duration::from_millis(500);
-/// Pause after an answer that doesn't name the store's era.
-const UNNAMED: Duration = Duration::from_secs(1);
-/// Time over which processes write their rows again after a restore.
-const SPREAD: Duration = Duration::from_millis(2_000);
-/// Longest pause after a failed call; a tenth of the time in which a configuration must be known.
-const LONGEST: Duration = Duration::from_millis(250);
+/// How long the store may hold a call. Long holds mean few calls; broken connections are detected
+/// by the kernel's probes, not by this timeout.
+const MAX_HOLD: Duration = Duration::from_secs(20);
+/// Shortest pause before a failed call is retried.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(80);
+/// Pause after each change of the list of members, during which further changes accumulate for the
+/// next call.
+const BATCH_DELAY: Duration = Duration::from_millis(500);
+/// Pause after an answer without the store's era.
+const MISSING_ERA_PAUSE: Duration = Duration::from_secs(1);
+/// Time over which the processes distribute rewriting their rows after a restore.
+const REWRITE_SPREAD: Duration = Duration::from_millis(2_000);
+/// Longest pause before a failed call is retried: a tenth of the time within which every process
+/// must have a new configuration.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// A process's own entry in the list of members.
+/// Value of a process's row in the list of members.
 #[derive(Serialize, Deserialize)]
-struct Entry {
+struct MemberDoc {
     addr: std::net::SocketAddr,
     entry: bool,
     #[serde(default)]
@@ -43,21 +45,21 @@
     engine: Option<std::net::SocketAddr>,
 }
 
-/// A random pause before this process's row is written again, so that the rows of hundreds fit into the rate
-/// of writes to one table.
-async fn spread() {
-    let ms = rand::rng().random_range(0..SPREAD.as_millis() as u64);
+/// Waits for a random time before this process's row is written again, so that the writes of
+/// hundreds of processes stay within the store's write rate for one table.
+async fn rewrite_pause() {
+    let ms = rand::rng().random_range(0..REWRITE_SPREAD.as_millis() as u64);
     sleep(Duration::from_millis(ms)).await;
 }
 
-/// A random pause before the store is asked again.
+/// Waits for a random time before the store is called again.
 pub async fn retry_pause() {
-    let span = PAUSE.as_millis() as u64..LONGEST.as_millis() as u64;
+    let span = MIN_RETRY_PAUSE.as_millis() as u64..MAX_RETRY_PAUSE.as_millis() as u64;
     let ms = rand::rng().random_range(span);
     sleep(Duration::from_millis(ms)).await;
 }
 
-/// Takes over the era that the store's last answer named, and lets the client drop answers of earlier ones.
+/// Records the era in the store's last answer, and makes the client reject answers of earlier eras.
 pub fn record_era(node: &SharedNode, store: &mut Store) {
     let known = *node.era.borrow();
     let kind = match store.last_era_header() {
@@ -67,7 +69,7 @@
         }
         EraHeader::Value(_) => Some("outdated"),
         EraHeader::Unreadable => Some("unreadable"),
-        // A store that has named none yet doesn't count them.
+        // A store that has never sent an era doesn't count eras.
         EraHeader::Missing => known.map(|_| "missing"),
     };
     let known = node.era.borrow().unwrap_or_default();
@@ -78,7 +80,7 @@
     }
 }
 
-/// Notes whether the store answers this process, and tells it when that changes.
+/// Records whether the store answers this process, and logs when that changes.
 fn record_answer<T>(
     node: &SharedNode,
     store: &mut Store,
@@ -86,7 +88,7 @@
     result: &Result<T, StoreError>,
 ) {
     record_era(node, store);
-    // Lost history and a late answer are answers like any other.
+    // These errors mean that the store has answered.
     let answered = matches!(
         result,
         Err(StoreError::Gone | StoreError::OutdatedEra(..) | StoreError::MissingEra)
@@ -96,8 +98,8 @@
     }
     dependency.record(result);
     let now = node.now();
-    let lost = &mut node.cluster.borrow_mut().store_lost_since;
-    *lost = result.is_err().then(|| lost.unwrap_or(now));
+    let lost_since = &mut node.cluster.borrow_mut().store_lost_since;
+    *lost_since = result.is_err().then(|| lost_since.unwrap_or(now));
 }
 
 /// Follows the operator's rows for as long as the process lives.
@@ -108,41 +110,42 @@
     let mut era = node.era.subscribe();
     loop {
         era.mark_unchanged();
-        let all = store.rows(OPERATOR_TABLE).await;
-        record_answer(&node, &mut store, &mut dependency, &all);
-        let Ok(rows) = all else {
+        let table = store.rows(OPERATOR_TABLE).await;
+        record_answer(&node, &mut store, &mut dependency, &table);
+        let Ok(rows) = table else {
             retry_pause().await;
             continue;
         };
         let mut after = rows.at;
-        reread(&node, OPERATOR_TABLE, &rows, 0);
-        adopt(&node, rows, Source::Table);
+        log_reread(&node, OPERATOR_TABLE, &rows, 0);
+        apply_rows(&node, rows, Source::Table);
         loop {
-            let news = tokio::select! {
+            let changes = tokio::select! {
                 biased;
-                news = store.changes(OPERATOR_TABLE, after, HOLD) => news,
+                changes = store.changes(OPERATOR_TABLE, after, MAX_HOLD) => changes,
                 _ = era.changed() => Err(StoreError::Gone),
             };
-            record_answer(&node, &mut store, &mut dependency, &news);
-            match news {
+            record_answer(&node, &mut store, &mut dependency, &changes);
+            match changes {
                 Ok(rows) => {
                     after = after.max(rows.at);
-                    adopt(&node, rows, Source::Feed);
+                    apply_rows(&node, rows, Source::Feed);
                 }
-                // The history between is gone, so all is read again; not by all processes at one moment.
+                // The changes in between are no longer available, so the whole table is read again;
+                // the random pause keeps the processes from doing so all at the same time.
                 Err(StoreError::Gone | StoreError::OutdatedEra(..)) => {
                     retry_pause().await;
                     break;
                 }
-                // So it is until an answer names the era again.
+                // Calls fail in this way until an answer contains the era again.
                 Err(StoreError::MissingEra) => {
-                    sleep(UNNAMED).await;
+                    sleep(MISSING_ERA_PAUSE).await;
                     break;
                 }
                 Err(_) => {
                     retry_pause().await;
-                    // A fresh read shows at once whether the store answers, where a held call
-                    // would tell only at its end.
+                    // A read of the table shows at once whether the store answers; a held call
+                    // would show that only at its end.
                     break;
                 }
             }
@@ -150,8 +153,8 @@
     }
 }
 
-/// Logs that a table was read again, if the store has been restored.
-fn reread(node: &SharedNode, table: &str, rows: &Rows, written: usize) {
+/// Logs that a table was read, if the store has been restored.
+fn log_reread(node: &SharedNode, table: &str, rows: &Rows, written: usize) {
     if node.restored.get() {
         log::event(&Event::Reread {
             table,
@@ -162,23 +165,23 @@
     }
 }
 
-fn adopt(node: &SharedNode, rows: Rows, source: Source) {
+fn apply_rows(node: &SharedNode, rows: Rows, source: Source) {
     let now = node.now();
     let mut cluster = node.cluster.borrow_mut();
     cluster.set_store_clock(now, rows.clock_ms);
     for Row { key, value, at } in rows.rows {
-        // The operator takes nothing back; a row that is gone leaves what was in force.
+        // The operator deletes no rows; after a deletion the last value stays in force.
         if let Some(value) = value {
             cluster.apply_row(now, &key, OperatorRow { at, value }, source);
         }
     }
 }
 
-/// Enters this process in the list of members and follows that list.
+/// Adds this process to the list of members and follows the list.
 pub async fn follow_members(node: SharedNode) {
     let (addr, host, own) = {
         let s = node.settings.borrow();
-        let own = Entry {
+        let own = MemberDoc {
             addr: s.peer,
             entry: s.role == Role::Entry,
             domain: s.domain.clone(),
@@ -190,86 +193,88 @@
     let mut store = Store::new(addr);
     let mut dependency = Dependency::new("members");
     loop {
-        let entered = store.put(MEMBERS_TABLE, &host, &value).await;
-        dependency.record(&entered);
-        if entered.is_ok() {
+        let written = store.put(MEMBERS_TABLE, &host, &value).await;
+        dependency.record(&written);
+        if written.is_ok() {
             break;
         }
         retry_pause().await;
-        sleep(LONGEST).await;
+        sleep(MAX_RETRY_PAUSE).await;
     }
-    let mut last = None;
+    let mut last_read = None;
     loop {
-        let read = list(&node, &mut store, &host, &value, &mut last).await;
+        let read = sync_members(&node, &mut store, &host, &value, &mut last_read).await;
         record_era(&node, &mut store);
         dependency.record(&read);
         if read.is_err() {
-            sleep(LONGEST).await;
+            sleep(MAX_RETRY_PAUSE).await;
             retry_pause().await;
         }
     }
 }
 
-/// Reads the list of members, enters this process again if it isn't there, then reads the list's changes
-/// until a call fails.
-async fn list(
+/// Reads the list of members, adds this process again if it is missing, then follows the list's
+/// changes until a call fails.
+async fn sync_members(
     node: &SharedNode,
     store: &mut Store,
     own: &str,
     value: &[u8],
-    last: &mut Option<Position>,
+    last_read: &mut Option<Position>,
 ) -> Result<(), StoreError> {
     let mut era = node.era.subscribe();
     era.mark_unchanged();
-    let all = store.rows(MEMBERS_TABLE).await?;
+    let table = store.rows(MEMBERS_TABLE).await?;
     record_era(node, store);
-    let mut after = all.at;
-    let listed = all.rows.iter().any(|r| r.key == own);
-    reread(node, MEMBERS_TABLE, &all, usize::from(!listed));
-    let mut members: HashMap<_, _> = all.rows.into_iter().filter_map(member).collect();
-    if last.replace(after).is_some_and(|l| after.era > l.era) {
-        // Members whose rows the restore has lost write them again; until then they are what they were.
-        let before = node.cluster.borrow().members.clone();
-        before.into_iter().for_each(|(host, member)| {
+    let mut after = table.at;
+    let listed = table.rows.iter().any(|r| r.key == own);
+    log_reread(node, MEMBERS_TABLE, &table, usize::from(!listed));
+    let mut members: HashMap<_, _> = table.rows.into_iter().filter_map(parse_member).collect();
+    if last_read.replace(after).is_some_and(|l| after.era > l.era) {
+        // Members whose rows were lost in the restore write them again; until then their last known
+        // rows are used.
+        let previous = node.cluster.borrow().members.clone();
+        previous.into_iter().for_each(|(host, member)| {
             members.entry(host).or_insert(member);
         });
     }
     members.remove(own);
     set_members(node, members);
     if !listed {
-        spread().await;
+        rewrite_pause().await;
         store.put(MEMBERS_TABLE, own, value).await?;
         record_era(node, store);
     }
     loop {
-        let news = tokio::select! {
+        let changes = tokio::select! {
             biased;
-            news = store.changes(MEMBERS_TABLE, after, HOLD) => news,
+            changes = store.changes(MEMBERS_TABLE, after, MAX_HOLD) => changes,
             _ = era.changed() => Err(StoreError::Gone),
         };
         record_era(node, store);
-        let news = match news {
+        let changes = match changes {
             Err(StoreError::Gone | StoreError::OutdatedEra(..)) => {
                 retry_pause().await;
                 return Ok(());
             }
             Err(StoreError::MissingEra) => {
-                sleep(UNNAMED).await;
+                sleep(MISSING_ERA_PAUSE).await;
                 return Ok(());
             }
-            news => news?,
+            changes => changes?,
         };
-        after = after.max(news.at);
-        // Processes start together; without a pause each start is one more call of every process.
-        sleep(GATHER).await;
-        let changed = news.rows.into_iter().filter_map(member);
+        after = after.max(changes.at);
+        // Many processes start together. Without this delay every process would make another call
+        // for each one that starts.
+        sleep(BATCH_DELAY).await;
+        let changed = changes.rows.into_iter().filter_map(parse_member);
         let mut members = node.cluster.borrow().members.clone();
         members.extend(changed.filter(|(h, _)| h != own));
         set_members(node, members);
     }
 }
 
-/// Takes over the other processes, and tells of them if they are others than before.
+/// Replaces the known members, and logs their number if they have changed.
 fn set_members(node: &SharedNode, members: HashMap<String, Member>) {
     let mut cluster = node.cluster.borrow_mut();
     if cluster.members == members {
@@ -283,10 +288,10 @@
     });
 }
 
-fn member(row: Row) -> Option<(String, Member)> {
-    let read = serde_json::from_slice::<Entry>(&row.value?);
-    let entry = match read {
-        Ok(entry) => entry,
+fn parse_member(row: Row) -> Option<(String, Member)> {
+    let parsed = serde_json::from_slice::<MemberDoc>(&row.value?);
+    let doc = match parsed {
+        Ok(doc) => doc,
         Err(e) => {
             log::event(&Event::BadRow {
                 key: &row.key,
@@ -295,15 +300,15 @@
             return None;
         }
     };
-    let role = match entry.entry {
+    let role = match doc.entry {
         true => Role::Entry,
         false => Role::Sidecar,
     };
     let member = Member {
-        addr: entry.addr,
+        addr: doc.addr,
         role,
-        domain: domain_key(&entry.domain),
-        engine: entry.engine,
+        domain: domain_key(&doc.domain),
+        engine: doc.engine,
     };
     Some((row.key, member))
 }
--- a/crates/gate/src/kv_stores.rs
+++ b/crates/gate/src/kv_stores.rs
@@ -1,8 +1,9 @@
-//! Following what the stores of kept KV cache hold, for all entries.
+//! Following the contents of the KV stores on behalf of all entries.
 //!
-//! A store answers only a few listeners at once, so not every entry can follow it. A few sidecars, or
-//! entries where there are no sidecars, do, chosen by rank for each store, and report to the entries. More than one follows each store, so that
-//! the loss of a host doesn't leave the entries without updates; the same one twice does no harm.
+//! A KV store serves only a few listeners at once, so not every entry can follow it. Instead, a few
+//! sidecars, or entries if there are no sidecars, are selected by rank for each store; these follow
+//! the store and report to all entries. Each store has more than one follower, so that the loss of
+//! a host doesn't leave the entries without updates; receiving the same update twice is harmless.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,20 +24,21 @@
 use crate::node::{ClusterState, SharedNode};
 use crate::update::{self, Update};
 
-/// Processes that follow each store; stores allow eight listeners or more.
-const FOLLOWERS: usize = 2;
-/// Pause before the entries and stores are known. A process that starts has read both within some 40 ms.
-const START: Duration = Duration::from_millis(20);
-/// Time after an entry's start in which it leaves stores to sidecars.
-const SIDECARS: Duration = Duration::from_millis(2_000);
-/// How often the choice of followers is looked at.
-const LOOK: Duration = Duration::from_millis(1_000);
-/// Pause before a question after one that failed.
-const AGAIN: Duration = Duration::from_millis(400);
-/// How often all that a store holds is told.
-const WHOLE: Duration = Duration::from_secs(4);
+/// Number of processes that follow each store; stores allow at least eight listeners.
+const FOLLOWERS_PER_STORE: usize = 2;
+/// Poll interval until the entries and stores are known; a starting process has read both within
+/// about 40 ms.
+const STARTUP_POLL: Duration = Duration::from_millis(20);
+/// Time after an entry's start before it follows any store, so that sidecars can do so.
+const ENTRY_DELAY: Duration = Duration::from_millis(2_000);
+/// Interval at which the selection of followers is updated.
+const ASSIGNMENT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Pause after a failed request to a store.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Interval at which all parts of a store are reported.
+const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(4);
 
-/// What a store holds, and whether it answers.
+/// Contents of a store, and whether the store answers.
 #[derive(Debug, Default)]
 struct StoreContents {
     alive: bool,
@@ -48,10 +50,15 @@
 pub struct FollowedStores(Rc<RefCell<HashMap<SocketAddr, StoreContents>>>);
 
 impl FollowedStores {
-    /// Tells some addresses all that is known.
+    /// Sends the contents of all followed stores to the given addresses.
     pub fn send_to(&self, socket: &UdpSocket, to: impl IntoIterator<Item = SocketAddr> + Clone) {
-        for (addr, view) in self.0.borrow().iter() {
-            update::send_parts(socket, view.update(*addr), &view.cache.all(), to.clone());
+        for (addr, contents) in self.0.borrow().iter() {
+            update::send_parts(
+                socket,
+                contents.update(*addr),
+                &contents.cache.all(),
+                to.clone(),
+            );
         }
     }
 }
@@ -68,46 +75,47 @@
     }
 }
 
-/// Follows the stores that are this host's to follow, for as long as the process lives.
+/// Follows the stores that this process is selected for, for as long as it runs.
 pub async fn follow(node: SharedNode, socket: Rc<UdpSocket>, stores: FollowedStores) {
     let entry = node.settings.borrow().role == Role::Entry;
     if entry {
-        // Until then sidecars that start as well may not be known.
-        sleep(SIDECARS).await;
+        // Sidecars that start at the same time may not be known earlier.
+        sleep(ENTRY_DELAY).await;
     }
-    // What is sent before the entries are known is lost.
+    // Updates sent before the entries are known would be lost.
     while node.plan().is_none() || all_entries(&node).is_empty() {
-        sleep(START).await;
+        sleep(STARTUP_POLL).await;
     }
     let mut following: HashMap<SocketAddr, JoinHandle<()>> = HashMap::new();
     loop {
-        let ours = ours(&node);
+        let assigned = assigned_stores(&node);
         following.retain(|addr, task| {
-            let keep = ours.contains(addr);
+            let keep = assigned.contains(addr);
             if !keep {
                 task.abort();
                 stores.0.borrow_mut().remove(addr);
             }
             keep
         });
-        for addr in ours {
+        for addr in assigned {
             following.entry(addr).or_insert_with(|| {
-                let follow = one(Rc::clone(&node), Rc::clone(&socket), stores.clone(), addr);
+                let follow =
+                    follow_store(Rc::clone(&node), Rc::clone(&socket), stores.clone(), addr);
                 tokio::task::spawn_local(follow)
             });
         }
-        sleep(LOOK).await;
+        sleep(ASSIGNMENT_INTERVAL).await;
     }
 }
 
-/// The stores for which this host is among the first by rank.
-fn ours(node: &SharedNode) -> Vec<SocketAddr> {
+/// The stores for which this process is among the first followers by rank.
+fn assigned_stores(node: &SharedNode) -> Vec<SocketAddr> {
     let Some(plan) = node.plan() else {
         return Vec::new();
     };
     let cluster = node.cluster.borrow();
     let host = &node.settings.borrow().host;
-    let role = follower(node, &cluster);
+    let role = follower_role(node, &cluster);
     if node.settings.borrow().role != role {
         return Vec::new();
     }
@@ -118,13 +126,13 @@
         let seed = u64::from(addr.port()) ^ xxh3_64_with_seed(addr.to_string().as_bytes(), 0);
         let rank = |h: &str| xxh3_64_with_seed(h.as_bytes(), seed);
         let own = rank(host);
-        others.iter().filter(|h| rank(h) < own).count() < FOLLOWERS
+        others.iter().filter(|h| rank(h) < own).count() < FOLLOWERS_PER_STORE
     };
     stores.filter(first).collect()
 }
 
 /// The role of processes that follow stores: sidecars, or entries where there are none.
-fn follower(node: &SharedNode, cluster: &ClusterState) -> Role {
+fn follower_role(node: &SharedNode, cluster: &ClusterState) -> Role {
     let sidecar = node.settings.borrow().role == Role::Sidecar;
     match sidecar || cluster.sidecars().next().is_some() {
         true => Role::Sidecar,
@@ -133,31 +141,36 @@
 }
 
 /// Follows one store.
-async fn one(node: SharedNode, socket: Rc<UdpSocket>, stores: FollowedStores, addr: SocketAddr) {
+async fn follow_store(
+    node: SharedNode,
+    socket: Rc<UdpSocket>,
+    stores: FollowedStores,
+    addr: SocketAddr,
+) {
     let mut follower = Follower::new(Conn::new(addr));
-    let mut whole = Instant::now();
-    let mut store = Dependency::new("kept cache");
+    let mut last_full = Instant::now();
+    let mut dependency = Dependency::new("kept cache");
     loop {
-        let told = follower.changes().await;
-        store.record(&told);
+        let update = follower.changes().await;
+        dependency.record(&update);
         let entries = all_entries(&node);
-        let Ok(told) = told else {
+        let Ok(changes) = update else {
             // Nothing is fetched from a store that doesn't answer.
             stores.0.borrow_mut().insert(addr, StoreContents::default());
             update::send(&socket, &StoreContents::default().update(addr), entries);
-            sleep(AGAIN).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         let (update, changes) = {
             let mut stores = stores.0.borrow_mut();
-            let view = stores.entry(addr).or_default();
-            view.alive = true;
-            let changes = told.into(&mut view.cache);
-            (view.update(addr), changes)
+            let contents = stores.entry(addr).or_default();
+            contents.alive = true;
+            let changes = changes.apply_to(&mut contents.cache);
+            (contents.update(addr), changes)
         };
         update::send_parts(&socket, update, &changes, entries.iter().copied());
-        if whole.elapsed() > WHOLE {
-            whole = Instant::now();
+        if last_full.elapsed() > FULL_UPDATE_INTERVAL {
+            last_full = Instant::now();
             stores.send_to(&socket, entries.iter().copied());
         }
     }
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -1,10 +1,11 @@
-//! The store's rows from one process to another, for those whom the store turns away.
+//! Exchange of the store's rows between processes, for processes that can't reach the store.
 //!
-//! The store may refuse some hosts and serve the others. A process that gets no answer from it asks
-//! other processes for what is newer than its own, so that a configuration or a key that was taken
-//! away reaches it all the same. Entries ask others for the list of targets as well; for as long as
-//! they were cut off they sent to engines that had crashed meanwhile, 30 tries each in 12 s. Rows are
-//! passed on as they were read, with their versions.
+//! The store may refuse some hosts and serve the others. A process that gets no answer from the
+//! store queries other processes for rows newer than its own, so that it still receives a new
+//! configuration or the revocation of an API key. Entries also query other entries for the list of
+//! targets: without that, an entry cut off from the store continued to send requests to engines
+//! that had crashed, 30 attempts each in 12 s. Rows are passed on as they were read, with their
+//! versions.
 
 use std::collections::HashMap;
 use std::io;
@@ -28,48 +29,51 @@
 use crate::node::{OperatorRow, SharedNode, Source};
 use crate::target_list::TargetList;
 
-/// Pause between two rounds of questions; several fit into the time in which a configuration must
-/// be known.
-const PAUSE: Duration = Duration::from_millis(300);
-/// Others asked in a round; one of them may be turned away too.
-const ASKED: usize = 3;
-/// How long one of them may take.
-const PATIENCE: Duration = Duration::from_millis(250);
-/// Age up to which a list of targets is passed on; entries that hear that it hasn't changed read it
-/// every four seconds.
-const FRESH: Micros = Micros::from_millis(5_000);
-/// Bytes of a message at most; a configuration has 4 MB at most.
-const LARGEST: usize = 8 << 20;
+/// Pause between two rounds of queries. Several rounds fit into the time within which every process
+/// must have a new configuration.
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
+/// Number of processes queried per round, since some of them may not reach the store either.
+const PEERS_PER_ROUND: usize = 3;
+/// Timeout of a query.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(250);
+/// Age up to which a list of targets is passed on. Entries that are informed that the list is
+/// unchanged read it every four seconds.
+const MAX_LIST_AGE: Micros = Micros::from_millis(5_000);
+/// Maximum size of a message in bytes; the maximum size of a configuration is 4 MB.
+const MAX_MESSAGE: usize = 8 << 20;
 
-/// What a process has.
+/// Query for rows newer than those that the querying process has.
 #[derive(Clone, PartialEq, Message)]
 struct Request {
-    /// Versions of its rows by their keys, and the eras that they are of.
+    /// Versions of the querying process's rows, by key.
     #[prost(map = "string, uint64", tag = "1")]
     versions: HashMap<String, u64>,
+    /// Eras of those versions, by key.
     #[prost(map = "string, uint64", tag = "4")]
     eras: HashMap<String, u64>,
-    /// Whether it asks for the list of targets instead.
+    /// Whether the query is for the list of targets instead.
     #[prost(bool, tag = "2")]
     targets: bool,
-    /// Position of its list of targets, if it asks for what has changed in that.
+    /// Version at which the querying process last read the list of targets; 0 to get the whole
+    /// list.
     #[prost(uint64, tag = "5")]
     after: u64,
+    /// Era of the version in `after`.
     #[prost(uint64, tag = "6")]
     after_era: u64,
-    /// An address; set, it asks for the rows of the targets there instead.
+    /// If not empty, the query is for the rows of the targets at this address instead.
     #[prost(string, tag = "3")]
     target: String,
 }
 
 impl Request {
-    /// Position of the list of targets that is there, if one is.
+    /// Position from which changes of the list of targets are requested; `None` for the whole list.
     fn position(&self) -> Option<Position> {
         (self.after > 0).then(|| Position::new(self.after_era, self.after))
     }
 }
 
-/// What is newer.
+/// Answer to a [`Request`].
 #[derive(Clone, PartialEq, Message)]
 struct Reply {
     #[prost(message, repeated, tag = "1")]
@@ -80,20 +84,22 @@
     /// Newest version in the store when the list of targets was read; 0 without a list.
     #[prost(uint64, tag = "3")]
     version: u64,
-    /// The era that it is of.
+    /// Era of that version.
     #[prost(uint64, tag = "6")]
     era: u64,
-    /// Whether these are the rows that have changed since the position that was named, not the whole list.
+    /// Whether `rows` contains only the changes since the position in the request, not the whole
+    /// list.
     #[prost(bool, tag = "7")]
     changes: bool,
-    /// Whether a delegate of the engine that was asked about has reported.
+    /// Whether a delegate of the requested engine has reported.
     #[prost(bool, tag = "4")]
     delegated: bool,
-    /// Milliseconds for which none has, or since this process's start.
+    /// Milliseconds since a delegate's last report, or since the start of the answering process.
     #[prost(uint64, tag = "5")]
     quiet_ms: u64,
 }
 
+/// A row of the store with its position.
 #[derive(Clone, PartialEq, Message)]
 struct ReplyRow {
     #[prost(string, tag = "1")]
@@ -104,7 +110,7 @@
     value: Bytes,
     #[prost(uint64, tag = "4")]
     era: u64,
-    /// Whether the row went.
+    /// Whether the row was deleted.
     #[prost(bool, tag = "5")]
     gone: bool,
 }
@@ -120,8 +126,8 @@
         }
     }
 
-    /// A row of the list of targets.
-    fn listed(row: &Row) -> Self {
+    /// Converts a row of the list of targets.
+    fn from_list(row: &Row) -> Self {
         Self {
             gone: row.value.is_none(),
             ..Self::new(&row.key, row.at, row.value.clone().unwrap_or_default())
@@ -134,45 +140,45 @@
 }
 
 impl Reply {
-    /// Where the list of targets was read.
+    /// Position at which the list of targets was read.
     fn position(&self) -> Position {
         Position::new(self.era, self.version)
     }
 }
 
-/// Why a question has no answer.
+/// Why a query has failed.
 #[derive(Debug, Error)]
 enum PeerError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("the message can't be read: {0}")]
+    #[error("malformed message: {0}")]
     Malformed(#[from] prost::DecodeError),
-    #[error("the connection ended")]
+    #[error("the connection was closed")]
     Ended,
-    #[error("no answer in time")]
+    #[error("no answer within the time limit")]
     Timeout,
 }
 
 fn framed(tcp: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(LARGEST)
+        .max_frame_length(MAX_MESSAGE)
         .new_codec();
     Framed::new(tcp, codec)
 }
 
-/// Answers other processes' questions.
+/// Answers queries of other processes.
 pub fn serve(node: &SharedNode, listener: TcpListener) {
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         loop {
             let Ok((tcp, _)) = listener.accept().await else {
-                sleep(PAUSE).await;
+                sleep(ROUND_INTERVAL).await;
                 continue;
             };
             let node = Rc::clone(&node);
             tokio::task::spawn_local(async move {
-                // The other side asks somebody else.
-                let _ = timeout(PAUSE * 4, answer(&node, tcp)).await;
+                // After a failure the querying process queries another one.
+                let _ = timeout(ROUND_INTERVAL * 4, answer(&node, tcp)).await;
             });
         }
     });
@@ -180,21 +186,21 @@
 
 async fn answer(node: &SharedNode, tcp: TcpStream) -> Result<(), PeerError> {
     let mut frames = framed(tcp);
-    let asked = frames.next().await.ok_or(PeerError::Ended)??;
-    let ask = Request::decode(asked)?;
-    let reply = match ask.target.parse() {
-        Ok(addr) => at(node, addr),
-        Err(_) if ask.targets => listed(node, ask.position()),
-        Err(_) => newer(node, &ask),
+    let message = frames.next().await.ok_or(PeerError::Ended)??;
+    let request = Request::decode(message)?;
+    let reply = match request.target.parse() {
+        Ok(addr) => target_rows_at(node, addr),
+        Err(_) if request.targets => list_reply(node, request.position()),
+        Err(_) => newer_rows(node, &request),
     };
     frames.send(Bytes::from(reply.encode_to_vec())).await?;
     Ok(())
 }
 
-fn newer(node: &SharedNode, ask: &Request) -> Reply {
+fn newer_rows(node: &SharedNode, request: &Request) -> Reply {
     let cluster = node.cluster.borrow();
     let of = |map: &HashMap<String, u64>, key: &String| map.get(key).copied().unwrap_or_default();
-    let known = |key: &String| Position::new(of(&ask.eras, key), of(&ask.versions, key));
+    let known = |key: &String| Position::new(of(&request.eras, key), of(&request.versions, key));
     let rows = cluster
         .operator_rows
         .iter()
@@ -207,21 +213,22 @@
     }
 }
 
-/// The rows of targets at an address, if this process has read the list of late.
-fn at(node: &SharedNode, addr: SocketAddr) -> Reply {
+/// The rows of the targets at an address, if the list of targets is recent.
+fn target_rows_at(node: &SharedNode, addr: SocketAddr) -> Reply {
     let cluster = node.cluster.borrow();
     let now = node.now();
     let listed = cluster.targets.as_ref();
-    let listed = listed.filter(|l| now.since(l.at) < FRESH);
-    // Thousands of rows would take too long to decode for each sidecar that starts.
+    let listed = listed.filter(|l| now.since(l.at) < MAX_LIST_AGE);
+    // Decoding thousands of rows for each sidecar that starts would take too long, so rows that
+    // don't contain the address are skipped first.
     let text = addr.to_string();
     let named = |r: &&Row| {
         let value = r.value.as_deref().unwrap_or_default();
         value.windows(text.len()).any(|w| w == text.as_bytes())
     };
     let rows = listed.into_iter().flat_map(TargetList::rows).filter(named);
-    let mut rows: Vec<_> = rows.map(ReplyRow::listed).collect();
-    rows.retain(|r| target(r).is_some_and(|t| t.addr == addr));
+    let mut rows: Vec<_> = rows.map(ReplyRow::from_list).collect();
+    rows.retain(|r| parse_target(r).is_some_and(|t| t.addr == addr));
     let delegated = cluster.delegate_reports.get(&addr).copied();
     Reply {
         rows,
@@ -231,25 +238,25 @@
     }
 }
 
-/// The target that a row of the list names; none if the row can't be read.
-fn target(row: &ReplyRow) -> Option<Target> {
+/// Parses a row of the list of targets; `None` if it is malformed.
+fn parse_target(row: &ReplyRow) -> Option<Target> {
     platform::directory::decode_target(&row.key, row.at(), &row.value).ok()
 }
 
-/// The list of targets, if this process has it of late; its changes where the position that the other one
-/// has is still known.
-fn listed(node: &SharedNode, after: Option<Position>) -> Reply {
+/// The list of targets, if it is recent. Contains only the changes if those since the position
+/// `after` are known.
+fn list_reply(node: &SharedNode, after: Option<Position>) -> Reply {
     let cluster = node.cluster.borrow();
     let age = |list: &TargetList| node.now().since(list.at);
-    let Some(list) = cluster.targets.as_ref().filter(|l| age(l) < FRESH) else {
+    let Some(list) = cluster.targets.as_ref().filter(|l| age(l) < MAX_LIST_AGE) else {
         return Reply::default();
     };
     let changes = after.and_then(|after| list.since(after));
     Reply {
         changes: changes.is_some(),
         rows: match changes {
-            Some(rows) => rows.map(ReplyRow::listed).collect(),
-            None => list.rows().map(ReplyRow::listed).collect(),
+            Some(rows) => rows.map(ReplyRow::from_list).collect(),
+            None => list.rows().map(ReplyRow::from_list).collect(),
         },
         age_ms: age(list).as_millis(),
         version: list.position.version,
@@ -258,39 +265,41 @@
     }
 }
 
-/// The list of targets as another process has it.
+/// List of targets received from another process.
 #[derive(Debug)]
 pub struct FetchedList {
-    /// When it was read, on this process's clock.
+    /// When the list was read from the store, on this process's clock.
     pub at: Micros,
-    /// The whole list, or the rows that have changed.
+    /// All rows, or only those that have changed.
     pub rows: Rows,
-    /// Whether these are changes only.
+    /// Whether `rows` contains only changes.
     pub changes: bool,
 }
 
-/// The list of targets as some other entries have it of late, the newest that any of them has.
+/// Queries some other entries for the list of targets and returns the newest one.
 pub async fn fetch_target_list(
     node: &SharedNode,
     entries: impl IntoIterator<Item = SocketAddr>,
 ) -> Option<FetchedList> {
-    let some = entries.into_iter().choose_multiple(&mut rand::rng(), ASKED);
+    let peers = entries
+        .into_iter()
+        .choose_multiple(&mut rand::rng(), PEERS_PER_ROUND);
     let own = {
         let cluster = node.cluster.borrow();
         cluster.targets.as_ref().map(|l| l.position)
     };
     let own = own.unwrap_or_default();
-    let ask = Request {
+    let request = Request {
         targets: true,
         after: own.version,
         after_era: own.era,
         ..Request::default()
     };
-    let asked = some
+    let queries = peers
         .into_iter()
-        .map(|a| timeout(PATIENCE, question(a, &ask)));
-    let replies = futures::future::join_all(asked).await;
-    // Of those that don't answer the operator's rows are asked too, which tells how it failed.
+        .map(|a| timeout(QUERY_TIMEOUT, query(a, &request)));
+    let replies = futures::future::join_all(queries).await;
+    // Failures aren't logged here; the queries for the operator's rows log such failures.
     let replies = replies.into_iter().filter_map(|t| t.ok()?.ok());
     let newest = replies.max_by_key(Reply::position)?;
     let at = node.now() - Micros::from_millis(newest.age_ms);
@@ -312,34 +321,37 @@
     })
 }
 
-/// What entries know of an engine beside a sidecar.
+/// What entries have reported about the engine of a sidecar.
 #[derive(Debug, Default)]
 pub struct EngineInfo {
-    /// Its incarnation, by the list of late.
+    /// Incarnation of the engine in a recent list of targets.
     pub boot: Option<Boot>,
-    /// How long no entry has acted for its sidecar.
+    /// For how long no entry has acted for the engine.
     pub quiet: Option<Micros>,
 }
 
-/// Asks some entries about the engine at an address.
+/// Queries some entries about the engine at an address.
 pub async fn fetch_engine_info(node: &SharedNode, addr: SocketAddr) -> EngineInfo {
     let entries: Vec<_> = {
         let cluster = node.cluster.borrow();
         let entries = cluster.entries();
-        entries.choose_multiple(&mut rand::rng(), ASKED)
+        entries.choose_multiple(&mut rand::rng(), PEERS_PER_ROUND)
     };
-    let ask = Request {
+    let request = Request {
         target: addr.to_string(),
         ..Request::default()
     };
-    let asked = entries
+    let queries = entries
         .into_iter()
-        .map(|a| timeout(PATIENCE, question(a, &ask)));
-    let answers = futures::future::join_all(asked).await;
-    // An entry that doesn't answer is replaced by another one in the next round.
+        .map(|a| timeout(QUERY_TIMEOUT, query(a, &request)));
+    let answers = futures::future::join_all(queries).await;
+    // The next round selects other entries in place of those that don't answer.
     let answers: Vec<_> = answers.into_iter().filter_map(|a| a.ok()?.ok()).collect();
-    let rows = answers.iter().flat_map(|a| &a.rows).filter_map(target);
-    // One that has seen a delegate knows better than one that hasn't.
+    let rows = answers
+        .iter()
+        .flat_map(|a| &a.rows)
+        .filter_map(parse_target);
+    // An entry that has received a delegate's report is preferred to entries that haven't.
     let seen = answers
         .iter()
         .filter(|a| a.delegated)
@@ -352,40 +364,45 @@
     }
 }
 
-/// Asks others for as long as the store doesn't answer.
+/// Queries other processes for the operator's rows while the store doesn't answer.
 pub async fn query_while_store_is_lost(node: SharedNode) {
     loop {
-        sleep(PAUSE).await;
+        sleep(ROUND_INTERVAL).await;
         let lost = node.cluster.borrow().store_lost_since.is_some();
         if lost || node.plan().is_none() {
-            let asked = others(&node).into_iter().map(|a| round(&node, a));
-            futures::future::join_all(asked).await;
+            let queries = random_peers(&node)
+                .into_iter()
+                .map(|a| query_rows(&node, a));
+            futures::future::join_all(queries).await;
         }
     }
 }
 
-fn others(node: &SharedNode) -> Vec<SocketAddr> {
+fn random_peers(node: &SharedNode) -> Vec<SocketAddr> {
     let cluster = node.cluster.borrow();
     let members = cluster.members.values().map(|m| m.addr);
     let seeds = node.settings.borrow().seeds.clone();
     members
         .chain(seeds)
-        .choose_multiple(&mut rand::rng(), ASKED)
+        .choose_multiple(&mut rand::rng(), PEERS_PER_ROUND)
 }
 
-async fn round(node: &SharedNode, addr: SocketAddr) {
-    let known = positions(node);
-    let ask = Request {
-        versions: known.iter().map(|(k, p)| (k.clone(), p.version)).collect(),
-        eras: known.into_iter().map(|(k, p)| (k, p.era)).collect(),
+async fn query_rows(node: &SharedNode, addr: SocketAddr) {
+    let positions = positions(node);
+    let request = Request {
+        versions: positions
+            .iter()
+            .map(|(k, p)| (k.clone(), p.version))
+            .collect(),
+        eras: positions.into_iter().map(|(k, p)| (k, p.era)).collect(),
         ..Request::default()
     };
-    let reply = match timeout(PATIENCE, question(addr, &ask)).await {
+    let reply = match timeout(QUERY_TIMEOUT, query(addr, &request)).await {
         Ok(r) => r,
         Err(_) => Err(PeerError::Timeout),
     };
     match reply {
-        Ok(reply) => adopt(node, reply),
+        Ok(reply) => apply_rows(node, reply),
         Err(e) => log::event(&Event::Lost {
             dependency: "peer",
             error: &e.to_string(),
@@ -393,21 +410,21 @@
     }
 }
 
-/// Positions of the operator's rows that this process has.
+/// Positions of the operator's rows that are known to this process.
 fn positions(node: &SharedNode) -> HashMap<String, Position> {
     let cluster = node.cluster.borrow();
     let rows = cluster.operator_rows.iter();
     rows.map(|(k, r)| (k.clone(), r.at)).collect()
 }
 
-async fn question(addr: SocketAddr, ask: &Request) -> Result<Reply, PeerError> {
+async fn query(addr: SocketAddr, request: &Request) -> Result<Reply, PeerError> {
     let mut frames = framed(platform::call::connect(addr).await?);
-    frames.send(Bytes::from(ask.encode_to_vec())).await?;
+    frames.send(Bytes::from(request.encode_to_vec())).await?;
     let reply = frames.next().await.ok_or(PeerError::Ended)??;
     Ok(Reply::decode(reply)?)
 }
 
-fn adopt(node: &SharedNode, reply: Reply) {
+fn apply_rows(node: &SharedNode, reply: Reply) {
     let now = node.now();
     let newest = reply.rows.iter().map(|r| r.era).max();
     if let Some(era) = newest {
--- a/crates/gate/src/target_list.rs
+++ b/crates/gate/src/target_list.rs
@@ -1,46 +1,49 @@
-//! The platform's list of targets as a process has it, and what has changed in it.
+//! The platform's list of targets as known to one process, with its recent changes.
 //!
-//! Load pattern: thousands of targets, a few of which change in a second, read by a few entries for hundreds
-//! of others. A list that is handed on in whole at each change costs more than all requests. So rows that went
-//! are kept for a time, and whoever has an earlier position gets what has changed since.
+//! Load pattern: thousands of targets, a few of which change per second, are read by a few entries
+//! for hundreds of others. Passing on the whole list at each change would cost more than all
+//! requests. Deleted rows are therefore retained for a while, and a process with an earlier
+//! position gets only the changes since that position.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 use model::{Micros, Position};
 use platform::{Row, Rows};
 
-/// How long rows that went are kept; longer than any entry is behind the others.
-const KEPT: Micros = Micros::from_secs(30);
-/// Age of the position from which changes are asked for. A feed that is silent for a moment while changes are
-/// made is asked for them again.
-const BEHIND: Micros = Micros::from_secs(3);
-/// Rows from which on the list takes several calls to read, and only its changes are read.
-const LARGE: usize = 500;
+/// How long deleted rows are retained; longer than any entry lags behind the others.
+const TOMBSTONE_TTL: Micros = Micros::from_secs(30);
+/// Age of the position from which changes are requested. The overlap covers changes that a feed has
+/// missed because it was silent for a moment.
+const CHANGES_OVERLAP: Micros = Micros::from_secs(3);
+/// Number of rows above which reading the whole list takes several calls, so only its changes are
+/// read.
+const LARGE_LIST: usize = 500;
 
-/// The list.
+/// The list of targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetList {
-    /// When it was last read, on this process's clock.
+    /// When the list was last read, on this process's clock.
     pub at: Micros,
-    /// Newest position in the store at that time. It alone tells which of two reads is the newer: a row that
-    /// is taken away leaves nothing newer among the others.
+    /// Newest position in the store at that time. Only this position shows which of two reads is
+    /// newer: the deletion of a row leaves no newer row in the list.
     pub position: Position,
+    /// Rows by key; deleted rows have no value.
     rows: BTreeMap<String, Row>,
-    /// Rows that went, by the time.
-    gone: VecDeque<(Micros, String)>,
-    /// Up to here rows that went may have been forgotten.
-    forgotten: Position,
-    /// Positions of earlier reads, by the time.
-    read: VecDeque<(Micros, Position)>,
+    /// Keys of deleted rows in the order of deletion, with the time.
+    deleted: VecDeque<(Micros, String)>,
+    /// Position since which all deleted rows are retained.
+    complete_since: Position,
+    /// Positions of earlier reads in the order of reading, with the time.
+    reads: VecDeque<(Micros, Position)>,
 }
 
 impl TargetList {
-    /// Takes over a whole read.
+    /// Replaces the list by a read of the whole table.
     pub fn replace(&mut self, at: Micros, read: Rows) {
-        if read.at.era != self.position.era || self.read.is_empty() {
-            // What went before isn't known.
+        if read.at.era != self.position.era || self.reads.is_empty() {
+            // Rows that were deleted before this read aren't known.
             *self = Self {
-                forgotten: read.at,
+                complete_since: read.at,
                 ..Self::default()
             };
         }
@@ -48,7 +51,7 @@
         let missing = self.rows().filter(|r| !listed.contains(r.key.as_str()));
         let missing: Vec<_> = missing.map(|r| r.key.clone()).collect();
         for key in missing {
-            self.enter(
+            self.insert(
                 at,
                 Row {
                     key,
@@ -60,63 +63,64 @@
         self.merge(at, read);
     }
 
-    /// Takes over rows that have changed.
+    /// Merges rows that have changed into the list.
     pub fn merge(&mut self, at: Micros, changes: Rows) {
         for row in changes.rows {
             let older = |known: &Row| known.at >= row.at;
             if !self.rows.get(&row.key).is_some_and(older) {
-                self.enter(at, row);
+                self.insert(at, row);
             }
         }
         self.at = self.at.max(at);
         self.position = self.position.max(changes.at);
-        self.read.push_back((at, changes.at));
+        self.reads.push_back((at, changes.at));
         self.expire(at);
     }
 
-    fn enter(&mut self, at: Micros, row: Row) {
+    fn insert(&mut self, at: Micros, row: Row) {
         if row.value.is_none() {
-            self.gone.push_back((at, row.key.clone()));
+            self.deleted.push_back((at, row.key.clone()));
         }
         self.rows.insert(row.key.clone(), row);
     }
 
-    /// Forgets what went long ago.
+    /// Removes positions and deleted rows that are too old.
     fn expire(&mut self, now: Micros) {
-        let behind = |(at, _): &(Micros, Position)| now.since(*at) >= BEHIND;
-        while self.read.len() > 1 && self.read.get(1).is_some_and(behind) {
-            self.read.pop_front();
+        let overlaps = |(at, _): &(Micros, Position)| now.since(*at) >= CHANGES_OVERLAP;
+        while self.reads.len() > 1 && self.reads.get(1).is_some_and(overlaps) {
+            self.reads.pop_front();
         }
         while self
-            .gone
+            .deleted
             .front()
-            .is_some_and(|(at, _)| now.since(*at) >= KEPT)
+            .is_some_and(|(at, _)| now.since(*at) >= TOMBSTONE_TTL)
         {
-            let Some((_, key)) = self.gone.pop_front() else {
+            let Some((_, key)) = self.deleted.pop_front() else {
                 return;
             };
             if let Some(row) = self.rows.get(&key).filter(|r| r.value.is_none()) {
-                self.forgotten = self.forgotten.max(row.at);
+                self.complete_since = self.complete_since.max(row.at);
                 self.rows.remove(&key);
             }
         }
     }
 
-    /// The rows that are there.
+    /// The rows that aren't deleted.
     pub fn rows(&self) -> impl Iterator<Item = &Row> {
         self.rows.values().filter(|r| r.value.is_some())
     }
 
-    /// From where its changes are to be read; none if it is to be read in whole.
+    /// Position from which changes are to be read; `None` if the whole list is to be read.
     pub fn changes_from(&self, now: Micros) -> Option<Position> {
-        let (at, position) = self.read.front()?;
-        let large = self.rows().nth(LARGE).is_some();
-        (large && now.since(*at) >= BEHIND).then_some(*position)
+        let (at, position) = self.reads.front()?;
+        let large = self.rows().nth(LARGE_LIST).is_some();
+        (large && now.since(*at) >= CHANGES_OVERLAP).then_some(*position)
     }
 
-    /// What has changed since a position; none if that isn't known any more.
+    /// Rows that have changed since a position, including deleted ones; `None` if some of them are
+    /// no longer retained.
     pub fn since(&self, position: Position) -> Option<impl Iterator<Item = &Row>> {
-        let known = position.era == self.position.era && position >= self.forgotten;
+        let known = position.era == self.position.era && position >= self.complete_since;
         known.then(|| self.rows.values().filter(move |r| r.at > position))
     }
 }
