--- a/crates/gate/tests/fleet.rs
+++ b/crates/gate/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What an entry believes of targets, as the list and sidecars tell it.
+//! An entry's state of the targets, from lists and from updates of sidecars.
 
 use gate::entry::Fleet;
 use gate::update::{HeldPart, LoadedWeights, Update};
@@ -6,9 +6,9 @@
 use policy::row_expiry;
 use site::{Boot, Part, PartId, State, Target};
 
-/// The address of all targets here.
+/// Address of the targets, except those created by [`other`].
 const ADDR: &str = "127.0.0.1:9000";
-/// How rows of the list lapse.
+/// Expiry of rows of the list.
 const CONFIG: row_expiry::Config = row_expiry::Config {
     heartbeat: Micros::from_millis(1_200),
     reentry: Micros::from_millis(2_200),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Takes over a list of the store's first era.
+/// Applies a list of the store's first era.
 fn list(fleet: &mut Fleet, at: Micros, targets: Vec<Target>) {
     fleet.list(at, Position::new(1, 1_000), targets, &CONFIG);
 }
@@ -57,11 +57,10 @@
     there.map(|r| r.target.boot.id.as_str()).collect()
 }
 
+/// Guards against sending requests to a crashed engine that is still listed beside its successor at
+/// the same address, and against applying the sidecar's updates to the crashed one.
 #[test]
-fn of_targets_at_one_address_the_last_one_heard_is_there() {
-    // An engine crashes and is back at its address under a new id while the list still names the
-    // former one. Callers' requests went to the former, each refused at the cost of a try, and what
-    // the sidecar told of the new engine was taken for the former's.
+fn only_the_target_with_the_latest_heartbeat_is_used_at_an_address() {
     let now = Micros::from_secs(100);
     let mut fleet = Fleet::default();
     list(&mut fleet, now, vec![target("old", 5)]);
@@ -83,10 +82,10 @@
     assert_eq!(holds(&fleet, "old"), 0);
 }
 
+/// Guards against losing an engine whose address is also in a wrong row of the list: once the
+/// engine refuses a request for the wrong target, the right one is used again.
 #[test]
-fn an_entry_that_names_another_targets_address_is_found_out() {
-    // Another writer has put a row into the list that names a good engine's address. Requests for it
-    // are refused there as meant for another; from then on the good engine is used again.
+fn row_with_another_targets_address_is_excluded_after_a_refusal() {
     let now = Micros::from_secs(100);
     let mut fleet = Fleet::default();
     let listed = || vec![target("good", 5), target("false", 9)];
@@ -102,11 +101,10 @@
     assert_eq!(there(&fleet, now), ["good"]);
 }
 
+/// Guards against sending requests to an ended engine until its row expires seconds later: its
+/// successor at the address refuses them, and tens of streams exhausted the retry budget.
 #[test]
-fn an_engine_whose_process_has_ended_isn_t_used_until_its_next_heartbeat() {
-    // An engine's process ends. Its sidecar sees that nobody listens any more, seconds before the list
-    // lapses. Another engine may be there by the next request, which it would refuse as meant for its
-    // predecessor; tens of streams then found no retry left.
+fn ended_engine_is_not_used_until_its_next_heartbeat() {
     let now = Micros::from_secs(100);
     let addr = ADDR.parse().expect("an address");
     let mut fleet = Fleet::default();
@@ -121,23 +119,23 @@
     assert_eq!(there(&fleet, now), ["old"]);
     fleet.hear(now, &update(true), addr);
     assert!(there(&fleet, now).is_empty());
-    // The successor answers its sidecar before it is in the list.
+    // The successor answers the sidecar before it is listed.
     fleet.hear(now, &update(false), addr);
     list(&mut fleet, now, vec![target("old", 5)]);
     assert!(there(&fleet, now).is_empty());
     list(&mut fleet, now, vec![target("old", 5), target("new", 9)]);
     assert_eq!(there(&fleet, now), ["new"]);
-    // Nobody listened for a moment, but the engine's own heartbeats go on.
+    // A connection was refused, but the engine still sends heartbeats.
     fleet.hear(now, &update(true), addr);
     list(&mut fleet, now, vec![target("new", 12)]);
     assert_eq!(there(&fleet, now), ["new"]);
 }
 
+/// Guards against ignoring a reported downgrade of weights, after an abandoned order was executed
+/// late by the engine's next incarnation: requests that demand the newer version would all be
+/// refused.
 #[test]
-fn weights_that_went_back_are_believed_after_a_time() {
-    // An order that was given up on is carried out late by an engine's next life and puts older weights
-    // in the place of newer ones. Entries that believe only in newer ones demand those of each request,
-    // and each is refused until the engine is ordered anew.
+fn reported_downgrade_of_weights_is_applied_after_a_delay() {
     let addr = ADDR.parse().expect("an address");
     let mut fleet = Fleet::default();
     let at = |ms| Micros::from_secs(100) + Micros::from_millis(ms);
@@ -158,18 +156,17 @@
     };
     assert_eq!(reports(&mut fleet, 0, 2), 2);
     assert_eq!(reports(&mut fleet, 10, 3), 3);
-    // The report of a moment before is still on its way.
+    // A report from before the load may arrive late.
     assert_eq!(reports(&mut fleet, 200, 2), 3);
     assert_eq!(reports(&mut fleet, 1_000, 2), 2);
     assert_eq!(reports(&mut fleet, 1_050, 3), 3);
 }
 
+/// Guards against regarding a target that has left shortly after an outage of the store as one
+/// whose row expired in the outage: a request reached a target 2,264 ms after it had left, and
+/// others were lost.
 #[test]
-fn a_target_that_leaves_after_the_store_is_back_is_gone_at_once() {
-    // The store turns an entry away for 6 s. It reads the list again, and 1.3 s later a target takes its
-    // row away. The entry kept it, as if the row had lapsed with the store, and had no reason to look
-    // again before its next read 4 s later: a record reached the target 2,264 ms after it had left, and
-    // others were lost with its process. `target state=missing` and then `sent list_ms=0` told it.
+fn target_that_leaves_after_a_store_outage_is_removed_at_once() {
     let at = |ms: u64| Micros::from_millis(100_000 + ms);
     let mut fleet = Fleet::default();
     let all = || vec![target("stays", 5), other("leaves", 6)];
@@ -182,12 +179,11 @@
     assert_eq!(there(&fleet, at(7_300)), ["stays"]);
 }
 
+/// Guards against retaining a target whose row may have expired in an outage for too long: it has 2
+/// s to renew its row, but an entry that doesn't read the list itself used the target until a read
+/// up to 4 s later.
 #[test]
-fn a_target_whose_row_may_have_lapsed_is_kept_for_a_time_that_ends_by_itself() {
-    // The store is down for 6 s and names a target less when it is back. The target may enter itself
-    // again within two seconds, and callers need it until then. If it doesn't, it is gone, though the
-    // list doesn't change any more and isn't read: the next read of an entry for which others read is
-    // up to 4 s away, and requests went on being sent there until then.
+fn target_whose_row_expired_in_a_store_outage_is_used_for_a_limited_time() {
     let at = |ms: u64| Micros::from_millis(100_000 + ms);
     let mut fleet = Fleet::default();
     list(
@@ -197,40 +193,44 @@
     );
     fleet.fail(at(700));
     list(&mut fleet, at(6_000), vec![target("stays", 5)]);
-    // Other entries go on telling that the list is as it was.
+    // Another entry confirms that the list is unchanged.
     fleet.confirm(at(7_000));
     list(&mut fleet, at(8_000), vec![target("stays", 5)]);
     assert_eq!(there(&fleet, at(8_100)).len(), 2);
     assert_eq!(there(&fleet, at(8_200)), ["stays"]);
 }
 
-/// A refusal that wasn't the target's fault keeps it from being used for as long as it lives.
+/// Guards against excluding a target forever after a refusal that wasn't caused by the target.
 #[test]
-fn target_marked_by_mistake_is_used_again_once_it_renews_its_row() {
+fn wrongly_excluded_target_is_used_again_once_it_renews_its_row() {
     struct Case {
         name: &'static str,
-        /// Version of its row in lists read each second after the mark.
+        /// Versions of the target's row in lists, one read per second, after the exclusion.
         rows: &'static [u64],
-        marks: usize,
+        exclusions: usize,
         there: bool,
     }
     #[rustfmt::skip]
     let cases = [
-        Case { name: "not listed since", rows: &[], marks: 1, there: false },
-        Case { name: "its row may be from before the mark", rows: &[6], marks: 1, there: false },
-        Case { name: "its row stays as it is, as that of a target that has ended", rows: &[5, 5, 5, 5], marks: 1, there: false },
-        Case { name: "it renews its row", rows: &[5, 5, 6], marks: 1, there: true },
-        Case { name: "marked again, one renewal is too few", rows: &[5, 6], marks: 2, there: false },
-        Case { name: "marked again, two are enough", rows: &[5, 6, 7], marks: 2, there: true },
+        Case { name: "not listed since the exclusion", rows: &[], exclusions: 1, there: false },
+        Case { name: "row may be from before the exclusion", rows: &[6], exclusions: 1, there: false },
+        Case { name: "row unchanged, like that of a target that has ended", rows: &[5, 5, 5, 5], exclusions: 1, there: false },
+        Case { name: "row renewed", rows: &[5, 5, 6], exclusions: 1, there: true },
+        Case { name: "excluded twice, row renewed once", rows: &[5, 6], exclusions: 2, there: false },
+        Case { name: "excluded twice, row renewed twice", rows: &[5, 6, 7], exclusions: 2, there: true },
     ];
     for c in cases {
         let mut now = Micros::from_secs(100);
         let mut fleet = Fleet::default();
         list(&mut fleet, now, vec![target("one", 5)]);
         let key = fleet.replicas.keys().next().expect("one");
-        for mark in 0..c.marks {
+        for i in 0..c.exclusions {
             fleet.replaced(now, key);
-            let between: &[u64] = if mark + 1 < c.marks { &[1, 2] } else { c.rows };
+            let between: &[u64] = if i + 1 < c.exclusions {
+                &[1, 2]
+            } else {
+                c.rows
+            };
             for row in between {
                 now = now + Micros::from_secs(1);
                 list(&mut fleet, now, vec![target("one", *row)]);
@@ -240,17 +240,19 @@
     }
 }
 
-/// A restored list brings back a target that has left, or takes away one that has joined.
+/// Guards against a restored list that adds a target that has left or removes one that has joined.
 #[test]
-fn targets_of_a_restored_list_are_what_was_known_until_their_rows_are_renewed() {
+fn known_targets_are_used_after_a_restore_until_their_rows_are_renewed() {
     struct Case {
         name: &'static str,
-        /// Rows of the copy, and those of a later list.
-        copy: Vec<Target>,
+        /// List from the backup.
+        backup: Vec<Target>,
+        /// List after the targets had time to renew their rows.
         later: Vec<Target>,
-        /// Targets that are used after each.
-        then: &'static [&'static str],
-        last: &'static [&'static str],
+        /// Targets that are used after the first list.
+        used_first: &'static [&'static str],
+        /// Targets that are used after the second list.
+        used_last: &'static [&'static str],
     }
     let second = |mut t: Target, version: u64| {
         t.renewed = Position::new(2, version);
@@ -263,39 +265,39 @@
     let (a, b) = (|v| second(target("a", 0), v), |v| second(other("b", 0), v));
     let cases = [
         Case {
-            name: "a target that left is in the copy",
-            copy: vec![a(20), b(21)],
+            name: "a target that has left is in the backup",
+            backup: vec![a(20), b(21)],
             later: vec![a(20), b(95)],
-            then: &["b"],
-            last: &["b"],
+            used_first: &["b"],
+            used_last: &["b"],
         },
         Case {
-            name: "it comes back",
-            copy: vec![a(20), b(21)],
+            name: "a target that has left joins again",
+            backup: vec![a(20), b(21)],
             later: vec![a(96), b(95)],
-            then: &["b"],
-            last: &["a", "b"],
+            used_first: &["b"],
+            used_last: &["a", "b"],
         },
         Case {
-            name: "a target that joined isn't in the copy and enters itself again",
-            copy: vec![a(20)],
+            name: "a target that has joined isn't in the backup and adds its row again",
+            backup: vec![a(20)],
             later: vec![b(95)],
-            then: &["b"],
-            last: &["b"],
+            used_first: &["b"],
+            used_last: &["b"],
         },
         Case {
-            name: "a target that joined is gone",
-            copy: vec![],
+            name: "a target that has joined does not renew its row",
+            backup: vec![],
             later: vec![],
-            then: &["b"],
-            last: &[],
+            used_first: &["b"],
+            used_last: &[],
         },
         Case {
-            name: "one that leaves after the restore, before the first read",
-            copy: vec![draining(b(30))],
+            name: "a target drains after the restore, before the first read",
+            backup: vec![draining(b(30))],
             later: vec![draining(b(30))],
-            then: &[],
-            last: &[],
+            used_first: &[],
+            used_last: &[],
         },
     ];
     for c in cases {
@@ -303,16 +305,17 @@
         let at = Micros::from_millis;
         list(&mut fleet, at(1_000), vec![target("a", 40)]);
         list(&mut fleet, at(2_000), vec![other("b", 60)]);
-        fleet.list(at(3_000), Position::new(2, 50), c.copy, &CONFIG);
-        assert_eq!(usable(&fleet, at(3_000)), c.then, "{}", c.name);
+        fleet.list(at(3_000), Position::new(2, 50), c.backup, &CONFIG);
+        assert_eq!(usable(&fleet, at(3_000)), c.used_first, "{}", c.name);
         fleet.list(at(5_500), Position::new(2, 100), c.later, &CONFIG);
-        assert_eq!(usable(&fleet, at(5_500)), c.last, "{}", c.name);
+        assert_eq!(usable(&fleet, at(5_500)), c.used_last, "{}", c.name);
     }
 }
 
-/// A restored list names the former target of an address with a version of the new era.
+/// Guards against a restored list in which the previous target of an address has a position of the
+/// new era.
 #[test]
-fn former_target_of_an_address_doesn_t_replace_the_present_one_after_a_restore() {
+fn previous_target_of_an_address_does_not_replace_the_current_one_after_a_restore() {
     let mut fleet = Fleet::default();
     let at = Micros::from_millis;
     list(
@@ -326,7 +329,7 @@
     assert_eq!(there(&fleet, at(3_000)), ["new"]);
 }
 
-/// Targets that take new work.
+/// Ids of the targets that accept new requests.
 fn usable(fleet: &Fleet, now: Micros) -> Vec<&str> {
     let ready = |id: &&str| {
         let replica = fleet.replicas.values().find(|r| r.target.boot.id == **id);
--- a/crates/gate/tests/world.rs
+++ b/crates/gate/tests/node.rs
@@ -1,10 +1,10 @@
-//! What a process takes over from the store and from other processes.
+//! Rows that a process applies from the store and from other processes.
 
 use bytes::Bytes;
 use gate::node::{ClusterState, OperatorRow, Source};
 use model::{Micros, Position};
 
-/// The key of a model's weights.
+/// Key of the row that announces the weights of the test's model.
 const KEY: &str = "version/lekha";
 
 fn row(version: u64, weights: u64) -> OperatorRow {
@@ -15,21 +15,22 @@
     }
 }
 
-/// Weights that were just named count as old at a process that has just started, which refuses callers.
+/// Guards against regarding just announced weights as announced long ago at a newly started
+/// process, which would then refuse callers.
 #[test]
-fn weights_from_the_feed_are_new_at_a_process_that_has_just_started() {
+fn weights_from_the_feed_are_new_at_a_newly_started_process() {
     struct Case {
         name: &'static str,
         source: Source,
         at: u64,
-        old: bool,
+        assumed_old: bool,
     }
     #[rustfmt::skip]
     let cases = [
-        Case { name: "first read", source: Source::Table, at: 1_000, old: true },
-        Case { name: "read after a time", source: Source::Table, at: 60_000, old: false },
-        Case { name: "feed", source: Source::Feed, at: 1_000, old: false },
-        Case { name: "another process", source: Source::Peer, at: 1_000, old: true },
+        Case { name: "first read of the table", source: Source::Table, at: 1_000, assumed_old: true },
+        Case { name: "later read of the table", source: Source::Table, at: 60_000, assumed_old: false },
+        Case { name: "feed", source: Source::Feed, at: 1_000, assumed_old: false },
+        Case { name: "another process", source: Source::Peer, at: 1_000, assumed_old: true },
     ];
     for c in cases {
         let mut cluster = ClusterState::default();
@@ -38,6 +39,6 @@
         let outdated = cluster.announced_weights["lekha"]
             .outdated(now, 1)
             .expect("a newer version");
-        assert_eq!(outdated > Micros::ZERO, c.old, "{}", c.name);
+        assert_eq!(outdated > Micros::ZERO, c.assumed_old, "{}", c.name);
     }
 }
--- a/crates/gate/tests/pages.rs
+++ b/crates/gate/tests/pages.rs
@@ -1,13 +1,13 @@
-//! The operators' page of logs and metrics against the code.
+//! Checks that the operators' page documents the log events and metrics in the code.
 
-/// The page.
+/// The operators' page.
 const PAGE: &str = include_str!("../../../docs/LOGS.md");
-/// Where the events are declared.
+/// Source file that declares the events.
 const EVENTS: &str = include_str!("../src/log.rs");
-/// Where the metrics are declared.
+/// Source file that declares the metrics.
 const METRICS: &str = include_str!("../src/meter.rs");
 
-/// A name in the log's own case.
+/// Converts a name to snake case, as in the log.
 fn snake(name: &str) -> String {
     let mut out = String::new();
     for c in name.chars() {
@@ -19,11 +19,11 @@
     out
 }
 
-/// Events and their fields, as the code declares them.
-fn declared() -> Vec<String> {
-    let begin = EVENTS.find("pub enum Event").expect("the events");
-    let end = EVENTS[begin..].find("\n}\n").expect("their end") + begin;
-    let lines = EVENTS[begin..end].lines().map(str::trim);
+/// Names of the events and their fields, as declared in the code.
+fn declared_names() -> Vec<String> {
+    let start = EVENTS.find("pub enum Event").expect("the enum of events");
+    let end = EVENTS[start..].find("\n}\n").expect("the end of the enum") + start;
+    let lines = EVENTS[start..end].lines().map(str::trim);
     let code = lines.filter(|l| !l.starts_with("//"));
     code.skip(1)
         .filter_map(|l| l.split([' ', ':']).next())
@@ -34,8 +34,8 @@
 
 #[test]
 fn every_event_and_field_is_on_the_page() {
-    // An operator reads a field that no page explains. Each name in the code stands on the page.
-    let names = declared();
+    // Guards against events and fields that the page doesn't explain.
+    let names = declared_names();
     assert!(names.len() > 40, "{names:?}");
     for name in names {
         assert!(
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn every_metric_is_on_the_page_and_every_one_there_is_in_the_code() {
+fn every_metric_in_the_code_is_on_the_page_and_vice_versa() {
     let metrics = |text: &str| -> Vec<String> {
         let parts = text.split("clementinestep_").skip(1);
         let names = parts.map(|p| {
--- a/crates/gate/tests/listing.rs
+++ b/crates/gate/tests/target_list.rs
@@ -1,4 +1,4 @@
-//! The list of targets, read in whole by some and handed on as changes.
+//! The list of targets: reads of the whole list, and the changes that are passed on.
 
 use bytes::Bytes;
 use gate::target_list::TargetList;
@@ -20,15 +20,16 @@
     list.rows().map(|r| r.key.as_str()).collect()
 }
 
-/// A target that went is kept by those who get changes, or the whole list is sent at each change.
+/// Guards against processes that get only changes and miss a deleted target, and against sending
+/// the whole list at each change.
 #[test]
-fn changes_since_a_position_make_the_same_list_as_the_whole() {
+fn changes_since_a_position_give_the_same_list_as_a_full_read() {
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut store: Vec<Row> = Vec::new();
         let (mut era, mut version) = (1, 10_u64);
         let (mut reader, mut other) = (TargetList::default(), TargetList::default());
-        let (mut whole, mut sent) = (0, 0);
+        let (mut total_rows, mut sent_rows) = (0, 0);
         for step in 0..300_u64 {
             let now = Micros::from_millis(600 * step);
             if rng.random_bool(0.01) {
@@ -51,65 +52,68 @@
                 clock_ms: 0,
             };
             reader.replace(now, read);
-            // The other one asks only now and then, at times long after it last did.
+            // The other process reads at random times, and not at all for long periods.
             if !rng.random_bool(if step % 100 < 60 { 0.4 } else { 0.0 }) {
                 continue;
             }
             let changes = reader.since(other.position);
-            let changed = changes.is_some();
+            let only_changes = changes.is_some();
             let rows = match changes {
                 Some(rows) => rows.cloned().collect(),
                 None => reader.rows().cloned().collect::<Vec<_>>(),
             };
-            whole += store.len();
-            sent += rows.len();
+            total_rows += store.len();
+            sent_rows += rows.len();
             let rows = Rows {
                 rows,
                 at: reader.position,
                 clock_ms: 0,
             };
-            match changed {
+            match only_changes {
                 true => other.merge(now, rows),
                 false => other.replace(now, rows),
             }
             assert_eq!(keys(&other), keys(&reader), "seed {seed}, step {step}");
         }
-        assert!(2 * sent < whole, "seed {seed}: {sent} rows of {whole}");
+        assert!(
+            2 * sent_rows < total_rows,
+            "seed {seed}: {sent_rows} of {total_rows} rows"
+        );
     }
 }
 
-/// A feed that was silent while changes were made is never asked for them again.
+/// Guards against losing changes that were made while a feed was silent.
 #[test]
-fn changes_are_read_from_some_seconds_back_where_the_list_is_large() {
+fn changes_of_a_large_list_are_read_with_an_overlap_of_some_seconds() {
     struct Case {
         name: &'static str,
         rows: usize,
-        last: u64,
-        from: Option<u64>,
+        last_read: u64,
+        expected: Option<u64>,
     }
     let cases = [
         Case {
-            name: "one call reads all",
+            name: "one call reads the whole list",
             rows: 400,
-            last: 9_000,
-            from: None,
+            last_read: 9_000,
+            expected: None,
         },
         Case {
-            name: "several calls",
+            name: "several calls read the whole list",
             rows: 600,
-            last: 9_000,
-            from: Some(6),
+            last_read: 9_000,
+            expected: Some(6),
         },
         Case {
-            name: "just started",
+            name: "process just started",
             rows: 600,
-            last: 2_000,
-            from: None,
+            last_read: 2_000,
+            expected: None,
         },
     ];
     for c in cases {
         let mut list = TargetList::default();
-        for (version, at) in (0..).zip((0..=c.last).step_by(1_000)) {
+        for (version, at) in (0..).zip((0..=c.last_read).step_by(1_000)) {
             let at = Micros::from_millis(at);
             let position = Position::new(1, version);
             let rows = (0..c.rows).map(|i| row(&format!("t{i}"), Position::new(1, 0)));
@@ -120,22 +124,22 @@
             };
             list.replace(at, rows);
         }
-        let from = list.changes_from(Micros::from_millis(c.last));
-        assert_eq!(from.map(|p| p.version), c.from, "{}", c.name);
+        let from = list.changes_from(Micros::from_millis(c.last_read));
+        assert_eq!(from.map(|p| p.version), c.expected, "{}", c.name);
     }
 }
 
-/// A row that a late answer brings again stands beside the one that has replaced it.
+/// Guards against a late answer that replaces a row by an older one.
 #[test]
-fn older_rows_replace_no_newer_ones() {
+fn older_rows_do_not_replace_newer_ones() {
     let mut rng = StdRng::seed_from_u64(7);
     let mut list = TargetList::default();
-    let all: Vec<_> = (1..30)
+    let all_rows: Vec<_> = (1..30)
         .map(|v| row(&format!("t{}", v % 5), Position::new(1, v)))
         .collect();
     list.replace(Micros::ZERO, Rows::default());
     for _ in 0..200 {
-        let some = all.iter().cloned().choose_multiple(&mut rng, 3);
+        let some = all_rows.iter().cloned().choose_multiple(&mut rng, 3);
         let rows = Rows {
             rows: some,
             at: Position::new(1, 29),
