--- a/crates/gate/src/agent/mod.rs
+++ b/crates/gate/src/agent/mod.rs
@@ -33,7 +33,7 @@
 use crate::update::{HeldPart, PromptNote, Update};
 use weights::Rollout;
 
-pub(crate) use report::{all_entries, send_all_parts, summary};
+pub(crate) use report::{all_entries, current_update, send_all_parts};
 pub(crate) use run::{follow_cache, run};
 pub(crate) use weights::answer_slot_query;
 
@@ -161,8 +161,8 @@
 
     /// Whether entries have to be queried for the engine's incarnation.
     pub(crate) fn needs_identity(&self) -> bool {
-        let unnamed = |r: &Report| r.boot.is_none();
-        self.alive && self.boot.is_none() && self.report.as_ref().is_some_and(unnamed)
+        let unidentified = |r: &Report| r.boot.is_none();
+        self.alive && self.boot.is_none() && self.report.as_ref().is_some_and(unidentified)
     }
 
     /// Records that the whole system starts for the first time.
--- a/crates/gate/src/agent/report.rs
+++ b/crates/gate/src/agent/report.rs
@@ -14,7 +14,7 @@
 const MEMORY_REPORT_TTL: Micros = Micros::from_millis(1_000);
 
 /// Creates an update with the engine's load and weights.
-pub(crate) fn summary(node: &SharedNode, agent: &SharedAgent) -> Update {
+pub(crate) fn current_update(node: &SharedNode, agent: &SharedAgent) -> Update {
     let now = node.now();
     let mut a = agent.borrow_mut();
     a.backlog.expire(now);
@@ -30,7 +30,7 @@
         ..Update::default()
     };
     if let Some(r) = &a.report {
-        update.weights = r.weights.iter().map(loaded).collect();
+        update.weights = r.weights.iter().map(loaded_weights).collect();
         update.busy = r.busy;
     }
     match (a.kind, &a.report) {
@@ -55,7 +55,7 @@
     update
 }
 
-fn loaded(weights: &Weights) -> LoadedWeights {
+fn loaded_weights(weights: &Weights) -> LoadedWeights {
     LoadedWeights {
         model: weights.model.clone(),
         version: weights.version,
--- a/crates/gate/src/agent/run.rs
+++ b/crates/gate/src/agent/run.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, Instant};
 
 use super::report::{
-    for_peers, send_all_parts, subscribers, summary, take_part_changes, without_times,
+    current_update, for_peers, send_all_parts, subscribers, take_part_changes, without_times,
 };
 use super::{weights, Env, Kind, SharedAgent, ENGINE_TIMEOUT};
 use crate::cache::Follower;
@@ -75,12 +75,12 @@
         }
         weights::schedule(node, agent);
         if let Some(order) = weights::claim_slot(env) {
-            let update = summary(node, agent);
+            let update = current_update(node, agent);
             peer_reports.report(env, &update);
             update::send(socket, &update, subscribers(node, agent));
             weights::send_order(node, agent, &mut conn, &order).await;
         }
-        let update = summary(node, agent);
+        let update = current_update(node, agent);
         peer_reports.report(env, &update);
         if last_full.elapsed() >= FULL_REPORT_INTERVAL {
             last_full = Instant::now();
--- a/crates/gate/src/agent/weights.rs
+++ b/crates/gate/src/agent/weights.rs
@@ -18,7 +18,7 @@
 use site::{Report, Swap, Weights};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::report::{all_entries, for_peers, summary};
+use super::report::{all_entries, current_update, for_peers};
 use super::{engine_key, Agent, AgentId, Env, Kind, SharedAgent, ENGINE_TIMEOUT};
 use crate::log::{self, Event};
 use crate::meter;
@@ -39,6 +39,7 @@
 /// State of an agent's weight loads.
 #[derive(Debug)]
 pub(super) struct Rollout {
+    /// Slots for loads, which the agents of all engines share.
     pub(super) slots: Slots<AgentId>,
     /// This process's right to order the engine.
     holder: Holder,
@@ -107,8 +108,7 @@
     /// Records the number of orders that the engine has accepted.
     pub(super) fn update_order_count(&mut self, now: Micros, orders: u64) {
         if self.holder.update_count(now, orders) {
-            // Another process has ordered the engine; the next order needs a higher token than
-            // that.
+            // Another process has ordered the engine, so the next order needs a higher token.
             self.fencing_token = 0;
         }
     }
@@ -125,8 +125,8 @@
 
     /// Delegates of other engines that have sent an update recently.
     fn delegates(&self, now: Micros) -> impl Iterator<Item = AgentId> + '_ {
-        let recent = move |at: &Micros| now.since(*at) < DELEGATE_TTL;
-        let delegates = self.delegates.iter().filter(move |(_, at)| recent(at));
+        let is_recent = move |at: &Micros| now.since(*at) < DELEGATE_TTL;
+        let delegates = self.delegates.iter().filter(move |(_, at)| is_recent(at));
         delegates.map(|(a, _)| *a)
     }
 
@@ -184,11 +184,11 @@
     let group = group(node, &cluster, &a);
     let a = &mut *a;
     let rollout = &mut a.rollout;
-    if let (0, Some(fence)) = (
+    if let (0, Some(token)) = (
         rollout.fencing_token,
         cluster.fencing_token(now, &node.settings.borrow().host),
     ) {
-        rollout.fencing_token = fence.max(rollout.highest_other_token + 1);
+        rollout.fencing_token = token.max(rollout.highest_other_token + 1);
     }
     let Some(report) = a.report.as_ref().filter(|_| a.alive) else {
         rollout.pending = None;
@@ -230,6 +230,7 @@
     })
 }
 
+/// Position of an agent's engine in its pool.
 fn group(node: &SharedNode, cluster: &ClusterState, agent: &Agent) -> Group {
     let (rank, hosts) = rank(node, cluster, agent);
     Group {
@@ -302,7 +303,9 @@
     expected_seq: u64,
     /// Requests that run on the engine.
     active_requests: u32,
+    /// Target id of the engine's incarnation; `None` if it stayed unknown for [`IDENTITY_WAIT`].
     engine_id: Option<String>,
+    /// When the claim succeeded.
     claimed_at: Micros,
     /// Sidecars that were skipped because they didn't answer.
     skipped: usize,
@@ -320,7 +323,7 @@
     let peers = peers(node, agent);
     let (step, order) = advance_claim(node, agent, &peers);
     if let Some((query, mut to)) = step.query {
-        let update = for_peers(&summary(node, agent));
+        let update = for_peers(&current_update(node, agent));
         to.sort_unstable_by_key(|a| a.delegate);
         for agents in to.chunk_by(|a, b| a.delegate == b.delegate) {
             let slot_query = SlotQuery {
@@ -350,11 +353,13 @@
     }
     let update = Update {
         slot_answer: Some(query),
-        ..for_peers(&summary(node, agent))
+        ..for_peers(&current_update(node, agent))
     };
     update::send(socket, &update, [to]);
 }
 
+/// Advances the claim of a slot by one step. Returns the queries to send, and the order once the
+/// claim has succeeded.
 fn advance_claim(
     node: &SharedNode,
     agent: &SharedAgent,
@@ -426,6 +431,7 @@
     log_order(order, &text, label);
 }
 
+/// Logs an order and counts it by the label.
 fn log_order(order: &Order, outcome: &str, label: &'static str) {
     meter::increment(meter::ORDERS, "outcome", label);
     log::event(&Event::Ordered {
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -18,8 +18,8 @@
 use crate::meter;
 use crate::node::{domain_key, Member, OperatorRow, SharedNode, Source};
 
-/// How long the store may hold a call. Long holds mean few calls; broken connections are detected
-/// by the kernel's probes, not by this timeout.
+/// How long the store may hold a call. Long holds keep the number of calls low; broken connections
+/// are detected by the kernel's probes, not by this timeout.
 const MAX_HOLD: Duration = Duration::from_secs(20);
 /// Shortest pause before a failed call is retried.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(80);
@@ -28,7 +28,7 @@
 const BATCH_DELAY: Duration = Duration::from_millis(500);
 /// Pause after an answer without the store's era.
 const MISSING_ERA_PAUSE: Duration = Duration::from_secs(1);
-/// Time over which the processes distribute rewriting their rows after a restore.
+/// Time over which the processes spread the writes of their rows after a restore.
 const REWRITE_SPREAD: Duration = Duration::from_millis(2_000);
 /// Longest pause before a failed call is retried: a tenth of the time within which every process
 /// must have a new configuration.
@@ -88,7 +88,7 @@
     result: &Result<T, StoreError>,
 ) {
     record_era(node, store);
-    // These errors mean that the store has answered.
+    // With these errors the store has answered, so they don't count as a loss of the store.
     let answered = matches!(
         result,
         Err(StoreError::Gone | StoreError::OutdatedEra(..) | StoreError::MissingEra)
@@ -102,7 +102,7 @@
     *lost_since = result.is_err().then(|| lost_since.unwrap_or(now));
 }
 
-/// Follows the operator's rows for as long as the process lives.
+/// Follows the operator's rows for as long as the process runs.
 pub async fn follow_operator_rows(node: SharedNode) {
     let addr = node.settings.borrow().store;
     let mut store = Store::new(addr);
--- a/crates/gate/src/kv_stores.rs
+++ b/crates/gate/src/kv_stores.rs
@@ -26,8 +26,8 @@
 
 /// Number of processes that follow each store; stores allow at least eight listeners.
 const FOLLOWERS_PER_STORE: usize = 2;
-/// Poll interval until the entries and stores are known; a starting process has read both within
-/// about 40 ms.
+/// Poll interval until the entries and stores are known; a starting process knows both within about
+/// 40 ms.
 const STARTUP_POLL: Duration = Duration::from_millis(20);
 /// Time after an entry's start before it follows any store, so that sidecars can do so.
 const ENTRY_DELAY: Duration = Duration::from_millis(2_000);
@@ -131,7 +131,7 @@
     stores.filter(first).collect()
 }
 
-/// The role of processes that follow stores: sidecars, or entries where there are none.
+/// Role of the processes that follow stores: sidecars, or entries if no sidecar is a member.
 fn follower_role(node: &SharedNode, cluster: &ClusterState) -> Role {
     let sidecar = node.settings.borrow().role == Role::Sidecar;
     match sidecar || cluster.sidecars().next().is_some() {
@@ -155,7 +155,8 @@
         dependency.record(&update);
         let entries = all_entries(&node);
         let Ok(changes) = update else {
-            // Nothing is fetched from a store that doesn't answer.
+            // Engines don't fetch parts from a store that doesn't answer, so it is reported as
+            // empty.
             stores.0.borrow_mut().insert(addr, StoreContents::default());
             update::send(&socket, &StoreContents::default().update(addr), entries);
             sleep(RETRY_DELAY).await;
--- a/crates/gate/src/node.rs
+++ b/crates/gate/src/node.rs
@@ -19,7 +19,7 @@
 
 /// Time after the start of a process within which it first reads the state from before its start,
 /// even from a slow store.
-const STARTUP_PERIOD: Micros = Micros::from_millis(3_000);
+const INITIAL_READ_PERIOD: Micros = Micros::from_millis(3_000);
 
 /// Number of lowest bits of a fencing token that hold a hash of the host, which distinguishes hosts
 /// that create a token in the same millisecond.
@@ -227,7 +227,7 @@
         source: Source,
     ) -> Result<(), platform::config::ConfigError> {
         let weights = platform::config::decode_weights(value)?;
-        let at_startup = source != Source::Feed && now < STARTUP_PERIOD;
+        let at_startup = source != Source::Feed && now < INITIAL_READ_PERIOD;
         let versions = self
             .announced_weights
             .entry(weights.model.clone())
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -36,8 +36,8 @@
 const PEERS_PER_ROUND: usize = 3;
 /// Timeout of a query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Age up to which a list of targets is passed on. Entries that are informed that the list is
-/// unchanged read it every four seconds.
+/// Age up to which a list of targets is passed on. Entries read the list every four seconds while
+/// other entries confirm that it is unchanged.
 const MAX_LIST_AGE: Micros = Micros::from_millis(5_000);
 /// Maximum size of a message in bytes; the maximum size of a configuration is 4 MB.
 const MAX_MESSAGE: usize = 8 << 20;
@@ -76,6 +76,7 @@
 /// Answer to a [`Request`].
 #[derive(Clone, PartialEq, Message)]
 struct Reply {
+    /// Rows of the operator's table or of the list of targets, depending on the request.
     #[prost(message, repeated, tag = "1")]
     rows: Vec<ReplyRow>,
     /// Milliseconds since the list of targets was read.
@@ -217,23 +218,26 @@
 fn target_rows_at(node: &SharedNode, addr: SocketAddr) -> Reply {
     let cluster = node.cluster.borrow();
     let now = node.now();
-    let listed = cluster.targets.as_ref();
-    let listed = listed.filter(|l| now.since(l.at) < MAX_LIST_AGE);
+    let list = cluster.targets.as_ref();
+    let recent_list = list.filter(|l| now.since(l.at) < MAX_LIST_AGE);
     // Decoding thousands of rows for each sidecar that starts would take too long, so rows that
     // don't contain the address are skipped first.
     let text = addr.to_string();
-    let named = |r: &&Row| {
+    let mentions_addr = |r: &&Row| {
         let value = r.value.as_deref().unwrap_or_default();
         value.windows(text.len()).any(|w| w == text.as_bytes())
     };
-    let rows = listed.into_iter().flat_map(TargetList::rows).filter(named);
+    let rows = recent_list
+        .into_iter()
+        .flat_map(TargetList::rows)
+        .filter(mentions_addr);
     let mut rows: Vec<_> = rows.map(ReplyRow::from_list).collect();
     rows.retain(|r| parse_target(r).is_some_and(|t| t.addr == addr));
-    let delegated = cluster.delegate_reports.get(&addr).copied();
+    let last_report = cluster.delegate_reports.get(&addr).copied();
     Reply {
         rows,
-        delegated: delegated.is_some(),
-        quiet_ms: now.since(delegated.unwrap_or_default()).as_millis(),
+        delegated: last_report.is_some(),
+        quiet_ms: now.since(last_report.unwrap_or_default()).as_millis(),
         ..Reply::default()
     }
 }
@@ -352,12 +356,12 @@
         .flat_map(|a| &a.rows)
         .filter_map(parse_target);
     // An entry that has received a delegate's report is preferred to entries that haven't.
-    let seen = answers
+    let min_quiet = answers
         .iter()
         .filter(|a| a.delegated)
         .map(|a| a.quiet_ms)
         .min();
-    let quiet = seen.or_else(|| answers.iter().map(|a| a.quiet_ms).max());
+    let quiet = min_quiet.or_else(|| answers.iter().map(|a| a.quiet_ms).max());
     EngineInfo {
         boot: rows.max_by_key(|t| t.renewed).map(|t| t.boot),
         quiet: quiet.map(Micros::from_millis),
--- a/crates/gate/src/sidecar.rs
+++ b/crates/gate/src/sidecar.rs
@@ -84,7 +84,7 @@
         }
         if update.asks {
             if agent.borrow_mut().subscribers.subscribe(node.now(), from) {
-                let update = agent::summary(node, agent);
+                let update = agent::current_update(node, agent);
                 agent::send_all_parts(agent, socket, &update, [from]);
                 stores.send_to(socket, [from]);
             }
--- a/crates/gate/src/target_list.rs
+++ b/crates/gate/src/target_list.rs
@@ -86,8 +86,8 @@
 
     /// Removes positions and deleted rows that are too old.
     fn expire(&mut self, now: Micros) {
-        let overlaps = |(at, _): &(Micros, Position)| now.since(*at) >= CHANGES_OVERLAP;
-        while self.reads.len() > 1 && self.reads.get(1).is_some_and(overlaps) {
+        let is_old = |(at, _): &(Micros, Position)| now.since(*at) >= CHANGES_OVERLAP;
+        while self.reads.len() > 1 && self.reads.get(1).is_some_and(is_old) {
             self.reads.pop_front();
         }
         while self
