--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -165,6 +165,7 @@
     }
 }
 
+/// Applies rows and the clock from an answer of the store.
 fn apply_rows(node: &SharedNode, rows: Rows, source: Source) {
     let now = node.now();
     let mut cluster = node.cluster.borrow_mut();
@@ -288,6 +289,7 @@
     });
 }
 
+/// Parses a row of the list of members; `None` if it is deleted or malformed.
 fn parse_member(row: Row) -> Option<(String, Member)> {
     let parsed = serde_json::from_slice::<MemberDoc>(&row.value?);
     let doc = match parsed {
--- a/crates/gate/src/kv_stores.rs
+++ b/crates/gate/src/kv_stores.rs
@@ -155,8 +155,7 @@
         dependency.record(&update);
         let entries = all_entries(&node);
         let Ok(changes) = update else {
-            // Engines don't fetch parts from a store that doesn't answer, so it is reported as
-            // empty.
+            // The store is reported as unavailable, so that no engine fetches from it.
             stores.0.borrow_mut().insert(addr, StoreContents::default());
             update::send(&socket, &StoreContents::default().update(addr), entries);
             sleep(RETRY_DELAY).await;
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -185,6 +185,7 @@
     });
 }
 
+/// Answers one request on a connection.
 async fn answer(node: &SharedNode, tcp: TcpStream) -> Result<(), PeerError> {
     let mut frames = framed(tcp);
     let message = frames.next().await.ok_or(PeerError::Ended)??;
@@ -198,6 +199,7 @@
     Ok(())
 }
 
+/// The operator's rows that are newer than those of the querying process.
 fn newer_rows(node: &SharedNode, request: &Request) -> Reply {
     let cluster = node.cluster.borrow();
     let of = |map: &HashMap<String, u64>, key: &String| map.get(key).copied().unwrap_or_default();
@@ -382,6 +384,7 @@
     }
 }
 
+/// Addresses of some random members and seeds.
 fn random_peers(node: &SharedNode) -> Vec<SocketAddr> {
     let cluster = node.cluster.borrow();
     let members = cluster.members.values().map(|m| m.addr);
@@ -391,6 +394,7 @@
         .choose_multiple(&mut rand::rng(), PEERS_PER_ROUND)
 }
 
+/// Queries one process for the operator's rows and applies those that are newer.
 async fn query_rows(node: &SharedNode, addr: SocketAddr) {
     let positions = positions(node);
     let request = Request {
@@ -421,6 +425,7 @@
     rows.map(|(k, r)| (k.clone(), r.at)).collect()
 }
 
+/// Sends a request to a process and waits for the reply.
 async fn query(addr: SocketAddr, request: &Request) -> Result<Reply, PeerError> {
     let mut frames = framed(platform::call::connect(addr).await?);
     frames.send(Bytes::from(request.encode_to_vec())).await?;
@@ -428,6 +433,7 @@
     Ok(Reply::decode(reply)?)
 }
 
+/// Applies the operator's rows in a reply.
 fn apply_rows(node: &SharedNode, reply: Reply) {
     let now = node.now();
     let newest = reply.rows.iter().map(|r| r.era).max();
--- a/crates/gate/src/update.rs
+++ b/crates/gate/src/update.rs
@@ -11,7 +11,7 @@
 use prost::Message;
 use tokio::net::UdpSocket;
 
-/// Maximum size of a datagram in bytes, so that no network splits it.
+/// Maximum size of a datagram in bytes; larger ones might be fragmented on the way.
 pub const MAX_DATAGRAM: usize = 1_200;
 /// Maximum number of parts in one datagram, each of at most 24 bytes.
 pub const MAX_PARTS: usize = 40;
