--- a/crates/gate/tests/fleet.rs
+++ b/crates/gate/tests/fleet.rs
@@ -43,6 +43,7 @@
     }
 }
 
+/// Number of tokens that a target holds of the part in the test's updates.
 fn holds(fleet: &Fleet, id: &str) -> u32 {
     let part = Part {
         id: PartId(7),
@@ -52,6 +53,7 @@
     replica.map_or(0, |r| r.holds(1, &[part]))
 }
 
+/// Ids of the targets that are present.
 fn there(fleet: &Fleet, now: Micros) -> Vec<&str> {
     let there = fleet.replicas.values().filter(|r| r.there(now));
     there.map(|r| r.target.boot.id.as_str()).collect()
@@ -131,9 +133,8 @@
     assert_eq!(there(&fleet, now), ["new"]);
 }
 
-/// Guards against ignoring a reported downgrade of weights, after an abandoned order was executed
-/// late by the engine's next incarnation: requests that demand the newer version would all be
-/// refused.
+/// An engine's next incarnation executes an abandoned order late. An entry that ignores the older
+/// weights demands the newer ones, so all requests are refused until the next order.
 #[test]
 fn reported_downgrade_of_weights_is_applied_after_a_delay() {
     let addr = ADDR.parse().expect("an address");
@@ -162,9 +163,8 @@
     assert_eq!(reports(&mut fleet, 1_050, 3), 3);
 }
 
-/// Guards against regarding a target that has left shortly after an outage of the store as one
-/// whose row expired in the outage: a request reached a target 2,264 ms after it had left, and
-/// others were lost.
+/// A target that left 1.3 s after an outage was retained as if its row had expired in the outage:
+/// a request reached it 2,264 ms after it had left, and others were lost.
 #[test]
 fn target_that_leaves_after_a_store_outage_is_removed_at_once() {
     let at = |ms: u64| Micros::from_millis(100_000 + ms);
@@ -179,9 +179,8 @@
     assert_eq!(there(&fleet, at(7_300)), ["stays"]);
 }
 
-/// Guards against retaining a target whose row may have expired in an outage for too long: it has 2
-/// s to renew its row, but an entry that doesn't read the list itself used the target until a read
-/// up to 4 s later.
+/// A row that expired in an outage may be renewed within two seconds. If it isn't, an entry for
+/// which others read the list used the target until its next read, up to four seconds later.
 #[test]
 fn target_whose_row_expired_in_a_store_outage_is_used_for_a_limited_time() {
     let at = |ms: u64| Micros::from_millis(100_000 + ms);
