--- a/crates/gate/src/entry/candidates.rs
+++ b/crates/gate/src/entry/candidates.rs
@@ -17,7 +17,7 @@
 use super::replica::{held_prefix, Replica};
 use super::request::Job;
 use super::usable::{failure_factor, is_fetchable, start_index, REPORT_LIFETIME};
-use crate::world::domain_key;
+use crate::node::domain_key;
 
 /// Time in which an entry's note on a prompt reaches a sidecar and comes back in an update.
 const REPORT_DELAY: Micros = Micros::from_millis(5);
--- a/crates/gate/src/entry/delegate.rs
+++ b/crates/gate/src/entry/delegate.rs
@@ -20,11 +20,11 @@
 
 use super::replica::Replica;
 use super::Ctx;
-use crate::agent::{self, engine_key, Agent, AgentId, Env, Own};
+use crate::agent::{self, engine_key, Agent, AgentId, Env, SharedAgent};
 use crate::log::{self, Event};
 use crate::meter;
-use crate::update::{self, Note, Update};
-use crate::world::{domain_key, World};
+use crate::node::{domain_key, ClusterState};
+use crate::update::{self, PromptNote, Update};
 
 /// Interval between checks which engines lack an agent.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 struct Delegate {
     boot: Boot,
-    agent: Own,
+    agent: SharedAgent,
     task: AbortHandle,
 }
 
@@ -101,15 +101,15 @@
     }
     let engines = listed_engines(ctx, now);
     let unattended: BTreeSet<_> = {
-        let world = ctx.node.world.borrow();
+        let cluster = ctx.node.cluster.borrow();
         let all = engines.values().map(|e| e.addr);
-        all.filter(|addr| !world.attended(*addr)).collect()
+        all.filter(|addr| !cluster.has_sidecar(*addr)).collect()
     };
     {
-        let mut world = ctx.node.world.borrow_mut();
-        world.unattended = unattended.into_iter().collect();
+        let mut cluster = ctx.node.cluster.borrow_mut();
+        cluster.engines_without_sidecar = unattended.into_iter().collect();
         let listed = |addr: &SocketAddr| engines.contains_key(&engine_key(*addr));
-        world.delegated.retain(|addr, _| listed(addr));
+        cluster.delegate_reports.retain(|addr, _| listed(addr));
     }
     let gone =
         |key: &u64, d: &Delegate| engines.get(key).is_none_or(|e| e.boot != d.boot || !e.acts);
@@ -143,7 +143,7 @@
         return HashMap::new();
     };
     let fleet = ctx.fleet.borrow();
-    let world = ctx.node.world.borrow();
+    let cluster = ctx.node.cluster.borrow();
     let mut d = ctx.delegates.borrow_mut();
     let engine = |r: &&Replica| {
         let pool = plan.pool(&r.target.pool);
@@ -156,7 +156,7 @@
         let key = engine_key(r.target.addr);
         let boot = r.target.boot.clone();
         let since = *d.first_listed.entry(boot.clone()).or_insert(now);
-        let acts = acts(ctx, &world, &d, r, since.max(d.running_since));
+        let acts = acts(ctx, &cluster, &d, r, since.max(d.running_since));
         let engine = ListedEngine {
             addr: r.target.addr,
             boot,
@@ -172,12 +172,12 @@
 
 /// Whether this entry acts for an engine that has been listed, without a pause of this process,
 /// since `since`.
-fn acts(ctx: &Ctx, world: &World, d: &Delegates, r: &Replica, since: Micros) -> bool {
+fn acts(ctx: &Ctx, cluster: &ClusterState, d: &Delegates, r: &Replica, since: Micros) -> bool {
     let now = ctx.now();
     let key = engine_key(r.target.addr);
     let acting = d.own.get(&key).is_some_and(|o| o.boot == r.target.boot);
     let isolated =
-        world.entries().next().is_some() && now.since(d.last_datagram) > ISOLATION_TIMEOUT;
+        cluster.entries().next().is_some() && now.since(d.last_datagram) > ISOLATION_TIMEOUT;
     if isolated && !acting {
         return false;
     }
@@ -185,20 +185,20 @@
     let last_report = report.map_or(since, |r| r.at.max(since));
     let domain = domain_key(&r.target.domain);
     let rank = |own: delegate::Entry| {
-        let others = all_entries(ctx, world).filter(|e| *e != own);
+        let others = all_entries(ctx, cluster).filter(|e| *e != own);
         delegate::rank(key, domain, own, others)
     };
     let reporter = match report {
         None => Reporter::None,
         Some(r) if !r.delegate => Reporter::Sidecar,
-        Some(r) => match entry_at(world, r.from) {
+        Some(r) => match entry_at(cluster, r.from) {
             Some(other) => Reporter::Delegate(rank(other)),
             // An entry that isn't a member yet ranks after this one.
             None => Reporter::Delegate(usize::MAX),
         },
     };
     let engine = Engine {
-        sidecar: world.attended(r.target.addr),
+        sidecar: cluster.has_sidecar(r.target.addr),
         reporter,
         silence: now.since(last_report),
     };
@@ -215,8 +215,14 @@
 }
 
 /// All entries, including this one.
-fn all_entries<'a>(ctx: &Ctx, world: &'a World) -> impl Iterator<Item = delegate::Entry> + 'a {
-    let others = world.members.iter().filter(|(_, m)| m.role == Role::Entry);
+fn all_entries<'a>(
+    ctx: &Ctx,
+    cluster: &'a ClusterState,
+) -> impl Iterator<Item = delegate::Entry> + 'a {
+    let others = cluster
+        .members
+        .iter()
+        .filter(|(_, m)| m.role == Role::Entry);
     let others = others.map(|(host, m)| delegate::Entry {
         host: xxh3_64(host.as_bytes()),
         domain: m.domain,
@@ -225,8 +231,8 @@
 }
 
 /// The entry with this address.
-fn entry_at(world: &World, addr: SocketAddr) -> Option<delegate::Entry> {
-    let (host, member) = world.members.iter().find(|(_, m)| m.addr == addr)?;
+fn entry_at(cluster: &ClusterState, addr: SocketAddr) -> Option<delegate::Entry> {
+    let (host, member) = cluster.members.iter().find(|(_, m)| m.addr == addr)?;
     Some(delegate::Entry {
         host: xxh3_64(host.as_bytes()),
         domain: member.domain,
@@ -251,15 +257,15 @@
     ctx.delegates.borrow_mut().own.insert(key, delegate);
 }
 
-async fn run_agent(ctx: Ctx, agent: Own, addr: SocketAddr) {
+async fn run_agent(ctx: Ctx, agent: SharedAgent, addr: SocketAddr) {
     let env = Env {
         node: &ctx.node,
         agent: &agent,
         socket: &ctx.socket,
     };
     tokio::join!(
-        agent::events(Rc::clone(&agent), addr),
-        agent::look(env, Conn::new(addr)),
+        agent::follow_cache(Rc::clone(&agent), addr),
+        agent::run(env, Conn::new(addr)),
     );
 }
 
@@ -274,15 +280,15 @@
         addr: agent.addr.to_string(),
         acts: false,
     });
-    if let Some((at, fence)) = agent.ordered() {
+    if let Some((at, fence)) = agent.last_order() {
         d.last_orders.insert(key, LastOrder { at, fence });
     }
 }
 
 /// Passes a note on a prompt to the delegate of its engine, if that runs here.
-pub(super) fn receive_note(ctx: &Ctx, engine: u64, note: Note) {
+pub(super) fn receive_note(ctx: &Ctx, engine: u64, note: PromptNote) {
     if let Some(d) = ctx.delegates.borrow().own.get(&engine) {
-        d.agent.borrow_mut().prompt(ctx.now(), note);
+        d.agent.borrow_mut().record_prompt(ctx.now(), note);
     }
 }
 
@@ -308,8 +314,8 @@
     match update.delegate {
         0 => send_last_order(ctx, key, addr, from),
         _ => {
-            let mut world = ctx.node.world.borrow_mut();
-            world.delegated.insert(addr, now);
+            let mut cluster = ctx.node.cluster.borrow_mut();
+            cluster.delegate_reports.insert(addr, now);
         }
     }
     let d = ctx.delegates.borrow();
@@ -324,7 +330,7 @@
             agent: &asked.agent,
             socket: &ctx.socket,
         };
-        agent::answer(env, ask, from);
+        agent::answer_slot_query(env, ask, from);
     }
 }
 
@@ -334,7 +340,7 @@
     let now = ctx.now();
     let lease = Micros::from(ctx.node.settings.borrow().bounds.lease);
     let mut d = ctx.delegates.borrow_mut();
-    let current = d.own.get(&key).and_then(|o| o.agent.borrow().ordered());
+    let current = d.own.get(&key).and_then(|o| o.agent.borrow().last_order());
     let current = current.map(|(at, fence)| LastOrder { at, fence });
     let Some(order) = current.or_else(|| d.last_orders.get(&key).copied()) else {
         return;
--- a/crates/gate/src/entry/fleet.rs
+++ b/crates/gate/src/entry/fleet.rs
@@ -13,7 +13,7 @@
 use super::usable::REPORT_LIFETIME;
 use crate::agent::AgentId;
 use crate::log::{self, Event};
-use crate::update::{Held, Update};
+use crate::update::{HeldPart, Update};
 
 new_key_type! {
     /// Key of a target in [`Fleet::replicas`].
@@ -327,7 +327,7 @@
     }
 }
 
-fn expected_part(held: &Held) -> Part {
+fn expected_part(held: &HeldPart) -> Part {
     Part {
         id: PartId(held.part),
         tokens: held.tokens,
--- a/crates/gate/src/entry/list.rs
+++ b/crates/gate/src/entry/list.rs
@@ -22,12 +22,12 @@
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 use super::{suspects, Ctx};
-use crate::follow::{note_era, pause};
+use crate::follow::{record_era, retry_pause};
 use crate::log::{self, Dependency, Event};
 use crate::meter;
+use crate::node::Source;
 use crate::peer;
-use crate::update::{self, Listed, Update};
-use crate::world::Source;
+use crate::update::{self, ListRead, Update};
 
 /// Delay after a failed read.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
@@ -60,7 +60,7 @@
 
     /// Records another entry's read of the list; returns whether that list equals the one known
     /// here.
-    pub(super) fn record_poll(&self, now: Micros, listed: Listed, from: SocketAddr) -> bool {
+    pub(super) fn record_poll(&self, now: Micros, listed: ListRead, from: SocketAddr) -> bool {
         self.pollers.borrow_mut().record(now, listed.rank);
         let same = listed.hash == self.own_hash.get();
         if !same {
@@ -95,14 +95,14 @@
             read = read(&ctx, &mut store) => read,
             () = ctx.list.change_found() => continue,
         };
-        note_era(&ctx.node, &mut store);
+        record_era(&ctx.node, &mut store);
         if matches!(read, Err(StoreError::Gone | StoreError::OutdatedEra(..))) {
-            pause().await;
+            retry_pause().await;
             continue;
         }
-        dependency.note(&read);
+        dependency.record(&read);
         let now = ctx.now();
-        meter::span(meter::STORE, now.since(started).into());
+        meter::record_duration(meter::STORE_CALL, now.since(started).into());
         ctx.update_gauges();
         match read {
             Ok(list) => {
@@ -112,8 +112,8 @@
             }
             Err(_) => {
                 ctx.fleet.borrow_mut().record_list_failure(now);
-                let entries: Vec<_> = ctx.node.world.borrow().entries().collect();
-                if let Some(list) = peer::targets(&ctx.node, entries).await {
+                let entries: Vec<_> = ctx.node.cluster.borrow().entries().collect();
+                if let Some(list) = peer::fetch_target_list(&ctx.node, entries).await {
                     adopt(&ctx, list);
                 }
                 sleep(RETRY_DELAY).await;
@@ -124,10 +124,10 @@
 
 /// Reads the list from the store, or only its changes if reading the whole list takes several
 /// calls.
-async fn read(ctx: &Ctx, store: &mut Store) -> Result<peer::List, StoreError> {
+async fn read(ctx: &Ctx, store: &mut Store) -> Result<peer::FetchedList, StoreError> {
     let from = {
-        let world = ctx.node.world.borrow();
-        let list = world.targets.as_ref();
+        let cluster = ctx.node.cluster.borrow();
+        let list = cluster.targets.as_ref();
         list.and_then(|l| l.changes_from(ctx.now()))
     };
     let changed = match from {
@@ -142,7 +142,7 @@
         Some(rows) => rows,
         None => store.rows(TARGETS_TABLE).await?,
     };
-    Ok(peer::List {
+    Ok(peer::FetchedList {
         at: ctx.now(),
         rows,
         changes,
@@ -153,7 +153,7 @@
 /// each change of the list would cost one call per entry: 11 % and 15 % of all calls of two fleets
 /// with 31 and 28 entries on a day with many crashes.
 async fn fetch_from(ctx: &Ctx, change_reporter: SocketAddr) -> bool {
-    match peer::targets(&ctx.node, [change_reporter]).await {
+    match peer::fetch_target_list(&ctx.node, [change_reporter]).await {
         Some(list) => adopt(ctx, list),
         None => false,
     }
@@ -161,10 +161,10 @@
 
 /// Applies the list that another entry has read, if it is newer than the one known here; returns
 /// whether it was.
-fn adopt(ctx: &Ctx, list: peer::List) -> bool {
+fn adopt(ctx: &Ctx, list: peer::FetchedList) -> bool {
     let own = {
-        let world = ctx.node.world.borrow();
-        world.targets.as_ref().map(|own| own.position)
+        let cluster = ctx.node.cluster.borrow();
+        cluster.targets.as_ref().map(|own| own.position)
     };
     if own.is_none_or(|own| list.rows.at > own) {
         ctx.node.raise_era(list.rows.at.era, Source::Peer);
@@ -177,11 +177,11 @@
 }
 
 /// Applies a list, and logs it if it has changed or lacks targets that are kept.
-fn apply(ctx: &Ctx, list: peer::List, source: &str) {
+fn apply(ctx: &Ctx, list: peer::FetchedList, source: &str) {
     let (at, position) = (list.at, list.rows.at);
     let targets = {
-        let mut world = ctx.node.world.borrow_mut();
-        let own = world.targets.get_or_insert_default();
+        let mut cluster = ctx.node.cluster.borrow_mut();
+        let own = cluster.targets.get_or_insert_default();
         match list.changes {
             true => own.merge(at, list.rows),
             false => own.replace(at, list.rows),
@@ -220,14 +220,14 @@
     }
     let update = Update {
         entry: true,
-        list: Some(Listed {
+        list: Some(ListRead {
             rank,
             hash,
             era: ctx.node.era.borrow().unwrap_or_default(),
         }),
         ..Update::default()
     };
-    update::send(&ctx.socket, &update, ctx.node.world.borrow().entries());
+    update::send(&ctx.socket, &update, ctx.node.cluster.borrow().entries());
 }
 
 /// Hash of everything in the list that decides where requests may go. Weights aren't included: they
@@ -259,7 +259,7 @@
         let changed = async {
             tokio::select! {
                 () = ctx.list.changed.notified() => {}
-                _ = era.changed() => pause().await,
+                _ = era.changed() => retry_pause().await,
             }
         };
         if timeout(left, changed).await.is_ok() {
--- a/crates/gate/src/entry/mod.rs
+++ b/crates/gate/src/entry/mod.rs
@@ -37,10 +37,10 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::agent::AgentId;
-use crate::kept;
+use crate::kv_stores;
 use crate::meter;
-use crate::update::{self, Held, Life, Note, Update};
-use crate::world::{domain_key, Shared, Source};
+use crate::node::{domain_key, SharedNode, Source};
+use crate::update::{self, HeldPart, Incarnation, PromptNote, Update};
 use site::{Part, Scope};
 
 pub use fleet::Fleet;
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct Entry {
     /// State that all kinds of processes have.
-    pub node: Shared,
+    pub node: SharedNode,
     /// The targets, with the data on each.
     pub fleet: RefCell<Fleet>,
     /// This entry's share of each pool's retry budget.
@@ -103,16 +103,16 @@
         let running: u32 = fleet.replicas.values().map(|r| r.inflight).sum();
         meter::set(meter::RUNNING, running.into());
         for (pool, budget) in self.retry_budgets.borrow().iter() {
-            metrics::gauge!(meter::RETRIES, "pool" => pool.clone()).set(budget.remaining());
+            metrics::gauge!(meter::RETRIES_LEFT, "pool" => pool.clone()).set(budget.remaining());
         }
-        let world = self.node.world.borrow();
-        meter::set(meter::MEMBERS, world.members.len() as f64);
-        let version = world.plan.as_ref().map_or(0, |p| p.version());
-        meter::set(meter::VERSION, version as f64);
+        let cluster = self.node.cluster.borrow();
+        meter::set(meter::MEMBERS, cluster.members.len() as f64);
+        let version = cluster.plan.as_ref().map_or(0, |p| p.version());
+        meter::set(meter::CONFIGURATION_VERSION, version as f64);
     }
 
     /// Reports a prompt to an engine's agent.
-    fn report_prompt(&self, agent: AgentId, note: Note) {
+    fn report_prompt(&self, agent: AgentId, note: PromptNote) {
         let update = Update {
             entry: true,
             note: Some(note),
@@ -125,7 +125,7 @@
     /// Announces to the other entries which parts an engine is about to prefill, so that they don't
     /// have the same opening prefilled elsewhere.
     fn announce_expected(&self, engine: std::net::SocketAddr, scope: &Scope, parts: &[Part]) {
-        let held = |p: &Part| Held {
+        let held = |p: &Part| HeldPart {
             scope: scope.key(),
             part: p.id.0,
             tokens: p.tokens,
@@ -133,10 +133,10 @@
         let update = Update {
             engine: engine.to_string(),
             entry: true,
-            expected: parts.iter().take(update::PARTS).map(held).collect(),
+            expected: parts.iter().take(update::MAX_PARTS).map(held).collect(),
             ..Update::default()
         };
-        update::send(&self.socket, &update, self.node.world.borrow().entries());
+        update::send(&self.socket, &update, self.node.cluster.borrow().entries());
     }
 
     /// Calls `f` with the prefill rate of a pool.
@@ -156,14 +156,14 @@
             let config = retry_budget::Config {
                 ratio: bounds.retry_ratio,
                 slack: bounds.retry_slack,
-                entries: self.node.world.borrow().entries().count() + 1,
+                entries: self.node.cluster.borrow().entries().count() + 1,
                 window: bounds.retry_window.into(),
             };
             retry_budgets.insert(pool.to_owned(), retry_budget::Budget::new(config));
         }
         match retry_budgets.get_mut(pool) {
             Some(b) => {
-                b.set_entries(self.node.world.borrow().entries().count() + 1);
+                b.set_entries(self.node.cluster.borrow().entries().count() + 1);
                 f(b)
             }
             None => unreachable!("inserted above"),
@@ -173,7 +173,7 @@
 
 /// Runs an entry until `stop` completes and the accepted requests have been served.
 pub async fn run(
-    node: Shared,
+    node: SharedNode,
     socket: UdpSocket,
     stop: impl Future<Output = Instant>,
 ) -> io::Result<()> {
@@ -194,10 +194,10 @@
     tokio::task::spawn_local(receive_updates(Rc::clone(&ctx)));
     tokio::task::spawn_local(subscribe(Rc::clone(&ctx)));
     tokio::task::spawn_local(delegate::run(Rc::clone(&ctx)));
-    tokio::task::spawn_local(kept::follow(
+    tokio::task::spawn_local(kv_stores::follow(
         Rc::clone(&ctx.node),
         Rc::clone(&ctx.socket),
-        kept::Stores::default(),
+        kv_stores::FollowedStores::default(),
     ));
     let listening = listen::serve(&ctx).await?;
     let stopped_at = stop.await;
@@ -226,14 +226,14 @@
         }
         let mut all_confirmed = true;
         for sidecar in sidecars {
-            let incarnation = ctx
-                .fleet
-                .borrow()
-                .incarnation(ctx.now(), sidecar)
-                .map(|b| Life {
-                    id: b.id.clone(),
-                    born: b.born,
-                });
+            let incarnation =
+                ctx.fleet
+                    .borrow()
+                    .incarnation(ctx.now(), sidecar)
+                    .map(|b| Incarnation {
+                        id: b.id.clone(),
+                        born: b.born,
+                    });
             all_confirmed &= incarnation.is_some();
             let update = Update {
                 entry: true,
@@ -253,8 +253,8 @@
         let s = ctx.node.settings.borrow();
         (xxh3_64(s.host.as_bytes()), domain_key(&s.domain))
     };
-    let world = ctx.node.world.borrow();
-    let sidecars = world.sidecars().map(|m| Sidecar {
+    let cluster = ctx.node.cluster.borrow();
+    let sidecars = cluster.sidecars().map(|m| Sidecar {
         addr: m.addr,
         same_domain: m.domain == domain,
         rank: xxh3_64_with_seed(m.addr.to_string().as_bytes(), own),
--- a/crates/gate/src/entry/pick.rs
+++ b/crates/gate/src/entry/pick.rs
@@ -93,7 +93,13 @@
         let s = ctx.node.settings.borrow();
         (s.domain.clone(), Micros::from(s.bounds.weights_deadline))
     };
-    let announced = ctx.node.world.borrow().named.get(&prompt.model).cloned();
+    let announced = ctx
+        .node
+        .cluster
+        .borrow()
+        .announced_weights
+        .get(&prompt.model)
+        .cloned();
     let fleet = ctx.fleet.borrow();
     let isolated_team = job.team.as_deref().filter(|_| job.isolated);
     let scope = |r: &Replica| {
--- a/crates/gate/src/entry/refuse.rs
+++ b/crates/gate/src/entry/refuse.rs
@@ -193,7 +193,7 @@
             .map(|after| jitter(after, r.time_left)),
     };
     let status = r.reason.status();
-    meter::count(meter::REFUSALS, "reason", r.reason.name());
+    meter::increment(meter::REFUSALS, "reason", r.reason.name());
     log::event(&Event::Refused {
         request: r.id,
         route: r.route,
--- a/crates/gate/src/entry/relay.rs
+++ b/crates/gate/src/entry/relay.rs
@@ -240,7 +240,7 @@
     fn record_first_event(&mut self) {
         let after = self.ctx.now().since(self.job.received_at).into();
         self.first_event_after = Some(after);
-        meter::span(meter::FIRST, after);
+        meter::record_duration(meter::FIRST_EVENT, after);
         let Some(live) = &mut self.live else {
             return;
         };
@@ -412,8 +412,8 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         let after = self.ctx.now().since(self.job.received_at);
-        meter::count(meter::STREAMS, "end", self.end.name());
-        meter::span(meter::WHOLE, after.into());
+        meter::increment(meter::STREAMS, "end", self.end.name());
+        meter::record_duration(meter::ANSWER_END, after.into());
         log::event(&Event::Streamed {
             request: &self.job.id,
             end: self.end.name(),
--- a/crates/gate/src/entry/replica.rs
+++ b/crates/gate/src/entry/replica.rs
@@ -14,7 +14,7 @@
 
 use super::connection_pool::ConnectionPool;
 use crate::agent::AgentId;
-use crate::update::{Held, Update};
+use crate::update::{HeldPart, Update};
 
 /// How long an engine is expected to have the parts of a prompt sent to it; covers a long prompt in
 /// a queue.
@@ -296,7 +296,7 @@
 }
 
 /// Applies changes of cached parts.
-pub(super) fn apply_parts(held: &mut HashMap<(u64, PartId), u32>, parts: &[Held]) {
+pub(super) fn apply_parts(held: &mut HashMap<(u64, PartId), u32>, parts: &[HeldPart]) {
     for h in parts {
         let key = (h.scope, PartId(h.part));
         match h.tokens {
--- a/crates/gate/src/entry/send.rs
+++ b/crates/gate/src/entry/send.rs
@@ -25,7 +25,7 @@
 use crate::agent::AgentId;
 use crate::log::{self, Event};
 use crate::meter;
-use crate::update::Note;
+use crate::update::PromptNote;
 
 /// Accounting of a request that is in flight at a target. Dropping it removes the request from the
 /// target's counts.
@@ -79,7 +79,7 @@
                 .add(now, prompt.input_tokens, prefill_ms);
         }
         if let Some((agent, request)) = reported_to {
-            let note = Note {
+            let note = PromptNote {
                 request,
                 tokens: Some(pick.prefill_tokens),
             };
@@ -125,7 +125,7 @@
         }
         self.expected = None;
         if let Some((agent, request)) = self.reported_to.take() {
-            let note = Note {
+            let note = PromptNote {
                 request,
                 tokens: None,
             };
@@ -230,7 +230,7 @@
 async fn connect(pick: &Pick) -> Option<Connection> {
     let tcp = platform::call::connect(pick.addr).await.ok()?;
     let (send, conn) = http1::handshake(TokioIo::new(tcp)).await.ok()?;
-    metrics::counter!(meter::CONNECTIONS).increment(1);
+    metrics::counter!(meter::TARGET_CONNECTIONS).increment(1);
     let task = tokio::task::spawn_local(async move {
         // The error is also returned to the request that waits for an answer on this connection.
         let _ = conn.await;
@@ -307,8 +307,11 @@
     };
     // The answer doesn't contain the target's version; the newest version is the one that the
     // target is ordered to load.
-    let world = ctx.node.world.borrow();
-    let newest = world.named.get(&prompt.model).map(|n| n.newest());
+    let cluster = ctx.node.cluster.borrow();
+    let newest = cluster
+        .announced_weights
+        .get(&prompt.model)
+        .map(|n| n.newest());
     if let (Some(version), Some(r)) = (newest, ctx.fleet.borrow_mut().replicas.get_mut(pick.key)) {
         r.raise_weights(ctx.now(), &prompt.model, version);
     }
@@ -338,18 +341,23 @@
 /// Logs and counts the sending of a request.
 pub(super) fn log_send(ctx: &Ctx, job: &Job, pick: &Pick, left: Duration) {
     if let Some(age) = pick.load_age {
-        meter::span(meter::BELIEF_AGE, age.into());
+        meter::record_duration(meter::LOAD_AGE, age.into());
     }
     if let Some(prompt) = &job.prompt {
         let fetched = prompt
             .input_tokens
             .saturating_sub(pick.held + pick.prefill_tokens);
-        meter::add(meter::TOKENS, "way", "held", pick.held.into());
-        meter::add(meter::TOKENS, "way", "read", pick.prefill_tokens.into());
-        meter::add(meter::TOKENS, "way", "fetched", fetched.into());
+        meter::add(meter::PROMPT_TOKENS, "way", "held", pick.held.into());
+        meter::add(
+            meter::PROMPT_TOKENS,
+            "way",
+            "read",
+            pick.prefill_tokens.into(),
+        );
+        meter::add(meter::PROMPT_TOKENS, "way", "fetched", fetched.into());
     }
     let list_age = ctx.now().since(ctx.fleet.borrow().list_confirmed_at);
-    meter::span(meter::LIST_AGE, list_age.into());
+    meter::record_duration(meter::LIST_AGE, list_age.into());
     log::event(&Event::Sent {
         request: &job.id,
         target: &pick.boot.id,
--- a/crates/gate/src/entry/serve.rs
+++ b/crates/gate/src/entry/serve.rs
@@ -172,7 +172,7 @@
 /// Runs a job and returns its answer, or a refusal if no target answers it.
 async fn answer(ctx: &Ctx, connection: &Rc<ConnectionState>, mut job: Job) -> Response<AnswerBody> {
     ctx.retry_budget(&job.pool, |b| b.record_request(ctx.now()));
-    meter::span(meter::WAITING, ctx.now().since(job.received_at).into());
+    meter::record_duration(meter::WAITING, ctx.now().since(job.received_at).into());
     match attempts::first_answer(ctx, &mut job).await {
         Ok(FirstAnswer::Stream(live)) => {
             record_answer(ctx, &job, live.response.status());
@@ -180,7 +180,7 @@
         }
         Ok(FirstAnswer::Whole(response)) => {
             record_answer(ctx, &job, response.status());
-            meter::span(meter::WHOLE, ctx.now().since(job.received_at).into());
+            meter::record_duration(meter::ANSWER_END, ctx.now().since(job.received_at).into());
             let (parts, body) = response.into_parts();
             let body = Full::new(body).map_err(|e| match e {});
             Response::from_parts(parts, AnswerBody::new(body, Rc::clone(connection)))
@@ -191,13 +191,13 @@
 
 fn record_answer(ctx: &Ctx, job: &Job, status: StatusCode) {
     let after = ctx.now().since(job.received_at);
-    meter::span(meter::HEAD, after.into());
+    meter::record_duration(meter::ANSWER_HEAD, after.into());
     let class = match status.as_u16() {
         200..300 => "2xx",
         300..500 => "4xx",
         _ => "5xx",
     };
-    meter::count(meter::ANSWERS, "status", class);
+    meter::increment(meter::ANSWERS, "status", class);
     log::event(&Event::Answered {
         request: &job.id,
         route: &job.route.name,
--- a/crates/gate/src/entry/suspects.rs
+++ b/crates/gate/src/entry/suspects.rs
@@ -100,7 +100,7 @@
         return true;
     }
     let own = ctx.node.settings.borrow().peer;
-    let entries = ctx.node.world.borrow();
+    let entries = ctx.node.cluster.borrow();
     let process_rank = ProcessRank {
         rank: entries.entries().filter(|a| *a < own).count(),
         total: entries.entries().count() + 1,
@@ -302,7 +302,7 @@
 /// Sends an update to all entries, and repeats it after each delay while it still holds.
 fn broadcast(ctx: &Ctx, update: Update) {
     let send =
-        |update: &Update| update::send(&ctx.socket, update, ctx.node.world.borrow().entries());
+        |update: &Update| update::send(&ctx.socket, update, ctx.node.cluster.borrow().entries());
     send(&update);
     send(&update);
     let ctx = Rc::clone(ctx);
@@ -312,7 +312,7 @@
             if !update.strike.is_some_and(|s| still_holds(&ctx, &s)) {
                 return;
             }
-            update::send(&ctx.socket, &update, ctx.node.world.borrow().entries());
+            update::send(&ctx.socket, &update, ctx.node.cluster.borrow().entries());
         }
     });
 }
