--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -14,13 +14,13 @@
 }
 
 /// Seconds since the epoch, for records that outlive the process.
-pub fn epoch() -> u64 {
+pub fn unix_seconds() -> u64 {
     let d = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     d.map_or(0, |d| d.as_secs())
 }
 
 /// Microseconds since the epoch; later lives of a process draw higher ones.
-pub fn life() -> u64 {
+pub fn incarnation() -> u64 {
     let d = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     d.map_or(0, |d| d.as_micros() as u64)
 }
--- a/crates/daemon/src/entry/admin.rs
+++ b/crates/daemon/src/entry/admin.rs
@@ -21,7 +21,7 @@
 use crate::admin::answer;
 use crate::clock;
 use crate::entry::Context;
-use crate::member::{Ask, Status};
+use crate::membership::{Command, Status};
 
 /// How often it is looked whether the members are known, and how long between.
 const JOIN_LOOKS: u32 = 50;
@@ -115,7 +115,7 @@
         base: change.base,
         operation: change.operation,
         author: change.author,
-        at: clock::epoch(),
+        at: clock::unix_seconds(),
     });
     let mut step = apply.start();
     while let ApplyStep::Call(call) = step {
@@ -148,7 +148,7 @@
 }
 
 fn accepted(cx: &Context, version: u64, text: String) -> Response {
-    let _ = cx.members.send(Ask::Accepted(TableRow {
+    let _ = cx.members.send(Command::Accepted(TableRow {
         version: Version(version),
         digest: fleet::Digest::of(&text),
         text: Bytes::from(text),
@@ -158,7 +158,7 @@
 
 async fn show(cx: &Context) -> Response {
     let (tx, rx) = oneshot::channel();
-    let _ = cx.members.send(Ask::Text(tx));
+    let _ = cx.members.send(Command::Text(tx));
     match rx.await {
         Ok(row) => reply(
             200,
@@ -190,7 +190,7 @@
 
 async fn status(cx: &Context) -> Response {
     let (tx, rx) = oneshot::channel();
-    let _ = cx.members.send(Ask::Status(tx));
+    let _ = cx.members.send(Command::Status(tx));
     match rx.await {
         Ok(s) => reply(200, &status_body(&s)),
         Err(_) => error(503, "draining", json!({})),
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -16,11 +16,11 @@
 use wire::{Ack, Body, Cancel, Open, Resume};
 
 use crate::clock;
+use crate::connection_pool::Connection;
 use crate::entry::drive::Drive;
 use crate::entry::frames::{event, gone};
 use crate::entry::out::OutError;
 use crate::entry::pick::Picked;
-use crate::link::Link;
 use crate::meter;
 
 /// Longest silence of a sidecar, four of its heartbeats.
@@ -53,7 +53,7 @@
     /// What names the exchange.
     token: Bytes,
     /// The connection, while there is one.
-    link: Option<Link>,
+    link: Option<Connection>,
 }
 
 /// What an action leads to: the end of the attempt, or an event if one is known already.
@@ -246,7 +246,7 @@
             next,
             incarnation: at.life,
         };
-        let mut link = match self.cx.links.fresh(at.address).await {
+        let mut link = match self.cx.links.connect(at.address).await {
             Ok(l) => l,
             Err(e) => return Some(gone(&e)),
         };
@@ -270,7 +270,7 @@
     /// Lets other requests use the connection.
     fn give_back(&self, at: &mut Current) {
         if let Some(l) = at.link.take() {
-            self.cx.links.give(at.address, l);
+            self.cx.links.put_back(at.address, l);
         }
     }
 
--- a/crates/daemon/src/entry/drive.rs
+++ b/crates/daemon/src/entry/drive.rs
@@ -16,6 +16,7 @@
 use tracing::Instrument;
 
 use crate::clock;
+use crate::crash_report::{self, CrashReport};
 use crate::entry::answer::Problem;
 use crate::entry::attempt::{Ended, Stop};
 use crate::entry::job::Job;
@@ -24,8 +25,7 @@
 use crate::entry::stop::Taken;
 use crate::entry::Context;
 use crate::log;
-use crate::mark::{self, Mark};
-use crate::{hop, member, trace};
+use crate::{hop, membership, trace};
 
 /// Attempts at a request that planned stops send from one sidecar to the next.
 const DRAINED: u32 = 8;
@@ -238,22 +238,22 @@
     /// soon as it has one, and whoever hasn't heard of the crash by then loses one more target.
     /// The sidecars tell the fleet; the entry does, too, if only it knows that there were two.
     async fn warn(&self) {
-        let mark = Mark {
-            print: self.job.want.fingerprint,
+        let mark = CrashReport {
+            fingerprint: self.job.want.fingerprint,
             convicted: true,
             crash: 0,
         };
-        for _ in 0..mark::ROUNDS {
+        for _ in 0..crash_report::REPORTS {
             if self.strikes() >= CRASHES {
                 let now = clock::now();
                 // A later end makes it news again, for those whom the last round missed.
-                let until = now + mark::lasts();
+                let until = now + crash_report::strike_duration();
                 self.cx.memory.lock().told(now, mark, until);
                 let fingerprint = mark.encode();
-                let news = member::Ask::Convict(fleet::Conviction { fingerprint, until });
+                let news = membership::Command::Convict(fleet::Conviction { fingerprint, until });
                 let _ = self.cx.members.send(news);
             }
-            sleep(mark::ROUND).await;
+            sleep(crash_report::REPORT_INTERVAL).await;
         }
     }
 
--- a/crates/daemon/src/entry/memory.rs
+++ b/crates/daemon/src/entry/memory.rs
@@ -14,9 +14,9 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
+use crate::crash_report::{self, CrashReport};
 use crate::entry::limits::Limits;
-use crate::mark::{self, Mark};
-use crate::tune::Tuning;
+use crate::policy_configs::PolicyConfigs;
 
 /// The memory of one entry.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
 
 impl Memory {
     /// Follows another configuration from now on.
-    pub fn tune(&mut self, t: &Tuning) {
+    pub fn tune(&mut self, t: &PolicyConfigs) {
         self.place = t.place;
         self.health.set_config(t.health);
         self.budget.set_config(t.retry);
@@ -67,18 +67,23 @@
     }
 
     /// Takes over what another process found of a request.
-    pub fn told(&mut self, now: Micros, mark: Mark, until: Micros) {
-        mark::told(&mut self.quarantine, now, mark, until);
+    pub fn told(&mut self, now: Micros, mark: CrashReport, until: Micros) {
+        crash_report::apply(&mut self.quarantine, now, mark, until);
     }
 
     /// Names of the crashes that are held against a request.
     pub fn crashes(&self, now: Micros, fingerprint: u64) -> Vec<u64> {
-        mark::crashes(&self.quarantine, now, mark::print(fingerprint))
+        crash_report::crash_ids(
+            &self.quarantine,
+            now,
+            crash_report::fingerprint(fingerprint),
+        )
     }
 
     /// What is held against a request.
     pub fn verdict(&self, now: Micros, fingerprint: u64) -> quarantine::Verdict {
-        self.quarantine.verdict(now, mark::print(fingerprint))
+        self.quarantine
+            .verdict(now, crash_report::fingerprint(fingerprint))
     }
 }
 
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -32,22 +32,22 @@
 use tokio::task::JoinHandle;
 use viz::{Request, Router};
 
-use crate::link::Pool;
-use crate::mark::Mark;
-use crate::member::{self, Me, Membership};
-use crate::process::{self, stopped, Ready};
+use crate::connection_pool::ConnectionPool;
+use crate::crash_report::CrashReport;
+use crate::membership::{self, LocalMember, Membership};
+use crate::policy_configs::PolicyConfigs;
+use crate::process::{self, stop_signal, Ready};
 use crate::settings::{Entry, Settings};
-use crate::tune::Tuning;
-use crate::view::Shared;
+use crate::view::SharedView;
 use crate::{clock, log, peer};
 
 /// What every request of this process shares.
 #[derive(Debug)]
 pub struct Context {
     /// The fleet as last published.
-    pub view: Shared,
+    pub view: SharedView,
     /// Connections to sidecars.
-    pub links: Pool,
+    pub links: ConnectionPool,
     /// Probes to sidecars.
     pub probes: Arc<probe::Prober>,
     /// What is remembered from request to request.
@@ -55,7 +55,7 @@
     /// Settings of the role.
     pub role: Entry,
     /// The way to membership.
-    pub members: member::Asker,
+    pub members: membership::CommandSender,
     /// The platform's table, if there is one.
     pub table: Option<Platform>,
     /// Planned stop.
@@ -65,20 +65,20 @@
 /// Runs until told to stop and all that runs has ended.
 pub fn run(settings: &Settings, role: &Entry) -> io::Result<()> {
     let start = start(settings.clone(), role.clone());
-    process::traffic(settings.workers)?.block_on(start)
+    process::traffic_runtime(settings.workers)?.block_on(start)
 }
 
 async fn start(settings: Settings, role: Entry) -> io::Result<()> {
     let sockets = Sockets::bind(&settings, &role).await?;
     let ready = sockets.ready()?;
-    let view = member::empty_view();
+    let view = membership::empty_view();
     let memory = Arc::new(memory::Shared::default());
     let (members, asked) = mpsc::unbounded_channel();
     let gossip = sockets.gossip.into_std()?;
     let thread = control(&settings, &ready, &gossip, &view, &memory, asked)?;
     let cx = Arc::new(Context {
         view,
-        links: Pool::new(settings.keys.clone()),
+        links: ConnectionPool::new(settings.keys.clone()),
         probes: probe::Prober::new(sockets.probes, settings.keys.clone()),
         memory,
         role,
@@ -97,12 +97,12 @@
     ready.print();
     spdlog::info!(logger: log::entry(), "serving callers at {:?}", ready.callers);
 
-    stopped().await;
+    stop_signal().await;
     spdlog::info!(logger: log::entry(), "leaving, late requests are still served");
     cx.stop.run(&members).await;
     let _ = server.await;
-    let _ = members.send(member::Ask::Quit);
-    process::ended(thread).await
+    let _ = members.send(membership::Command::Quit);
+    process::join_control(thread).await
 }
 
 /// What the process listens on.
@@ -153,16 +153,16 @@
     settings: &Settings,
     ready: &Ready,
     gossip: &std::net::UdpSocket,
-    view: &Shared,
+    view: &SharedView,
     memory: &Arc<memory::Shared>,
-    asked: mpsc::UnboundedReceiver<member::Ask>,
+    asked: mpsc::UnboundedReceiver<membership::Command>,
 ) -> io::Result<thread::JoinHandle<io::Result<()>>> {
-    let me = Me {
+    let me = LocalMember {
         role: fleet::Role::Entry,
         peer: settings.announce.unwrap_or(ready.peer),
         admin: Some(ready.admin),
         pool: None,
-        life: clock::life(),
+        incarnation: clock::incarnation(),
     };
     let (settings, gossip) = (settings.clone(), gossip.try_clone()?);
     let (view, memory) = (Arc::clone(view), Arc::clone(memory));
@@ -182,18 +182,18 @@
 }
 
 /// Runs membership, and tells the memory what it brings: configurations and convicted requests.
-async fn follow(mut members: Membership, view: &Shared, memory: &memory::Shared) {
+async fn follow(mut members: Membership, view: &SharedView, memory: &memory::Shared) {
     let mut version = Version(0);
     while members.run_once().await {
         let seen = view.load();
         if seen.version != version {
             version = seen.version;
             if let Some(rules) = &seen.rules {
-                memory.lock().tune(&Tuning::from(rules.config()));
+                memory.lock().tune(&PolicyConfigs::from(rules.config()));
             }
         }
         while let Some(c) = members.convicted() {
-            let mark = Mark::decode(c.fingerprint);
+            let mark = CrashReport::decode(c.fingerprint);
             memory.lock().told(clock::now(), mark, c.until);
         }
     }
--- a/crates/daemon/src/entry/prepare.rs
+++ b/crates/daemon/src/entry/prepare.rs
@@ -154,7 +154,7 @@
         prompt_bytes: completion.map_or(0, |c| c.prompt.len()),
         ..Facts::default()
     };
-    facts.at_unix_time(clock::epoch())
+    facts.at_unix_time(clock::unix_seconds())
 }
 
 fn target(head: &Parts) -> String {
@@ -239,7 +239,7 @@
     let given = headers.get(trace::HEADER).and_then(|v| v.to_str().ok());
     given
         .and_then(Context::parse)
-        .unwrap_or_else(Context::fresh)
+        .unwrap_or_else(Context::random)
 }
 
 fn asked(headers: &HeaderMap) -> Option<Duration> {
--- a/crates/daemon/src/entry/stop.rs
+++ b/crates/daemon/src/entry/stop.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use crate::clock;
-use crate::member;
+use crate::membership;
 
 /// Longest sleep while waiting for requests to end.
 const SLEEP: Duration = Duration::from_millis(50);
@@ -54,7 +54,7 @@
     }
 
     /// Stops: from the notice to the end of the last request.
-    pub async fn run(&self, members: &member::Asker) {
+    pub async fn run(&self, members: &membership::CommandSender) {
         let mut event = Event::Stop;
         loop {
             self.step(event);
@@ -62,7 +62,7 @@
             for action in out {
                 match action {
                     Action::Announce => {
-                        let _ = members.send(member::Ask::Leave);
+                        let _ = members.send(membership::Command::Leave);
                     }
                     // An entry queues nothing.
                     Action::GiveBack => {}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -6,18 +6,18 @@
 
 pub mod admin;
 pub mod clock;
+pub mod connection_pool;
+pub mod crash_report;
 pub mod entry;
-pub mod link;
 pub mod log;
-pub mod mark;
-pub mod member;
+pub mod membership;
 pub mod meter;
 pub mod peer;
+pub mod policy_configs;
 pub mod process;
 pub mod settings;
 pub mod sidecar;
 pub mod trace;
-pub mod tune;
 pub mod view;
 
 use std::process::ExitCode;
--- a/crates/daemon/src/member.rs
+++ b/crates/daemon/src/membership.rs
@@ -1,7 +1,7 @@
 //! Drives the fleet's membership: the gossip socket, pulls, the platform's table and host list.
 //!
 //! It runs on the control thread and is the only writer of the shared [`View`]. What traffic
-//! threads want of it they send as an [`Ask`].
+//! threads want of it they send as an [`Command`].
 
 use std::collections::VecDeque;
 use std::io;
@@ -24,10 +24,10 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::{Body, Keys, Pull};
 
-use crate::link::Pool;
+use crate::connection_pool::ConnectionPool;
 use crate::log;
 use crate::settings::Settings;
-use crate::view::{Announced, Shared, View};
+use crate::view::{AnnouncedTarget, SharedView, View};
 use crate::{clock, meter, view};
 
 /// How often the host list is read; it lags by more than that.
@@ -37,7 +37,7 @@
 
 /// What traffic asks of membership.
 #[derive(Debug)]
-pub enum Ask {
+pub enum Command {
     /// Another member's pull, to be answered.
     Pull(Bytes, oneshot::Sender<Bytes>),
     /// Which version is where.
@@ -70,17 +70,17 @@
 }
 
 /// The way to membership from other threads.
-pub type Asker = mpsc::UnboundedSender<Ask>;
+pub type CommandSender = mpsc::UnboundedSender<Command>;
 
 /// A fleet member with its sockets.
 pub struct Membership {
     fleet: Fleet,
     socket: Arc<UdpSocket>,
-    links: Arc<Pool>,
+    links: Arc<ConnectionPool>,
     platform: Option<Platform>,
-    shared: Shared,
+    shared: SharedView,
     view: View,
-    asked: mpsc::UnboundedReceiver<Ask>,
+    asked: mpsc::UnboundedReceiver<Command>,
     feed: mpsc::UnboundedSender<Event>,
     fed: mpsc::UnboundedReceiver<Event>,
     wake: Option<Micros>,
@@ -90,27 +90,27 @@
 
 /// What a process tells the fleet of itself.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct LocalMember {
     /// Entry or sidecar.
     pub role: fleet::Role,
     /// Peer address.
     pub peer: SocketAddr,
     /// Operators' address.
     pub admin: Option<SocketAddr>,
-    /// Pool of its target.
+    /// ConnectionPool of its target.
     pub pool: Option<String>,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl Membership {
     /// Joins with the given socket. `platform` is needed only by those who may read its table.
     pub fn new(
         settings: &Settings,
-        me: Me,
+        me: LocalMember,
         socket: UdpSocket,
-        shared: Shared,
-        asked: mpsc::UnboundedReceiver<Ask>,
+        shared: SharedView,
+        asked: mpsc::UnboundedReceiver<Command>,
     ) -> io::Result<Self> {
         let member = Member {
             id: MemberId(rand::random()),
@@ -123,11 +123,11 @@
             http: me.admin,
             pool: me.pool,
             tags: String::new(),
-            incarnation: Incarnation(me.life),
+            incarnation: Incarnation(me.incarnation),
             state: MemberState::Alive,
         };
         let mut set = fleet::Settings::new(ring(&settings.keys));
-        set.epoch = Micros(clock::life()) - clock::now();
+        set.epoch = Micros(clock::incarnation()) - clock::now();
         let (feed, fed) = mpsc::unbounded_channel();
         let view = View::new(&settings.domain, &settings.region);
         shared.store(Arc::new(view.clone()));
@@ -139,7 +139,7 @@
         let mut this = Self {
             fleet: Fleet::new(set, member, rand::random()),
             socket: Arc::new(socket),
-            links: Arc::new(Pool::new(settings.keys.clone())),
+            links: Arc::new(ConnectionPool::new(settings.keys.clone())),
             platform,
             shared,
             view,
@@ -168,7 +168,7 @@
             },
             Some(event) = self.fed.recv() => self.step(event),
             ask = self.asked.recv() => match ask {
-                Some(Ask::Quit) | None => {
+                Some(Command::Quit) | None => {
                     self.step(Event::Quit);
                     return false;
                 }
@@ -189,9 +189,9 @@
         self.fleet.set_tags(tags);
     }
 
-    fn ask(&mut self, ask: Ask) {
+    fn ask(&mut self, ask: Command) {
         match ask {
-            Ask::Pull(data, out) => {
+            Command::Pull(data, out) => {
                 let scope = if data.as_ref() == CONFIG {
                     PullScope::Config
                 } else {
@@ -199,21 +199,21 @@
                 };
                 let _ = out.send(self.fleet.answer(scope).encode());
             }
-            Ask::Status(out) => {
+            Command::Status(out) => {
                 self.step(Event::PollVersions);
                 let _ = out.send(self.status());
             }
-            Ask::Text(out) => {
+            Command::Text(out) => {
                 let _ = out.send(TableRow {
                     version: self.fleet.version(),
                     digest: self.fleet.digest(),
                     text: self.fleet.text().clone(),
                 });
             }
-            Ask::Accepted(row) => self.step(Event::Accepted(row)),
-            Ask::Convict(c) => self.step(Event::Convicted(c)),
-            Ask::Leave => self.step(Event::Leave),
-            Ask::Quit => {}
+            Command::Accepted(row) => self.step(Event::Accepted(row)),
+            Command::Convict(c) => self.step(Event::Convicted(c)),
+            Command::Leave => self.step(Event::Leave),
+            Command::Quit => {}
         }
     }
 
@@ -301,7 +301,7 @@
                 PullScope::Config => Bytes::from_static(CONFIG),
                 PullScope::All => Bytes::new(),
             };
-            let answer = match links.ask(tcp, Pull { data }).await {
+            let answer = match links.request(tcp, Pull { data }).await {
                 Ok(Body::Text(t)) => Answer::decode(t.data).ok(),
                 _ => None,
             };
@@ -346,7 +346,7 @@
         if matches!(m.state, MemberState::Leaving) {
             return self.view.remove(m.id);
         }
-        self.view.put(Announced {
+        self.view.upsert(AnnouncedTarget {
             member: m.id,
             incarnation: m.incarnation,
             peer: m.tcp,
@@ -363,7 +363,7 @@
 const CONFIG: &[u8] = b"config";
 
 /// A shared view that nobody has written to yet.
-pub fn empty_view() -> Shared {
+pub fn empty_view() -> SharedView {
     Arc::new(ArcSwap::from_pointee(view::View::default()))
 }
 
--- a/crates/daemon/src/peer.rs
+++ b/crates/daemon/src/peer.rs
@@ -13,7 +13,7 @@
 use wire::{Body, Keys, Rx, Text, Tx, WireError};
 
 use crate::log;
-use crate::member::{Ask, Asker};
+use crate::membership::{Command, CommandSender};
 use crate::meter;
 
 /// Longest handshake.
@@ -24,7 +24,7 @@
 const PAUSE: Duration = Duration::from_millis(100);
 
 /// What a process does with a connection's frames, besides answering pulls.
-pub trait Peer: Send + Sync + 'static {
+pub trait ExchangeHandler: Send + Sync + 'static {
     /// Takes the frame that begins an exchange and carries it to its end.
     fn exchange(
         self: &Arc<Self>,
@@ -38,23 +38,28 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PullsOnly;
 
-impl Peer for PullsOnly {
+impl ExchangeHandler for PullsOnly {
     async fn exchange(self: &Arc<Self>, _: Body, _: &mut Tx, _: &mut Rx) -> Result<(), WireError> {
         Err(WireError::Unexpected)
     }
 }
 
 /// Accepts connections for ever.
-pub async fn listen(listener: TcpListener, keys: Keys, members: Asker, peer: Arc<impl Peer>) {
+pub async fn listen(
+    listener: TcpListener,
+    keys: Keys,
+    members: CommandSender,
+    handler: Arc<impl ExchangeHandler>,
+) {
     loop {
         let Ok((tcp, _)) = listener.accept().await else {
             // Out of descriptors; waiting lets some close.
             tokio::time::sleep(PAUSE).await;
             continue;
         };
-        let (keys, members, peer) = (keys.clone(), members.clone(), Arc::clone(&peer));
+        let (keys, members, handler) = (keys.clone(), members.clone(), Arc::clone(&handler));
         tokio::spawn(async move {
-            if let Err(e) = connection(tcp, &keys, &members, &peer).await {
+            if let Err(e) = connection(tcp, &keys, &members, &handler).await {
                 fault(&e);
             }
         });
@@ -64,8 +69,8 @@
 async fn connection(
     tcp: TcpStream,
     keys: &Keys,
-    members: &Asker,
-    peer: &Arc<impl Peer>,
+    members: &CommandSender,
+    handler: &Arc<impl ExchangeHandler>,
 ) -> Result<(), WireError> {
     let shake = wire::accept(tcp, keys, rand::random());
     let (mut tx, mut rx) = timeout(HANDSHAKE, shake)
@@ -78,13 +83,13 @@
         match body? {
             Body::Pull(p) => {
                 let (out, answer) = oneshot::channel();
-                let _ = members.send(Ask::Pull(p.data, out));
+                let _ = members.send(Command::Pull(p.data, out));
                 let data = answer.await.map_err(|_| WireError::Closed)?;
                 tx.send(Text { data }).await?;
             }
             // Confirmations of an exchange that has ended meanwhile.
             Body::Ack(_) | Body::Cancel(_) => {}
-            body => peer.exchange(body, &mut tx, &mut rx).await?,
+            body => handler.exchange(body, &mut tx, &mut rx).await?,
         }
     }
 }
--- a/crates/daemon/src/tune.rs
+++ b/crates/daemon/src/policy_configs.rs
@@ -9,7 +9,7 @@
 
 /// Settings of every policy module.
 #[derive(Clone, Copy, Debug)]
-pub struct Tuning {
+pub struct PolicyConfigs {
     /// Which replicas are asked.
     pub place: probe_placement::Config,
     /// Places held for requests that may come.
@@ -28,7 +28,7 @@
     pub quarantine: quarantine::Config,
 }
 
-impl From<&Config> for Tuning {
+impl From<&Config> for PolicyConfigs {
     fn from(c: &Config) -> Self {
         Self {
             place: probe_placement::Config {
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -11,7 +11,7 @@
 use crate::log;
 
 /// The runtime of a process's traffic threads.
-pub fn traffic(workers: usize) -> io::Result<Runtime> {
+pub fn traffic_runtime(workers: usize) -> io::Result<Runtime> {
     Builder::new_multi_thread()
         .worker_threads(workers)
         .enable_all()
@@ -19,7 +19,7 @@
 }
 
 /// Waits for the control thread's end, the last of a process.
-pub async fn ended(control: JoinHandle<io::Result<()>>) -> io::Result<()> {
+pub async fn join_control(control: JoinHandle<io::Result<()>>) -> io::Result<()> {
     let ended = tokio::task::spawn_blocking(move || control.join()).await;
     spdlog::info!(logger: log::main(), "stopped");
     match ended {
@@ -29,7 +29,7 @@
 }
 
 /// Waits for the signal to stop.
-pub async fn stopped() {
+pub async fn stop_signal() {
     let (Ok(mut term), Ok(mut int)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
--- a/crates/daemon/src/sidecar/claim.rs
+++ b/crates/daemon/src/sidecar/claim.rs
@@ -75,7 +75,7 @@
         token: hex(&o.token),
         address: cx.address.to_string(),
         incarnation: cx.life,
-        since: clock::epoch(),
+        since: clock::unix_seconds(),
         body: digest(o),
     }
 }
--- a/crates/daemon/src/sidecar/control/fleet.rs
+++ b/crates/daemon/src/sidecar/control/fleet.rs
@@ -12,12 +12,12 @@
 
 use super::Control;
 use crate::clock;
+use crate::crash_report::{self, CrashReport};
 use crate::log;
-use crate::mark::{self, Mark};
 use crate::meter;
+use crate::policy_configs::PolicyConfigs;
 use crate::sidecar::decide::{Finding, RunKey};
 use crate::sidecar::probe;
-use crate::tune::Tuning;
 
 impl Control {
     /// Takes a sealed datagram; gives the sealed answer, if there is one.
@@ -76,7 +76,7 @@
             let mark = self.decide.learn(now, s.fingerprint, &s.crashes);
             self.convicted(now, mark);
             let claim = Claim {
-                fingerprint: mark::print(s.fingerprint),
+                fingerprint: crash_report::fingerprint(s.fingerprint),
                 rank: s.rank,
             };
             let f = self.decide.inquired(now, i.from, claim);
@@ -115,11 +115,11 @@
     }
 
     /// Reports a request to the fleet that crashes here and elsewhere convict.
-    fn convicted(&mut self, now: Micros, mark: Option<Mark>) {
+    fn convicted(&mut self, now: Micros, mark: Option<CrashReport>) {
         let Some(mark) = mark else { return };
         spdlog::warn!(
             logger: log::sidecar(),
-            "request {:016x} is convicted by crashes of several targets", mark.print
+            "request {:016x} is convicted by crashes of several targets", mark.fingerprint
         );
         self.news.spread(now, mark);
     }
@@ -144,7 +144,7 @@
         };
         spdlog::warn!(
             logger: log::sidecar(),
-            "target died under request {:016x}, convicted: {}", mark.print, mark.convicted
+            "target died under request {:016x}, convicted: {}", mark.fingerprint, mark.convicted
         );
         self.news.spread(now, mark);
     }
@@ -153,12 +153,12 @@
     pub(super) fn marks(&mut self) {
         let now = clock::now();
         while let Some(c) = self.members.convicted() {
-            let mark = Mark::decode(c.fingerprint);
+            let mark = CrashReport::decode(c.fingerprint);
             if self.decide.told(now, mark, c.until) {
                 // Two sent at the same moment crashed one target each, and nobody else may have
                 // heard of both.
                 let convicted = true;
-                self.news.spread(now, Mark { convicted, ..mark });
+                self.news.spread(now, CrashReport { convicted, ..mark });
             }
         }
     }
@@ -173,7 +173,7 @@
         if let Some(rules) = &view.rules {
             let config = rules.config();
             let most = config.pool.get(&self.pool).and_then(|p| p.concurrency);
-            self.decide.tune(&Tuning::from(config), most);
+            self.decide.tune(&PolicyConfigs::from(config), most);
         }
     }
 }
--- a/crates/daemon/src/sidecar/control/mod.rs
+++ b/crates/daemon/src/sidecar/control/mod.rs
@@ -26,13 +26,13 @@
 
 use crate::clock;
 use crate::log;
-use crate::member::{self, Me, Membership};
+use crate::membership::{self, LocalMember, Membership};
 use crate::meter;
 use crate::settings::{Settings, Sidecar};
 use crate::sidecar::ask::{Ask, Asked, Grant, Health, Load};
 use crate::sidecar::decide::{Decide, Found, Refusal};
 use crate::sidecar::news::News;
-use crate::view::{self, Shared, View};
+use crate::view::{self, SharedView, View};
 
 /// Longest sleep of the control thread.
 const SLEEP: Duration = Duration::from_millis(250);
@@ -45,7 +45,7 @@
     /// Settings of the role.
     pub role: Sidecar,
     /// What the fleet is told of this process.
-    pub me: Me,
+    pub me: LocalMember,
     /// Socket for probes.
     pub probes: std::net::UdpSocket,
     /// Socket for membership.
@@ -53,11 +53,11 @@
     /// Messages from traffic.
     pub asked: Asked,
     /// Where the fleet's view goes.
-    pub view: Shared,
+    pub view: SharedView,
     /// Messages for membership.
-    pub members: mpsc::UnboundedReceiver<member::Ask>,
+    pub members: mpsc::UnboundedReceiver<membership::Command>,
     /// Convictions for membership.
-    pub convict: member::Asker,
+    pub convict: membership::CommandSender,
 }
 
 /// Starts the control thread.
@@ -75,7 +75,7 @@
     let s = start;
     let udp = UdpSocket::from_std(s.probes)?;
     let gossip = UdpSocket::from_std(s.gossip)?;
-    let life = s.me.life;
+    let life = s.me.incarnation;
     let rank = view::rank(&s.role.pool, s.me.peer);
     let notice = s.settings.notice.into();
     let shared = Arc::clone(&s.view);
@@ -110,7 +110,7 @@
     liveness: Liveness,
     drain: Drain,
     members: Membership,
-    convict: member::Asker,
+    convict: membership::CommandSender,
     asked: Asked,
     /// Of requests that crashed the target.
     news: News,
@@ -118,7 +118,7 @@
     pool: String,
     /// Told once nothing runs at the target.
     quiet: Option<oneshot::Sender<()>>,
-    view: Shared,
+    view: SharedView,
     /// Version that the decisions follow.
     version: Version,
     /// Rank of this target among those of the pool.
@@ -241,7 +241,7 @@
             match action {
                 drain::Action::Announce => {
                     spdlog::info!(logger: log::sidecar(), "leaving, taking nothing new");
-                    let _ = self.convict.send(member::Ask::Leave);
+                    let _ = self.convict.send(membership::Command::Leave);
                 }
                 drain::Action::GiveBack => {
                     let back = self.decide.leave();
--- a/crates/daemon/src/sidecar/decide/mod.rs
+++ b/crates/daemon/src/sidecar/decide/mod.rs
@@ -31,8 +31,8 @@
 use slab::Slab;
 use slotmap::SlotMap;
 
+use crate::policy_configs::PolicyConfigs;
 use crate::settings::Kind;
-use crate::tune::Tuning;
 use admission::refusal;
 pub use terms::{Finding, Found, Granted, Question, Refusal, RunKey, State, Told, Work};
 use turns::today;
@@ -151,7 +151,7 @@
     }
 
     /// Follows another configuration from now on; `most` is the pool's bound on requests at once.
-    pub fn tune(&mut self, t: &Tuning, most: Option<u32>) {
+    pub fn tune(&mut self, t: &PolicyConfigs, most: Option<u32>) {
         self.slots = most.map_or(self.most, |m| self.most.min(m as usize));
         self.runs.set_config(t.concurrency);
         self.admit = t.admit;
--- a/crates/daemon/src/sidecar/decide/trials.rs
+++ b/crates/daemon/src/sidecar/decide/trials.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{Decide, Finding, RunKey, Running, Waiting, Work};
-use crate::mark::{self, Mark};
+use crate::crash_report::{self, CrashReport};
 
 /// Age up to which a run may still crash its engine at its beginning.
 const YOUNG: Micros = Micros::from_secs(2);
@@ -45,22 +45,26 @@
 
     /// Names of the crashes that are held against a request.
     pub fn crashes(&self, now: Micros, fingerprint: u64) -> Vec<u64> {
-        mark::crashes(&self.quarantine, now, mark::print(fingerprint))
+        crash_report::crash_ids(
+            &self.quarantine,
+            now,
+            crash_report::fingerprint(fingerprint),
+        )
     }
 
     /// Counts crashes by their names; gives the mark to report to the fleet if they convict.
-    pub fn learn(&mut self, now: Micros, fingerprint: u64, crashes: &[u64]) -> Option<Mark> {
+    pub fn learn(&mut self, now: Micros, fingerprint: u64, crashes: &[u64]) -> Option<CrashReport> {
         let before = self.verdict(now, fingerprint);
-        let print = mark::print(fingerprint);
+        let print = crash_report::fingerprint(fingerprint);
         let mut last = None;
         for crash in crashes.iter().copied().filter(|c| *c != 0) {
-            let verdict = mark::strike(&mut self.quarantine, now, print, crash);
+            let verdict = crash_report::record_crash(&mut self.quarantine, now, print, crash);
             last = Some((crash, verdict));
         }
         let (crash, verdict) = last?;
         let convicted = verdict == Verdict::Convicted && before != verdict;
-        convicted.then_some(Mark {
-            print: fingerprint,
+        convicted.then_some(CrashReport {
+            fingerprint: fingerprint,
             convicted,
             crash,
         })
@@ -74,15 +78,21 @@
         let running = self.running.iter().any(|(_, r)| runs(r));
         Finding {
             print: print.body as u64,
-            crashes: mark::crashes(&self.quarantine, now, print),
+            crashes: crash_report::crash_ids(&self.quarantine, now, print),
             busy: running || self.trials.outranks(claim),
             good: self.quarantine.recently_succeeded(now, print),
         }
     }
 
     /// Takes over another sidecar's answer; gives the mark to report to the fleet, if any.
-    pub fn answered(&mut self, now: Micros, from: u64, ask: Query, f: &Finding) -> Option<Mark> {
-        let print = mark::print(f.print);
+    pub fn answered(
+        &mut self,
+        now: Micros,
+        from: u64,
+        ask: Query,
+        f: &Finding,
+    ) -> Option<CrashReport> {
+        let print = crash_report::fingerprint(f.print);
         self.trials.answered(now, from, ask, print, f.busy);
         if f.good && self.verdict(now, f.print) != Verdict::Convicted {
             self.quarantine.record_success(now, print);
@@ -102,7 +112,7 @@
 
     /// What is held against a request here and at its entry.
     pub(super) fn standing(&self, now: Micros, work: &Work) -> Verdict {
-        let print = mark::print(work.fingerprint);
+        let print = crash_report::fingerprint(work.fingerprint);
         match self.quarantine.verdict(now, print) {
             Verdict::Convicted => Verdict::Convicted,
             _ if self.quarantine.recently_succeeded(now, print) => Verdict::Clear,
@@ -119,7 +129,7 @@
             let Some(job) = self.held.pop_front() else {
                 break;
             };
-            let print = mark::print(job.payload.work.fingerprint);
+            let print = crash_report::fingerprint(job.payload.work.fingerprint);
             match self.standing(now, &job.payload.work) {
                 _ if released.is_some() => self.held.push_back(job),
                 Verdict::Convicted => self.rejected.push(job.payload.grant),
--- a/crates/daemon/src/sidecar/decide/turns.rs
+++ b/crates/daemon/src/sidecar/decide/turns.rs
@@ -10,7 +10,7 @@
 use prefix::Index;
 
 use super::{Decide, Granted, RunKey, Running, State, Waiting};
-use crate::mark;
+use crate::crash_report;
 use crate::settings::Kind;
 
 impl<G> Decide<G> {
@@ -40,7 +40,7 @@
             stream: w.work.stream,
             first: None,
             struck: w.work.strikes > 0,
-            print: mark::print(w.work.fingerprint),
+            print: crash_report::fingerprint(w.work.fingerprint),
         });
         self.until = self.until.max(now) + prefill;
         self.busy.set(now, self.computing());
--- a/crates/daemon/src/sidecar/mod.rs
+++ b/crates/daemon/src/sidecar/mod.rs
@@ -26,8 +26,8 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::mpsc;
 
-use crate::member::{self, Me};
-use crate::process::{self, stopped, Ready};
+use crate::membership::{self, LocalMember};
+use crate::process::{self, stop_signal, Ready};
 use crate::settings::{Kind, Settings, Sidecar};
 use crate::{admin, clock, log, peer};
 use ask::Ask;
@@ -38,11 +38,11 @@
 /// Runs until told to stop and all that runs has ended.
 pub fn run(settings: &Settings, role: &Sidecar) -> io::Result<()> {
     let start = start(settings.clone(), role.clone());
-    process::traffic(settings.workers)?.block_on(start)
+    process::traffic_runtime(settings.workers)?.block_on(start)
 }
 
 async fn start(settings: Settings, role: Sidecar) -> io::Result<()> {
-    let life = clock::life();
+    let life = clock::incarnation();
     let (tcp, probes) = wire::bind_both(settings.peer).await?;
     let gossip = UdpSocket::bind(settings.gossip).await?;
     let admin = TcpListener::bind(settings.admin).await?;
@@ -55,14 +55,14 @@
     let told = settings.announce.unwrap_or(ready.peer);
     let (mut asker, asked) = ask::channel();
     let (members, from_members) = mpsc::unbounded_channel();
-    let view = member::empty_view();
+    let view = membership::empty_view();
     let thread = control::spawn(Start {
-        me: Me {
+        me: LocalMember {
             role: fleet::Role::Sidecar,
             peer: told,
             admin: Some(ready.admin),
             pool: Some(role.pool.clone()),
-            life,
+            incarnation: life,
         },
         settings: settings.clone(),
         role: role.clone(),
@@ -106,9 +106,9 @@
     ready.print();
     spdlog::info!(logger: log::sidecar(), "serving pool {} at {}", role.pool, ready.peer);
 
-    stopped().await;
+    stop_signal().await;
     asker.send(Ask::Stop);
     asker.exit().await;
-    let _ = members.send(member::Ask::Quit);
-    process::ended(thread).await
+    let _ = members.send(membership::Command::Quit);
+    process::join_control(thread).await
 }
--- a/crates/daemon/src/sidecar/news.rs
+++ b/crates/daemon/src/sidecar/news.rs
@@ -6,19 +6,19 @@
 use fleet::Conviction;
 use model::Micros;
 
-use crate::mark::{self, Mark};
-use crate::member;
+use crate::crash_report::{self, CrashReport};
+use crate::membership;
 
 /// Marks that are being told.
 #[derive(Debug)]
 pub struct News {
-    members: member::Asker,
+    members: membership::CommandSender,
     items: Vec<Item>,
 }
 
 #[derive(Debug)]
 struct Item {
-    mark: Mark,
+    mark: CrashReport,
     /// When it is told next.
     at: Micros,
     /// Rounds left.
@@ -27,17 +27,17 @@
 
 impl News {
     /// Nothing to tell yet.
-    pub fn new(members: member::Asker) -> Self {
+    pub fn new(members: membership::CommandSender) -> Self {
         let items = Vec::new();
         Self { members, items }
     }
 
     /// Tells the fleet of a suspect or a conviction, now and for some rounds.
-    pub fn spread(&mut self, now: Micros, mark: Mark) {
+    pub fn spread(&mut self, now: Micros, mark: CrashReport) {
         self.items.push(Item {
             mark,
             at: now,
-            left: mark::ROUNDS,
+            left: crash_report::REPORTS,
         });
         self.tell(now);
     }
@@ -46,13 +46,13 @@
     pub fn tell(&mut self, now: Micros) {
         for item in self.items.iter_mut().filter(|i| i.at <= now) {
             item.left -= 1;
-            item.at = now + mark::ROUND.into();
+            item.at = now + crash_report::REPORT_INTERVAL.into();
             // A later end makes it news again.
             let news = Conviction {
                 fingerprint: item.mark.encode(),
-                until: now + mark::lasts(),
+                until: now + crash_report::strike_duration(),
             };
-            let _ = self.members.send(member::Ask::Convict(news));
+            let _ = self.members.send(membership::Command::Convict(news));
         }
         self.items.retain(|i| i.left > 0);
     }
--- a/crates/daemon/src/sidecar/orders.rs
+++ b/crates/daemon/src/sidecar/orders.rs
@@ -23,7 +23,7 @@
 use crate::log;
 use crate::sidecar::ask::{Ask, Asker, Load};
 use crate::sidecar::feed;
-use crate::view::Shared;
+use crate::view::SharedView;
 
 /// How often what the engine serves is compared with the configuration.
 const PERIOD: Duration = Duration::from_secs(1);
@@ -44,7 +44,7 @@
     /// Its pool.
     pub pool: String,
     /// The configuration.
-    pub view: Shared,
+    pub view: SharedView,
     /// The control thread.
     pub control: Asker,
     /// The platform's table.
--- a/crates/daemon/src/sidecar/run.rs
+++ b/crates/daemon/src/sidecar/run.rs
@@ -66,7 +66,7 @@
     let ex = Exchange::new();
     let until = Instant::now() + Duration::from_millis(o.deadline);
     let enqueued = clock::now();
-    let above = trace::Context::parse(&o.trace).unwrap_or_else(trace::Context::fresh);
+    let above = trace::Context::parse(&o.trace).unwrap_or_else(trace::Context::random);
     let queue = hop!("queue", above, above.child(), request = o.request);
     let last = tokio::select! {
         r = turn::wait(cx, &o).instrument(queue) => match r {
--- a/crates/daemon/src/sidecar/serve.rs
+++ b/crates/daemon/src/sidecar/serve.rs
@@ -9,7 +9,7 @@
 use wire::{Accepted, Beat, Body, Fail, Open, Resume, Rx, Tx, WireError};
 
 use crate::clock;
-use crate::peer::Peer;
+use crate::peer::ExchangeHandler;
 use crate::sidecar::ask::Ask;
 use crate::sidecar::live::{refuse, Cursor, Live};
 use crate::sidecar::run::{self, Context};
@@ -33,7 +33,7 @@
     }
 }
 
-impl Peer for Context {
+impl ExchangeHandler for Context {
     async fn exchange(
         self: &Arc<Self>,
         body: Body,
--- a/crates/daemon/src/sidecar/turn.rs
+++ b/crates/daemon/src/sidecar/turn.rs
@@ -10,7 +10,7 @@
 use wire::Open;
 
 use crate::clock;
-use crate::mark;
+use crate::crash_report;
 use crate::sidecar::ask::Ask;
 use crate::sidecar::decide::{Refusal, RunKey, Work};
 use crate::sidecar::run::Context;
@@ -88,7 +88,7 @@
     /// The target died under the request; gives the crash's name.
     pub fn crashed(&self, life: Incarnation) -> u64 {
         self.cx.control.send(Ask::Crashed(self.run));
-        mark::crash(MemberId(self.cx.life), life)
+        crash_report::crash_id(MemberId(self.cx.life), life)
     }
 
     /// The target answered well.
--- a/crates/daemon/src/trace.rs
+++ b/crates/daemon/src/trace.rs
@@ -26,7 +26,7 @@
 
 impl Context {
     /// A new trace.
-    pub fn fresh() -> Self {
+    pub fn random() -> Self {
         Self {
             trace: rand::random::<u128>() | 1,
             span: rand::random::<u64>() | 1,
@@ -50,7 +50,7 @@
     /// The context for a span below this one.
     pub fn child(self) -> Self {
         Self {
-            span: Self::fresh().span,
+            span: Self::random().span,
             ..self
         }
     }
--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -31,11 +31,11 @@
 }
 
 /// The snapshot that all threads share.
-pub type Shared = Arc<ArcSwap<View>>;
+pub type SharedView = Arc<ArcSwap<View>>;
 
 /// A target as its sidecar announces it.
 #[derive(Clone, Debug)]
-pub struct Announced {
+pub struct AnnouncedTarget {
     /// The sidecar.
     pub member: MemberId,
     /// Its life.
@@ -68,10 +68,10 @@
     }
 
     /// Adds or replaces a sidecar's target; false if nothing changed.
-    pub fn put(&mut self, a: Announced) -> bool {
+    pub fn upsert(&mut self, a: AnnouncedTarget) -> bool {
         let pool = self.pool_key(&a.pool);
         let host = self.host_key(&a);
-        let turned = self.turn(host, a.leaving);
+        let turned = self.set_leaving(host, a.leaving);
         let old = self
             .targets
             .get(&a.member)
@@ -102,12 +102,12 @@
     }
 
     /// Notes whether a host goes; true if that is news.
-    fn turn(&mut self, host: HostKey, leaving: bool) -> bool {
+    fn set_leaving(&mut self, host: HostKey, leaving: bool) -> bool {
         let host = self.world.hosts.get_mut(host);
         host.is_some_and(|h| std::mem::replace(&mut h.leaving, leaving) != leaving)
     }
 
-    fn host_key(&mut self, a: &Announced) -> HostKey {
+    fn host_key(&mut self, a: &AnnouncedTarget) -> HostKey {
         let domain = self.domain_key(&a.domain, &a.region);
         let hosts = &mut self.world.hosts;
         let found = hosts
--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -2,7 +2,7 @@
 //! whom, and how crashes add up.
 
 use bytes::Bytes;
-use daemon::mark::{self, Mark};
+use daemon::crash_report::{self, CrashReport};
 use daemon::settings::Kind;
 use daemon::sidecar::decide::{Decide, Finding, Found, Question, RunKey, State, Work};
 use model::{Class, Incarnation, MemberId, Micros};
@@ -182,8 +182,8 @@
         let mut d = decide();
         let mut before = false;
         for crash in c.heard {
-            let mark = Mark {
-                print: 5,
+            let mark = CrashReport {
+                fingerprint: 5,
                 convicted: false,
                 crash: *crash,
             };
@@ -272,7 +272,7 @@
 #[test]
 fn run_is_told_until_its_crash_is_counted() {
     let claim = Claim {
-        fingerprint: mark::print(5),
+        fingerprint: crash_report::fingerprint(5),
         rank: 1,
     };
     let mut d = decide();
@@ -291,12 +291,12 @@
 fn mark_comes_back_from_its_number() {
     for convicted in [false, true] {
         for crash in [0, 1, u64::MAX >> 1] {
-            let mark = Mark {
-                print: u64::MAX - 3,
+            let mark = CrashReport {
+                fingerprint: u64::MAX - 3,
                 convicted,
                 crash,
             };
-            assert_eq!(Mark::decode(mark.encode()), mark);
+            assert_eq!(CrashReport::decode(mark.encode()), mark);
         }
     }
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Team limits and the configuration's feature tables, as an entry and a sidecar follow them.
 
 use daemon::entry::limits::{Limits, Sent};
-use daemon::tune::Tuning;
+use daemon::policy_configs::PolicyConfigs;
 use model::{Class, Micros};
 use rules::{Limits as Allowed, RuleSet};
 
@@ -88,7 +88,7 @@
         [health]\nslow = 4\nsamples = 5\nejected = \"10%\"\nout = \"1s\"\nlongest = \"9s\"\ntrials = 2\n\
         [quarantine]\nstrikes = 2\nlasts = \"60s\"\nkept = 8\n";
     let rules = RuleSet::compile(text).expect("no faults");
-    let t = Tuning::from(rules.config());
+    let t = PolicyConfigs::from(rules.config());
     let secs = Micros::from_secs;
     assert_eq!(t.place.probes, 3);
     assert_eq!(t.reserve.hold, Micros::from_millis(70));
@@ -117,7 +117,7 @@
 /// the old one. Every process would then follow the old one, whatever was measured.
 #[test]
 fn defaults_of_the_tables_are_the_modules_own() {
-    let t = Tuning::from(&rules::Config::default());
+    let t = PolicyConfigs::from(&rules::Config::default());
     let own = [
         format!("{:?}", policy::probe_placement::Config::default()),
         format!("{:?}", policy::reserve::Config::default()),
