--- a/crates/daemon/src/entry/admin.rs
+++ b/crates/daemon/src/entry/admin.rs
@@ -1,7 +1,7 @@
-//! Operators' HTTP of an entry: the configuration and the fleet's state.
+//! HTTP interface of an entry for operators: configuration and state of the fleet.
 //!
-//! Every call but health and metrics needs the operators' key. Answers are JSON; errors have the
-//! shape `{"error":{"code":…}}`.
+//! All paths except health and metrics need the operator key. Responses are JSON; errors have the
+//! form `{"error":{"code":…}}`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,9 +23,10 @@
 use crate::entry::Context;
 use crate::membership::{Command, Status};
 
-/// How often it is looked whether the members are known, and how long between.
-const JOIN_LOOKS: u32 = 50;
-const JOIN_LOOK: Duration = Duration::from_millis(100);
+/// Maximum number of checks whether the members are known.
+const JOIN_CHECKS: u32 = 50;
+/// Time between two of these checks.
+const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Deserialize)]
 struct ChangeBody {
@@ -37,27 +38,27 @@
     author: String,
 }
 
-/// The operators' interface.
+/// Router with health, metrics and the calls of operators.
 pub fn router(cx: &Arc<Context>) -> Router {
     let call = |operation| {
         let cx = Arc::clone(cx);
-        move |r: Request| guard(Arc::clone(&cx), r, operation)
+        move |r: Request| authorized(Arc::clone(&cx), r, operation)
     };
-    let own = Arc::clone(cx);
-    crate::admin::router(move || ready(&own))
+    let health_cx = Arc::clone(cx);
+    crate::admin::router(move || ready(&health_cx))
         .put("/admin/configuration", call(Operation::Apply))
         .get("/admin/configuration", call(Operation::Show))
         .get("/admin/history", call(Operation::History))
         .get("/admin/status", call(Operation::Status))
 }
 
-/// Whether the balancer may send requests here.
+/// Whether the load balancer may send requests to this entry.
 pub fn ready(cx: &Context) -> bool {
     let view = cx.view.load();
     cx.stop.is_ready() && view.joined && view.rules.is_some()
 }
 
-/// What an operator asks.
+/// A call of an operator.
 #[derive(Clone, Copy)]
 enum Operation {
     Apply,
@@ -66,9 +67,13 @@
     Status,
 }
 
-/// Does what an operator asks; refuses whoever is none.
-async fn guard(cx: Arc<Context>, mut req: Request, operation: Operation) -> viz::Result<Response> {
-    if !allowed(&cx, &req) {
+/// Runs a call if it has the operator key.
+async fn authorized(
+    cx: Arc<Context>,
+    mut req: Request,
+    operation: Operation,
+) -> viz::Result<Response> {
+    if !has_operator_key(&cx, &req) {
         return Ok(error(401, "unauthorized", json!({})));
     }
     Ok(match operation {
@@ -82,16 +87,17 @@
     })
 }
 
-fn allowed(cx: &Context, req: &Request) -> bool {
+fn has_operator_key(cx: &Context, req: &Request) -> bool {
     let given = req.headers().get("authorization").map(|v| v.as_bytes());
     let given = given.and_then(|v| v.strip_prefix(b"Bearer "));
     match (&cx.role.operator_key, given) {
-        // Hashes compare in constant time, whatever the lengths.
+        // Comparing hashes takes the same time for keys of any length.
         (Some(key), Some(given)) => blake3::hash(key.as_bytes()) == blake3::hash(given),
         _ => false,
     }
 }
 
+/// Checks a configuration and writes it to the platform's table.
 async fn apply(cx: &Context, body: &[u8]) -> Response {
     let change: ChangeBody = match serde_json::from_slice(body) {
         Ok(c) => c,
@@ -99,14 +105,14 @@
     };
     if let Err(faults) = RuleSet::compile(&change.text) {
         let all: Vec<_> = faults.0.iter().map(ToString::to_string).collect();
-        let more = json!({"message": faults.to_string(), "faults": all});
-        return error(400, "faults", more);
+        let details = json!({"message": faults.to_string(), "faults": all});
+        return error(400, "faults", details);
     }
     let Some(table) = &cx.table else {
         return no_platform();
     };
-    if !joined(cx).await {
-        let m = "this entry has found no other member yet";
+    if !wait_until_joined(cx).await {
+        let m = "this entry has not joined the fleet yet";
         return error(503, "not_joined", json!({"message": m}));
     }
     let text = change.text.clone();
@@ -135,20 +141,22 @@
     }
 }
 
-/// Waits until this entry knows the members. Before that its status names itself alone, and an
-/// operator would read a change as in force everywhere when nobody else has it.
-async fn joined(cx: &Context) -> bool {
-    for _ in 0..JOIN_LOOKS {
+/// Waits until this entry knows the other members; false on timeout. Until then its status lists
+/// only itself, and a change would appear to be in force everywhere although no other process has
+/// it.
+async fn wait_until_joined(cx: &Context) -> bool {
+    for _ in 0..JOIN_CHECKS {
         if cx.view.load().joined {
             return true;
         }
-        tokio::time::sleep(JOIN_LOOK).await;
+        tokio::time::sleep(JOIN_CHECK_INTERVAL).await;
     }
     false
 }
 
+/// Passes an accepted configuration to membership, which puts it in force.
 fn accepted(cx: &Context, version: u64, text: String) -> Response {
-    let _ = cx.members.send(Command::Accepted(TableRow {
+    let _ = cx.membership.send(Command::Accepted(TableRow {
         version: Version(version),
         digest: fleet::Digest::of(&text),
         text: Bytes::from(text),
@@ -156,9 +164,10 @@
     reply(200, &json!({"version": version}))
 }
 
+/// The configuration in force.
 async fn show(cx: &Context) -> Response {
     let (tx, rx) = oneshot::channel();
-    let _ = cx.members.send(Command::Text(tx));
+    let _ = cx.membership.send(Command::Configuration(tx));
     match rx.await {
         Ok(row) => reply(
             200,
@@ -169,6 +178,7 @@
     }
 }
 
+/// The current and past changes in the platform's table.
 async fn history(cx: &Context) -> Response {
     let Some(table) = &cx.table else {
         return no_platform();
@@ -188,9 +198,10 @@
     }
 }
 
+/// The version that each member has.
 async fn status(cx: &Context) -> Response {
     let (tx, rx) = oneshot::channel();
-    let _ = cx.members.send(Command::Status(tx));
+    let _ = cx.membership.send(Command::Status(tx));
     match rx.await {
         Ok(s) => reply(200, &status_body(&s)),
         Err(_) => error(503, "draining", json!({})),
@@ -198,7 +209,7 @@
 }
 
 fn status_body(s: &Status) -> Value {
-    let lagging = |m: &Member| s.force.lagging.iter().find(|l| l.id == m.id);
+    let lagging = |m: &Member| s.in_force.lagging.iter().find(|l| l.id == m.id);
     let members: Vec<_> = s
         .members
         .iter()
@@ -233,16 +244,16 @@
 }
 
 fn no_platform() -> Response {
-    let m = "no platform is set";
+    let m = "no platform is configured";
     error(503, "platform_down", json!({"message": m}))
 }
 
-fn error(status: u16, code: &str, more: Value) -> Response {
-    let mut inner = json!({"code": code});
-    if let (Value::Object(inner), Value::Object(more)) = (&mut inner, more) {
-        inner.extend(more);
+fn error(status: u16, code: &str, details: Value) -> Response {
+    let mut body = json!({"code": code});
+    if let (Value::Object(body), Value::Object(details)) = (&mut body, details) {
+        body.extend(details);
     }
-    reply(status, &json!({"error": inner}))
+    reply(status, &json!({"error": body}))
 }
 
 fn reply(status: u16, body: &Value) -> Response {
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt at a request: an exchange with one replica, from its first frame to its end.
 //!
-//! `exchange::Relay` decides; this module sends what it wants sent and tells it what happened. Loss
-//! of a connection doesn't end an attempt: the exchange goes on over another one. Another sidecar
-//! may already have the same request, and then the attempt joins that exchange.
+//! `exchange::Relay` decides; this module performs its actions and passes it the events. The loss
+//! of a connection doesn't end an attempt: the exchange is resumed on a new connection. If another
+//! sidecar already has the same request, the attempt joins the exchange there.
 
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
@@ -17,158 +17,164 @@
 
 use crate::clock;
 use crate::connection_pool::Connection;
+use crate::entry::answer_sink::SinkError;
 use crate::entry::drive::Drive;
-use crate::entry::frames::{event, gone};
-use crate::entry::out::OutError;
-use crate::entry::pick::Picked;
+use crate::entry::frames::{connect_failure, event};
+use crate::entry::pick::Candidate;
 use crate::meter;
 
-/// Longest silence of a sidecar, four of its heartbeats.
-const SILENCE: Duration = Duration::from_secs(2);
-/// How long after the deadline the sidecar may still say what became of the request.
-const GRACE: Duration = Duration::from_millis(30);
+/// Longest silence of a sidecar: four of its heartbeats.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after the deadline in which the sidecar can still report the outcome of the request.
+const DEADLINE_GRACE: Duration = Duration::from_millis(30);
 
-/// How an attempt ended, seen from the request.
-pub(super) enum Ended {
-    /// The caller has its answer or knows why not.
-    Over,
-    /// Try another replica.
-    Elsewhere { delivered: u64, failure: Failure },
+/// How an attempt ended.
+pub(super) enum AttemptEnd {
+    /// The request is complete: the caller has its answer or an error.
+    Finished,
+    /// The request may be sent to another replica.
+    RetryElsewhere { delivered: u64, failure: Failure },
 }
 
-/// Why an attempt is broken off.
-pub(super) enum Stop {
-    /// The caller went away.
-    Gone,
+/// Why an attempt is aborted.
+pub(super) enum Abort {
+    /// The caller disconnected.
+    CallerGone,
     /// The deadline passed.
-    Late,
+    DeadlinePassed,
 }
 
-/// The exchange that is under way.
-struct Current {
-    /// The sidecar's address.
+/// The exchange of the current attempt.
+struct CurrentExchange {
+    /// Address of the sidecar.
     address: SocketAddr,
-    /// The sidecar's life, as far as known.
-    life: u64,
-    /// What names the exchange.
+    /// Incarnation of the sidecar; 0 if unknown.
+    incarnation: u64,
+    /// Token that identifies the exchange.
     token: Bytes,
-    /// The connection, while there is one.
-    link: Option<Connection>,
+    /// Connection to the sidecar, if any.
+    connection: Option<Connection>,
 }
 
-/// What an action leads to: the end of the attempt, or an event if one is known already.
-type Step = ControlFlow<Ended, Option<Event>>;
+/// Result of an action: the end of the attempt, or the next event if it is known already.
+type Step = ControlFlow<AttemptEnd, Option<Event>>;
 
 impl Drive {
-    /// Makes an attempt at a replica; what the caller has of the answer isn't sent again.
-    pub(super) async fn attempt(&mut self, p: Picked, delivered: u64) -> Ended {
-        self.note(&p);
-        let mut at = Current::new(&p);
-        let mut known = self.begin_exchange(&mut at, p.probe, delivered).await;
+    /// Makes an attempt at a replica. The first `delivered` events of the answer, which the caller
+    /// has already, aren't sent again.
+    pub(super) async fn attempt(&mut self, candidate: Candidate, delivered: u64) -> AttemptEnd {
+        self.record_attempt(&candidate);
+        let mut ex = CurrentExchange::new(&candidate);
+        let mut known = self
+            .begin_exchange(&mut ex, candidate.probe_id, delivered)
+            .await;
         loop {
             let event = match known.take() {
                 Some(e) => Ok(e),
-                None => self.next(&mut at).await,
+                None => self.next(&mut ex).await,
             };
             let action = match event {
                 Ok(e) => self.relay.step(e),
-                Err(stop) => {
-                    at.cancel().await;
-                    self.stop(stop).await;
-                    return Ended::Over;
+                Err(reason) => {
+                    ex.cancel().await;
+                    self.abort(reason).await;
+                    return AttemptEnd::Finished;
                 }
             };
-            match self.act(action, &mut at).await {
+            match self.perform(action, &mut ex).await {
                 ControlFlow::Continue(event) => known = event,
-                ControlFlow::Break(ended) => return ended,
+                ControlFlow::Break(end) => return end,
             }
         }
     }
 
-    /// Remembers the attempt, who gets the prompt, and that a slow target is on trial.
-    fn note(&mut self, p: &Picked) {
-        self.tried.push(p.target);
+    /// Records the start of an attempt, the replica that gets the prompt, and that a slow target
+    /// is on trial.
+    fn record_attempt(&mut self, candidate: &Candidate) {
+        self.tried.push(candidate.target);
         self.attempt += 1;
         metrics::counter!(meter::ATTEMPTS).increment(1);
-        self.cost = p.cost;
-        self.sent = Instant::now();
-        self.at = Some(p.target);
+        self.estimate = candidate.estimate;
+        self.attempt_started = Instant::now();
+        self.current = Some(candidate.target);
         let mut memory = self.cx.memory.lock();
-        memory.recent.record_use(&self.job.want.chain, p.target);
-        if memory.health.usable(clock::now(), p.target) == health::Use::Trial {
-            memory.health.start_trial(clock::now(), p.target);
+        memory
+            .recent
+            .record_use(&self.job.criteria.chain, candidate.target);
+        if memory.health.usable(clock::now(), candidate.target) == health::Use::Trial {
+            memory.health.start_trial(clock::now(), candidate.target);
         }
     }
 
-    /// Connects and sends the request.
+    /// Connects to the sidecar and sends the request.
     async fn begin_exchange(
         &mut self,
-        at: &mut Current,
+        ex: &mut CurrentExchange,
         probe: u64,
         delivered: u64,
     ) -> Option<Event> {
-        let open = self.open(at, probe, delivered);
-        at.link = self.cx.links.take(at.address).await.ok();
-        let Some(link) = &mut at.link else {
+        let open = self.open(ex, probe, delivered);
+        ex.connection = self.cx.connections.take(ex.address).await.ok();
+        let Some(connection) = &mut ex.connection else {
             return Some(Event::Unsent);
         };
-        self.opened = true;
-        let sent = link.tx.send(open).await;
+        self.maybe_sent = true;
+        let sent = connection.tx.send(open).await;
         sent.err().map(|_| Event::Lost)
     }
 
-    /// The request as this attempt sends it.
-    fn open(&self, at: &Current, probe: u64, delivered: u64) -> Open {
+    /// The frame that sends the request to the sidecar.
+    fn open(&self, ex: &CurrentExchange, probe: u64, delivered: u64) -> Open {
         let j = &self.job;
         let (body, output) = j.body(delivered);
         Open {
-            token: at.token.clone(),
+            token: ex.token.clone(),
             request: j.id.as_str().to_owned(),
             attempt: self.attempt,
-            incarnation: at.life,
-            team: j.want.team.clone(),
+            incarnation: ex.incarnation,
+            team: j.criteria.team.clone(),
             share: j.share,
-            class: j.want.class.index() as u32,
+            class: j.criteria.class.index() as u32,
             deadline: self.deadline().duration_since(Instant::now()).as_millis() as u64,
             idempotent: j.idempotent,
-            key: j.key.clone(),
+            key: j.idempotency_key.clone(),
             method: j.method.clone(),
             path: j.path.clone(),
             headers: j.headers.clone(),
             body,
             scope: j.scope.clone(),
-            chain: j.want.chain.iter().map(|h| h.0).collect(),
+            chain: j.criteria.chain.iter().map(|h| h.0).collect(),
             delivered,
-            fingerprint: j.want.fingerprint,
+            fingerprint: j.criteria.fingerprint,
             trace: self.hop.to_string(),
-            stream: self.out.is_stream(),
+            stream: self.sink.is_stream(),
             output,
-            strikes: self.strikes(),
+            strikes: self.crash_count(),
             probe,
-            crashes: self.named_crashes(),
+            crashes: self.crash_ids(),
         }
     }
 
-    /// The next thing that happens to the exchange.
-    async fn next(&mut self, at: &mut Current) -> Result<Event, Stop> {
-        let Some(link) = &mut at.link else {
+    /// Waits for the next event of the exchange.
+    async fn next(&mut self, ex: &mut CurrentExchange) -> Result<Event, Abort> {
+        let Some(connection) = &mut ex.connection else {
             return Ok(Event::Lost);
         };
-        // A stream that has begun may outlast the deadline.
-        let until = self.job.deadline + GRACE;
+        // A stream that has started may continue after the deadline.
+        let until = self.job.deadline + DEADLINE_GRACE;
         loop {
-            let started = self.out.is_started();
+            let started = self.sink.is_started();
             let body = tokio::select! {
                 biased;
-                () = self.out.closed() => return Err(Stop::Gone),
-                b = timeout(SILENCE, link.rx.next()) => b,
-                () = sleep_until(until), if !started => return Err(Stop::Late),
+                () = self.sink.closed() => return Err(Abort::CallerGone),
+                b = timeout(SILENCE_TIMEOUT, connection.rx.next()) => b,
+                () = sleep_until(until), if !started => return Err(Abort::DeadlinePassed),
             };
             match body {
                 Err(_) | Ok(Err(_)) => return Ok(Event::Lost),
                 Ok(Ok(Body::Beat(_))) => {}
-                Ok(Ok(Body::Accepted(a))) if a.token == at.token => at.life = a.incarnation,
-                Ok(Ok(Body::Head(h))) => self.out.head(h),
+                Ok(Ok(Body::Accepted(a))) if a.token == ex.token => ex.incarnation = a.incarnation,
+                Ok(Ok(Body::Head(h))) => self.sink.head(h),
                 Ok(Ok(Body::Fail(f))) => {
                     self.crashes.extend((f.crash != 0).then_some(f.crash));
                     return Ok(event(f.into()));
@@ -178,138 +184,138 @@
         }
     }
 
-    /// Does what the relay wants done.
-    async fn act(&mut self, action: Action, at: &mut Current) -> Step {
+    /// Performs an action of the relay.
+    async fn perform(&mut self, action: Action, ex: &mut CurrentExchange) -> Step {
         match action {
             Action::Wait => ControlFlow::Continue(None),
-            Action::Deliver(data) => self.deliver(data, at).await,
+            Action::Deliver(data) => self.deliver(data, ex).await,
             Action::Resume { next, pause } => {
                 sleep(pause.into()).await;
-                ControlFlow::Continue(self.resume(at, next).await)
+                ControlFlow::Continue(self.resume(ex, next).await)
             }
-            Action::Join(owner) => ControlFlow::Continue(self.join(owner, at).await),
+            Action::Join(owner) => ControlFlow::Continue(self.join(owner, ex).await),
             Action::RetryElsewhere { delivered, failure } => {
                 if failure.outcome == Outcome::Unknown {
-                    self.measured(true);
+                    self.record_health(true);
                 }
-                ControlFlow::Break(Ended::Elsewhere { delivered, failure })
+                ControlFlow::Break(AttemptEnd::RetryElsewhere { delivered, failure })
             }
             Action::Finish => {
-                self.confirm(at, true).await;
-                self.give_back(at);
-                self.out.finish();
-                ControlFlow::Break(Ended::Over)
+                self.confirm(ex, true).await;
+                self.put_back(ex);
+                self.sink.finish();
+                ControlFlow::Break(AttemptEnd::Finished)
             }
             Action::Fail(failure) => {
-                self.give(failure).await;
-                ControlFlow::Break(Ended::Over)
+                self.fail(failure).await;
+                ControlFlow::Break(AttemptEnd::Finished)
             }
         }
     }
 
-    /// Hands a piece of the answer to the caller, and confirms it.
-    async fn deliver(&mut self, data: Bytes, at: &mut Current) -> Step {
-        if self.relay.next() == 1 && self.out.is_stream() {
-            meter::first(self.job.want.class, self.begun.elapsed());
-            self.measured(false);
+    /// Passes a chunk of the answer to the caller and confirms it to the sidecar.
+    async fn deliver(&mut self, data: Bytes, ex: &mut CurrentExchange) -> Step {
+        if self.relay.next() == 1 && self.sink.is_stream() {
+            meter::record_first_event(self.job.criteria.class, self.received_at.elapsed());
+            self.record_health(false);
         }
-        match self.out.data(data).await {
+        match self.sink.data(data).await {
             Ok(()) => {}
             Err(e) => {
-                at.cancel().await;
+                ex.cancel().await;
                 self.undelivered(e).await;
-                return ControlFlow::Break(Ended::Over);
+                return ControlFlow::Break(AttemptEnd::Finished);
             }
         }
-        self.confirm(at, false).await;
+        self.confirm(ex, false).await;
         ControlFlow::Continue(None)
     }
 
-    /// Ends a request whose answer can't go on to its caller, although its target ran it.
-    async fn undelivered(&mut self, e: OutError) {
-        if e == OutError::Large {
+    /// Ends a request whose answer can't be delivered, although its target ran it.
+    async fn undelivered(&mut self, e: SinkError) {
+        if e == SinkError::TooLarge {
             let failure = Failure {
                 code: Code::BadAnswer,
                 outcome: Outcome::Unknown,
                 retry: None,
             };
-            self.give(failure).await;
+            self.fail(failure).await;
         }
     }
 
-    /// Goes on with an exchange on a new connection.
-    async fn resume(&self, at: &mut Current, next: u64) -> Option<Event> {
+    /// Resumes an exchange on a new connection.
+    async fn resume(&self, ex: &mut CurrentExchange, next: u64) -> Option<Event> {
         metrics::counter!(meter::RESUMES).increment(1);
-        at.link = None;
+        ex.connection = None;
         let resume = Resume {
-            token: at.token.clone(),
+            token: ex.token.clone(),
             next,
-            incarnation: at.life,
+            incarnation: ex.incarnation,
         };
-        let mut link = match self.cx.links.connect(at.address).await {
-            Ok(l) => l,
-            Err(e) => return Some(gone(&e)),
+        let mut connection = match self.cx.connections.connect(ex.address).await {
+            Ok(c) => c,
+            Err(e) => return Some(connect_failure(&e)),
         };
-        if link.tx.send(resume).await.is_err() {
+        if connection.tx.send(resume).await.is_err() {
             return Some(Event::Lost);
         }
-        at.link = Some(link);
+        ex.connection = Some(connection);
         None
     }
 
-    /// Goes on with the exchange that already has this request, from its beginning.
-    async fn join(&self, owner: Owner, at: &mut Current) -> Option<Event> {
-        let Some(joined) = Current::joined(owner) else {
+    /// Continues with the exchange that already has this request, from its first chunk.
+    async fn join(&self, owner: Owner, ex: &mut CurrentExchange) -> Option<Event> {
+        let Some(joined) = CurrentExchange::joined(owner) else {
             return Some(Event::Claimed(None));
         };
-        self.give_back(at);
-        *at = joined;
-        self.resume(at, 0).await
+        self.put_back(ex);
+        *ex = joined;
+        self.resume(ex, 0).await
     }
 
-    /// Lets other requests use the connection.
-    fn give_back(&self, at: &mut Current) {
-        if let Some(l) = at.link.take() {
-            self.cx.links.put_back(at.address, l);
+    /// Returns the connection to the pool.
+    fn put_back(&self, ex: &mut CurrentExchange) {
+        if let Some(c) = ex.connection.take() {
+            self.cx.connections.put_back(ex.address, c);
         }
     }
 
-    /// Tells the sidecar how much of the answer arrived, if that is due.
-    async fn confirm(&mut self, at: &mut Current, last: bool) {
+    /// Confirms the received chunks to the sidecar, if a confirmation is due or `last` is set.
+    async fn confirm(&mut self, ex: &mut CurrentExchange, last: bool) {
         let due = self.relay.confirm();
         let next = if last { Some(self.relay.next()) } else { due };
-        if let (Some(next), Some(l)) = (next, &mut at.link) {
-            let _ = l.tx.send(Ack { next }).await;
+        if let (Some(next), Some(c)) = (next, &mut ex.connection) {
+            let _ = c.tx.send(Ack { next }).await;
         }
     }
 }
 
-impl Current {
+impl CurrentExchange {
     /// A new exchange with a replica, not connected yet.
-    fn new(p: &Picked) -> Self {
+    fn new(candidate: &Candidate) -> Self {
         Self {
-            address: p.address,
-            life: p.life,
+            address: candidate.address,
+            incarnation: candidate.incarnation,
             token: Bytes::copy_from_slice(&rand::random::<[u8; 16]>()),
-            link: None,
+            connection: None,
         }
     }
 
-    /// An exchange that another sidecar told of, unless its address makes no sense.
+    /// The exchange of an earlier attempt; none if its address is malformed.
     fn joined(o: Owner) -> Option<Self> {
         let address = o.address.parse().ok()?;
         Some(Self {
             address,
-            life: o.incarnation,
+            incarnation: o.incarnation,
             token: o.token,
-            link: None,
+            connection: None,
         })
     }
 
-    /// Tells the sidecar that nobody wants the answer; its connection isn't used again.
+    /// Cancels the exchange; its connection isn't used again.
     async fn cancel(&mut self) {
-        if let Some(mut l) = self.link.take() {
-            let _ = l.tx.send(Cancel {}).await;
+        if let Some(mut c) = self.connection.take() {
+            let _ = c.tx.send(Cancel {}).await;
         }
     }
 }
--- a/crates/daemon/src/entry/baseline.rs
+++ b/crates/daemon/src/entry/baseline.rs
@@ -1,5 +1,6 @@
-//! Other ways to choose a replica, for measurements beside the project's own: by the least wait, in
-//! turn, and by hash of the prompt's opening. They heed neither health nor who holds which prefix.
+//! Baseline policies that placement by probes is compared with: least wait, round robin, and
+//! consistent hashing of the start of the prompt. They consider neither the health of targets nor
+//! which replica holds which prefix.
 
 use exchange::Failure;
 use model::{BlockHash, Code};
@@ -7,46 +8,49 @@
 use prefix::rank;
 use wire::Offer;
 
-use crate::entry::pick::{failure, marks, probe, unprobed_all, Picked, PAUSE};
-use crate::entry::probe::Wanted;
+use crate::entry::pick::{marks, not_run, probe, without_offers, Candidate, RETRY_AFTER};
+use crate::entry::probe::Criteria;
 use crate::entry::Context;
 use crate::view::View;
 
-/// Blocks by which the consistent-hash baseline places a prompt: its first 256 tokens.
-const OPENING: usize = 16;
+/// Number of blocks that consistent hashing uses: the first 256 tokens of a prompt.
+const HASHED_BLOCKS: usize = 16;
 
-/// The baseline by waits: all are probed, the least wait comes first.
+/// Probes all targets and prefers the one with the least wait.
 pub(super) async fn least_loaded(
     cx: &Context,
     view: &View,
-    want: &Wanted,
+    criteria: &Criteria,
     peers: &[Peer],
-) -> Result<Vec<Picked>, Failure> {
-    let asked: Vec<_> = peers.iter().map(|p| p.target).collect();
-    let mut offers = probe(cx, view, want, &marks(cx, want), &asked).await;
+) -> Result<Vec<Candidate>, Failure> {
+    let targets: Vec<_> = peers.iter().map(|p| p.target).collect();
+    let mut offers = probe(cx, view, criteria, &marks(cx, criteria), &targets).await;
     let serves = |o: &Offer| o.state() == wire::State::Serving;
     offers.retain(|(_, o)| o.as_ref().is_some_and(serves));
     offers.sort_by_key(|(_, o)| o.as_ref().map_or(u64::MAX, |o| o.wait));
     if offers.is_empty() {
-        return Err(failure(Code::Overloaded, Some(PAUSE)));
+        return Err(not_run(Code::Overloaded, Some(RETRY_AFTER)));
     }
-    Ok(unprobed_all(view, offers.into_iter().map(|(t, _)| t)))
+    Ok(without_offers(view, offers.into_iter().map(|(t, _)| t)))
 }
 
-/// The baseline in turn.
-pub(super) fn turns(cx: &Context, view: &View, peers: &[Peer]) -> Vec<Picked> {
+/// Uses all targets in rotation.
+pub(super) fn round_robin(cx: &Context, view: &View, peers: &[Peer]) -> Vec<Candidate> {
     let mut m = cx.memory.lock();
-    m.turn += 1;
-    let first = m.turn % peers.len();
+    m.round_robin += 1;
+    let first = m.round_robin % peers.len();
     let order = peers[first..].iter().chain(&peers[..first]);
-    unprobed_all(view, order.map(|p| p.target))
+    without_offers(view, order.map(|p| p.target))
 }
 
-/// The baseline by hash of the prompt's opening.
-pub(super) fn hashed(view: &View, want: &Wanted, peers: &[Peer]) -> Vec<Picked> {
-    let opening = want.chain.get(OPENING - 1).or(want.chain.last());
-    let key = opening.copied().unwrap_or(BlockHash(want.fingerprint));
+/// Orders targets by a hash of the start of the prompt.
+pub(super) fn consistent_hash(view: &View, criteria: &Criteria, peers: &[Peer]) -> Vec<Candidate> {
+    let block = criteria
+        .chain
+        .get(HASHED_BLOCKS - 1)
+        .or(criteria.chain.last());
+    let key = block.copied().unwrap_or(BlockHash(criteria.fingerprint));
     let mut order: Vec<_> = peers.iter().map(|p| (rank(key, p.id), p.target)).collect();
     order.sort_unstable_by_key(|(weight, _)| std::cmp::Reverse(*weight));
-    unprobed_all(view, order.into_iter().map(|(_, t)| t))
+    without_offers(view, order.into_iter().map(|(_, t)| t))
 }
--- a/crates/daemon/src/entry/drive.rs
+++ b/crates/daemon/src/entry/drive.rs
@@ -1,7 +1,8 @@
 //! Drives one request to its end: attempts at one replica after another, then the answer.
 //!
-//! [`crate::entry::attempt`] has the exchange with one replica. Here is what outlives it: which
-//! replicas were tried, whether another attempt may be made, and what the caller is told if not.
+//! [`crate::entry::attempt`] has the exchange with one replica. This module has what spans several
+//! attempts: which replicas were tried, whether another attempt is allowed, and the error that the
+//! caller gets if none is.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,47 +18,47 @@
 
 use crate::clock;
 use crate::crash_report::{self, CrashReport};
-use crate::entry::answer::Problem;
-use crate::entry::attempt::{Ended, Stop};
+use crate::entry::answer_sink::{Answer, AnswerSink};
+use crate::entry::attempt::{Abort, AttemptEnd};
 use crate::entry::job::Job;
-use crate::entry::out::{Answer, Out};
-use crate::entry::pick::{pick, Picked, Told};
-use crate::entry::stop::Taken;
+use crate::entry::pick::{pick, Candidate, OfferEstimate};
+use crate::entry::problem::Problem;
+use crate::entry::stop::ActiveRequest;
 use crate::entry::Context;
 use crate::log;
 use crate::{hop, membership, trace};
 
-/// Attempts at a request that planned stops send from one sidecar to the next.
-const DRAINED: u32 = 8;
-/// Targets that may die under one request. Membership tells the fleet of each crash a little
-/// later than an attempt elsewhere begins, so that the entry counts, too.
-const CRASHES: u32 = 2;
-/// How long a stream that has begun may wait for its turn at another replica; a reader takes a
-/// longer pause for the end.
-const RESUME: Duration = Duration::from_secs(10);
+/// Maximum number of attempts at a request that sidecars return because they stop.
+const MAX_DRAIN_ATTEMPTS: u32 = 8;
+/// Number of crashes of targets after which a request gets no further attempt. The entry counts
+/// them itself, since a crash report reaches the fleet only after the next attempt has started.
+const MAX_CRASHES: u32 = 2;
+/// How long a stream that has started may wait in the queue of another replica. The caller would
+/// take a longer pause for the end.
+const CONTINUE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs a job; the answer comes through `out`.
+/// Runs a job and sends the answer through `out`.
 pub async fn drive(cx: Arc<Context>, job: Job, out: oneshot::Sender<Answer>) {
     let stream = job.is_stream();
-    let out = Out::new(out, stream);
+    let sink = AnswerSink::new(out, stream);
     let relay = Relay::new(job.idempotent, stream);
-    let _taken = Taken::new(&cx);
+    let _active = ActiveRequest::new(&cx);
     let hop = job.trace.child();
     let span = hop!("entry", job.trace, hop, request = job.id);
     Drive {
         cx,
         job,
         relay,
-        out,
+        sink,
         tried: Vec::new(),
         attempt: 0,
-        opened: false,
-        suspect: false,
+        maybe_sent: false,
+        known_suspect: false,
         crashes: Vec::new(),
-        cost: None,
-        begun: Instant::now(),
-        sent: Instant::now(),
-        at: None,
+        estimate: None,
+        received_at: Instant::now(),
+        attempt_started: Instant::now(),
+        current: None,
         hop,
     }
     .run()
@@ -65,87 +66,87 @@
     .await;
 }
 
-/// A request under way.
+/// State of a request in progress.
 pub(super) struct Drive {
     pub(super) cx: Arc<Context>,
     pub(super) job: Job,
-    /// What became of the answer so far, over all attempts.
+    /// State of the answer over all attempts.
     pub(super) relay: Relay,
-    pub(super) out: Out,
-    /// Replicas that had an attempt.
+    pub(super) sink: AnswerSink,
+    /// Targets that had an attempt.
     pub(super) tried: Vec<model::TargetKey>,
-    /// Attempts made.
+    /// Number of attempts made.
     pub(super) attempt: u32,
-    /// Whether any replica may have got the request.
-    pub(super) opened: bool,
-    /// Another process found that a target died under this request.
-    suspect: bool,
-    /// Names of the crashes under this request.
+    /// Whether a sidecar may have received the request.
+    pub(super) maybe_sent: bool,
+    /// Whether the request was a suspect when it arrived: a target crashed while it ran.
+    known_suspect: bool,
+    /// Ids of the crashes during this request's attempts.
     pub(super) crashes: Vec<u64>,
-    /// What the current replica told.
-    pub(super) cost: Option<Told>,
-    /// When the request came.
-    pub(super) begun: Instant,
-    /// When the current attempt began.
-    pub(super) sent: Instant,
-    /// The replica of the current attempt.
-    pub(super) at: Option<model::TargetKey>,
-    /// The span of the whole request.
+    /// Estimate in the current replica's offer.
+    pub(super) estimate: Option<OfferEstimate>,
+    /// When the request arrived.
+    pub(super) received_at: Instant,
+    /// When the current attempt started.
+    pub(super) attempt_started: Instant,
+    /// Target of the current attempt.
+    pub(super) current: Option<model::TargetKey>,
+    /// Span of the whole request.
     pub(super) hop: trace::Context,
 }
 
 impl Drive {
-    /// Tries one replica after another.
+    /// Makes attempts at one replica after another until the request is complete.
     async fn run(mut self) {
-        if let Some(failure) = self.begin() {
-            return self.give(failure).await;
+        if let Some(failure) = self.admit() {
+            return self.fail(failure).await;
         }
         let mut delivered = 0;
-        let mut failure = none();
+        let mut failure = no_replica();
         loop {
-            let p = match self.pick().await {
-                Ok(Some(p)) => p,
+            let candidate = match self.pick().await {
+                Ok(Some(c)) => c,
                 Err(f) if f.code == Code::Quarantined => {
-                    return self.give(convicted(&failure)).await
+                    return self.fail(quarantined(&failure)).await
                 }
-                // What happened before says more than that nobody is left.
-                Err(f) if self.attempt == 0 => return self.give(f).await,
+                // After an attempt, its failure says more than the lack of another replica.
+                Err(f) if self.attempt == 0 => return self.fail(f).await,
                 Ok(None) | Err(_) => break,
             };
-            match self.attempt(p, delivered).await {
-                Ended::Over => return,
-                Ended::Elsewhere {
+            match self.attempt(candidate, delivered).await {
+                AttemptEnd::Finished => return,
+                AttemptEnd::RetryElsewhere {
                     delivered: d,
                     failure: f,
                 } => {
                     delivered = d;
                     failure = f;
-                    self.out.restart();
+                    self.sink.restart();
                 }
             }
-            if !self.again(&failure) {
+            if !self.may_retry(&failure) {
                 break;
             }
         }
-        self.give(failure).await;
+        self.fail(failure).await;
     }
 
-    /// The best replica that wasn't tried yet.
-    async fn pick(&self) -> Result<Option<Picked>, Failure> {
+    /// The best replica that has had no attempt.
+    async fn pick(&self) -> Result<Option<Candidate>, Failure> {
         let view = self.cx.view.load_full();
         let probe = self.hop.child();
         let span = hop!("probe", self.hop, probe);
-        let picking = pick(&self.cx, &view, &self.job.want, &self.tried);
-        let picked = picking.instrument(span).await?;
-        Ok(picked.into_iter().next())
+        let picking = pick(&self.cx, &view, &self.job.criteria, &self.tried);
+        let candidates = picking.instrument(span).await?;
+        Ok(candidates.into_iter().next())
     }
 
-    /// Counts the request; a convicted one ends here.
-    fn begin(&mut self) -> Option<Failure> {
+    /// Counts the request for the retry budget; refuses a convicted one.
+    fn admit(&mut self) -> Option<Failure> {
         let mut memory = self.cx.memory.lock();
         memory.budget.record_first_attempt();
-        let verdict = memory.verdict(clock::now(), self.job.want.fingerprint);
-        self.suspect = verdict == Verdict::Suspect;
+        let verdict = memory.verdict(clock::now(), self.job.criteria.fingerprint);
+        self.known_suspect = verdict == Verdict::Suspect;
         (verdict == Verdict::Convicted).then_some(Failure {
             code: Code::Quarantined,
             outcome: Outcome::NotRun,
@@ -153,30 +154,30 @@
         })
     }
 
-    /// Targets that died under this request, as far as this entry knows.
-    pub(super) fn strikes(&self) -> u32 {
-        self.relay.crashes() + u32::from(self.suspect)
+    /// Number of targets that crashed while they ran this request, as far as this entry knows.
+    pub(super) fn crash_count(&self) -> u32 {
+        self.relay.crashes() + u32::from(self.known_suspect)
     }
 
-    /// Names of the crashes that are held against this request, as far as this entry knows.
-    pub(super) fn named_crashes(&self) -> Vec<u64> {
+    /// Ids of the crashes recorded for this request, as far as this entry knows.
+    pub(super) fn crash_ids(&self) -> Vec<u64> {
         let memory = self.cx.memory.lock();
-        let mut names = memory.crashes(clock::now(), self.job.want.fingerprint);
+        let mut ids = memory.crash_ids(clock::now(), self.job.criteria.fingerprint);
         drop(memory);
-        names.extend(&self.crashes);
-        names.sort_unstable();
-        names.dedup();
-        names
+        ids.extend(&self.crashes);
+        ids.sort_unstable();
+        ids.dedup();
+        ids
     }
 
     /// Whether another attempt may be made after this failure.
-    fn again(&mut self, failure: &Failure) -> bool {
-        if self.strikes() >= CRASHES {
+    fn may_retry(&mut self, failure: &Failure) -> bool {
+        if self.crash_count() >= MAX_CRASHES {
             return false;
         }
         if failure.code == Code::Draining {
-            // A planned stop is no failure: its requests go elsewhere whatever the budget says.
-            return self.attempt < DRAINED;
+            // A planned stop isn't a failure, so the retry budget doesn't apply to its requests.
+            return self.attempt < MAX_DRAIN_ATTEMPTS;
         }
         let now = clock::now();
         let left = self.deadline().saturating_duration_since(Instant::now());
@@ -191,24 +192,25 @@
         memory.budget.allow_retry(now, &f).is_ok()
     }
 
-    /// When an attempt is of no more use. The deadline is for the beginning of the answer; whoever
-    /// reads a stream past it would otherwise lose it with its engine.
+    /// Time until which an attempt may start its answer. The job's deadline holds only until the
+    /// answer has started: otherwise a failure of the engine would end
+    /// every stream that runs past it.
     pub(super) fn deadline(&self) -> Instant {
-        match self.out.is_started() {
-            true => Instant::now() + RESUME,
+        match self.sink.is_started() {
+            true => Instant::now() + CONTINUE_TIMEOUT,
             false => self.job.deadline,
         }
     }
 
-    /// Notes how the current replica answered, for comparison with its peers.
-    pub(super) fn measured(&self, failed: bool) {
-        let Some(target) = self.at else { return };
-        let sample = match (failed, self.cost) {
+    /// Records for the health policy how the current target answered.
+    pub(super) fn record_health(&self, failed: bool) {
+        let Some(target) = self.current else { return };
+        let sample = match (failed, self.estimate) {
             (true, _) => health::Sample::Failed,
-            (false, Some(Told { wait, expected })) => health::Sample::Answered {
+            (false, Some(OfferEstimate { wait, expected })) => health::Sample::Answered {
                 wait,
                 expected: expected.max(Micros(1)),
-                took: self.sent.elapsed().into(),
+                took: self.attempt_started.elapsed().into(),
             },
             (false, None) => return,
         };
@@ -216,82 +218,86 @@
         memory.health.record(clock::now(), target, sample);
     }
 
-    /// Ends a request whose attempt was broken off.
-    pub(super) async fn stop(&mut self, stop: Stop) {
-        if let Stop::Gone = stop {
+    /// Ends a request whose attempt was aborted.
+    pub(super) async fn abort(&mut self, reason: Abort) {
+        if let Abort::CallerGone = reason {
             spdlog::info!(logger: log::entry(), "request {} cancelled by caller", self.job.id);
             return;
         }
-        let outcome = match self.opened {
+        let outcome = match self.maybe_sent {
             true => Outcome::Unknown,
             false => Outcome::NotRun,
         };
-        let late = Failure {
+        let failure = Failure {
             code: Code::Deadline,
             outcome,
             retry: None,
         };
-        self.give(late).await;
+        self.fail(failure).await;
     }
 
-    /// Holds back the answer to a request that crashed its target. Its caller sends it again as
-    /// soon as it has one, and whoever hasn't heard of the crash by then loses one more target.
-    /// The sidecars tell the fleet; the entry does, too, if only it knows that there were two.
-    async fn warn(&self) {
-        let mark = CrashReport {
-            fingerprint: self.job.want.fingerprint,
+    /// Delays the answer to a request that crashed its target. Callers retry as soon as they have
+    /// an answer, and any process that doesn't know of the crash by then loses another target. The
+    /// sidecars report single crashes to the fleet. A conviction that only this entry can derive,
+    /// from crashes at several replicas, is reported here.
+    async fn report_crash(&self) {
+        let report = CrashReport {
+            fingerprint: self.job.criteria.fingerprint,
             convicted: true,
             crash: 0,
         };
         for _ in 0..crash_report::REPORTS {
-            if self.strikes() >= CRASHES {
+            if self.crash_count() >= MAX_CRASHES {
                 let now = clock::now();
-                // A later end makes it news again, for those whom the last round missed.
+                // A later expiry makes gossip spread the report again, to members that missed the
+                // previous one.
                 let until = now + crash_report::strike_duration();
-                self.cx.memory.lock().told(now, mark, until);
-                let fingerprint = mark.encode();
-                let news = membership::Command::Convict(fleet::Conviction { fingerprint, until });
-                let _ = self.cx.members.send(news);
+                self.cx.memory.lock().apply_report(now, report, until);
+                let fingerprint = report.encode();
+                let command =
+                    membership::Command::Convict(fleet::Conviction { fingerprint, until });
+                let _ = self.cx.membership.send(command);
             }
             sleep(crash_report::REPORT_INTERVAL).await;
         }
     }
 
-    /// Ends a request that gets no answer.
-    pub(super) async fn give(&mut self, f: Failure) {
+    /// Ends the request with an error.
+    pub(super) async fn fail(&mut self, f: Failure) {
         let crashed = self.relay.crashes() > 0;
-        let f = match crashed && self.strikes() >= CRASHES {
-            true => convicted(&f),
+        let f = match crashed && self.crash_count() >= MAX_CRASHES {
+            true => quarantined(&f),
             false => f,
         };
         if crashed {
-            self.warn().await;
+            self.report_crash().await;
         }
         let problem = Problem {
             code: f.code,
             outcome: f.outcome,
-            message: format!("no answer: {}", f.code),
+            message: format!("request failed: {}", f.code),
             retry: f.retry,
         };
         spdlog::warn!(
             logger: log::entry(),
             "request {} failed: {}, outcome {}", self.job.id, f.code, f.outcome
         );
-        self.out.fail(problem).await;
+        self.sink.fail(problem).await;
     }
 }
 
-/// The final answer to a request that crashes its targets; an earlier attempt may have run.
-fn convicted(before: &Failure) -> Failure {
+/// Error for a request that crashes its targets. The outcome is that of the last attempt, which
+/// may have run.
+fn quarantined(last: &Failure) -> Failure {
     Failure {
         code: Code::Quarantined,
-        outcome: before.outcome,
+        outcome: last.outcome,
         retry: None,
     }
 }
 
-/// What the caller is told if no replica could be tried.
-fn none() -> Failure {
+/// Error for a request for which there is no replica to try.
+fn no_replica() -> Failure {
     Failure {
         code: Code::NoTarget,
         outcome: Outcome::NotRun,
--- a/crates/daemon/src/entry/frames.rs
+++ b/crates/daemon/src/entry/frames.rs
@@ -1,10 +1,10 @@
-//! From the wire to the exchange: what a sidecar's frames and a connection's faults mean.
+//! Conversion of wire frames and connection errors into events of an exchange.
 
 use exchange::{events, Event, Failed, NotRun, Owner};
 use model::{Code, Micros};
 use wire::{Body, Refuse, WireError};
 
-/// What a frame from a sidecar means to the exchange.
+/// The event for a frame from a sidecar.
 pub fn event(body: Body) -> Event {
     match body {
         Body::Chunk(c) => {
@@ -26,32 +26,33 @@
                 incarnation: o.incarnation,
             }))
         }
-        Body::Refuse(r) => Event::Refused(heard(&r)),
+        Body::Refuse(r) => Event::Refused(refusal(&r)),
         Body::Fail(f) => Event::Failed(Failed {
             code: code(f.code),
             known: f.known,
             crashed: f.crashed,
         }),
-        // Nothing else belongs here; a peer that sends it can't be trusted with the rest.
+        // No other frame is valid here, so the rest of the connection can't be trusted either.
         _ => Event::Lost,
     }
 }
 
-/// A refused connection means that the process is gone; anything else may pass.
-pub fn gone(e: &WireError) -> Event {
+/// The event for a failed attempt to connect. A refused connection means that the process is gone;
+/// other errors may be transient.
+pub fn connect_failure(e: &WireError) -> Event {
     match e {
         WireError::Io(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => Event::Gone,
         _ => Event::Lost,
     }
 }
 
-/// A refusal, with its pause if it names one.
-fn heard(r: &Refuse) -> NotRun {
+/// A refusal, with the time after which to retry if the frame has one.
+fn refusal(r: &Refuse) -> NotRun {
     let retry = (r.retry > 0).then(|| Micros::from_millis(r.retry));
     NotRun::reported(code(r.code), retry)
 }
 
-/// A code by its number; peers of another version may know more codes.
+/// Code for a number. Peers of a later version may send codes that this version doesn't know.
 fn code(n: u32) -> Code {
     Code::from_number(n).unwrap_or(Code::Internal)
 }
--- a/crates/daemon/src/entry/job.rs
+++ b/crates/daemon/src/entry/job.rs
@@ -1,27 +1,27 @@
-//! A request as the rules left it: all that its attempts need, whichever replica gets them.
+//! A request after the rules have decided: what all attempts need, whichever replica they use.
 
 use bytes::Bytes;
 use model::RequestId;
 use tokio::time::Instant;
 use wire::Header;
 
-use crate::entry::ask::{Added, Completion};
-use crate::entry::probe::Wanted;
+use crate::entry::completion::{Completion, EngineFields};
+use crate::entry::probe::Criteria;
 use crate::trace;
 
-/// A request with all that the rules made of it.
+/// A request with the results of the rules.
 #[derive(Debug)]
 pub struct Job {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
     /// What the choice of a replica depends on.
-    pub want: Wanted,
-    /// Weight of its team.
+    pub criteria: Criteria,
+    /// Weight of the team in fair queueing.
     pub share: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// The caller's idempotency key.
-    pub key: String,
+    /// Key by which a repeated request is recognized; empty if the caller gave none.
+    pub idempotency_key: String,
     /// HTTP method.
     pub method: String,
     /// Path and query.
@@ -30,41 +30,41 @@
     pub headers: Vec<Header>,
     /// Body for the target.
     pub body: Payload,
-    /// Cache scope.
+    /// Cache scope: requests of different scopes share no cached prefixes.
     pub scope: String,
-    /// When the answer is of no more use.
+    /// Time by which the answer has to start.
     pub deadline: Instant,
     /// Trace context.
     pub trace: trace::Context,
 }
 
-/// What goes to the target.
+/// Body of a request.
 #[derive(Debug)]
 pub enum Payload {
-    /// Bytes as they came.
+    /// Bytes that are sent unchanged.
     Plain(Bytes),
-    /// A completion, whose body says where to go on.
+    /// A completion, to which fields for the engine are added.
     Completion(Box<Completion>),
 }
 
 impl Job {
-    /// Whether the caller wants the answer in pieces.
+    /// Whether the caller asked for a stream.
     pub fn is_stream(&self) -> bool {
         matches!(&self.body, Payload::Completion(c) if c.stream)
     }
 
-    /// The body for a target, and the most tokens it asks for. A completion goes on after the
-    /// events that the caller has already.
+    /// Body for a target, and the maximum number of output tokens; 0 if unknown. A completion
+    /// continues after the `delivered` events that the caller already has.
     pub fn body(&self, delivered: u64) -> (Bytes, u32) {
         let c = match &self.body {
             Payload::Plain(b) => return (b.clone(), 0),
             Payload::Completion(c) => c,
         };
-        let add = Added {
+        let added = EngineFields {
             scope: &self.scope,
-            class: self.want.class,
+            class: self.criteria.class,
             delivered,
         };
-        (c.render(add), c.output)
+        (c.render(added), c.max_output_tokens)
     }
 }
--- a/crates/daemon/src/entry/memory.rs
+++ b/crates/daemon/src/entry/memory.rs
@@ -1,6 +1,6 @@
-//! What an entry remembers from request to request: who holds which prefix, who is slow, how much
-//! may be retried, which requests crash targets. All of it may be lost; a restarted entry serves
-//! at once and learns it anew.
+//! What an entry remembers across requests: which replica holds which prefix, the health of
+//! targets, the retry budget, and requests that crash targets. None of it is stored. A restarted
+//! entry serves at once and collects it again.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -18,26 +18,26 @@
 use crate::entry::limits::Limits;
 use crate::policy_configs::PolicyConfigs;
 
-/// The memory of one entry.
+/// Memory of one entry.
 #[derive(Debug)]
 pub struct Memory {
-    /// Who got which prefix lately.
+    /// Replicas that got requests with a prefix lately.
     pub recent: RecentReplicas,
-    /// How each target has served.
+    /// Health of each target.
     pub health: Health,
-    /// Retries that may still be made.
+    /// Budget of retries.
     pub budget: Budget,
-    /// Suspects and convicted.
+    /// Suspect and convicted requests.
     pub quarantine: Quarantine,
-    /// The wait that each target told last.
+    /// Wait in the last offer of each target.
     pub waits: HashMap<TargetKey, Micros>,
-    /// Turns of the round-robin baseline.
-    pub turn: usize,
-    /// How replicas are chosen.
-    pub place: probe_placement::Config,
-    /// What each team has sent.
+    /// Counter of the round-robin policy.
+    pub round_robin: usize,
+    /// Settings of placement by probes.
+    pub placement: probe_placement::Config,
+    /// Usage of the rate limits.
     pub limits: Limits,
-    /// Random choices.
+    /// Generator for random choices.
     pub rng: SmallRng,
 }
 
@@ -49,8 +49,8 @@
             budget: Budget::new(retry::Config::default()),
             quarantine: Quarantine::new(quarantine::Config::default()),
             waits: HashMap::new(),
-            turn: 0,
-            place: probe_placement::Config::default(),
+            round_robin: 0,
+            placement: probe_placement::Config::default(),
             limits: Limits::default(),
             rng: SmallRng::from_os_rng(),
         }
@@ -58,21 +58,21 @@
 }
 
 impl Memory {
-    /// Follows another configuration from now on.
-    pub fn tune(&mut self, t: &PolicyConfigs) {
-        self.place = t.place;
-        self.health.set_config(t.health);
-        self.budget.set_config(t.retry);
-        self.quarantine.set_config(t.quarantine);
+    /// Applies the settings of another configuration.
+    pub fn set_configs(&mut self, c: &PolicyConfigs) {
+        self.placement = c.placement;
+        self.health.set_config(c.health);
+        self.budget.set_config(c.retry);
+        self.quarantine.set_config(c.quarantine);
     }
 
-    /// Takes over what another process found of a request.
-    pub fn told(&mut self, now: Micros, mark: CrashReport, until: Micros) {
-        crash_report::apply(&mut self.quarantine, now, mark, until);
+    /// Records the crash report of another process.
+    pub fn apply_report(&mut self, now: Micros, report: CrashReport, until: Micros) {
+        crash_report::apply(&mut self.quarantine, now, report, until);
     }
 
-    /// Names of the crashes that are held against a request.
-    pub fn crashes(&self, now: Micros, fingerprint: u64) -> Vec<u64> {
+    /// Ids of the crashes recorded for a request.
+    pub fn crash_ids(&self, now: Micros, fingerprint: u64) -> Vec<u64> {
         crash_report::crash_ids(
             &self.quarantine,
             now,
@@ -80,19 +80,19 @@
         )
     }
 
-    /// What is held against a request.
+    /// Whether a request is a suspect or convicted.
     pub fn verdict(&self, now: Micros, fingerprint: u64) -> quarantine::Verdict {
         self.quarantine
             .verdict(now, crash_report::fingerprint(fingerprint))
     }
 }
 
-/// The memory, shared by all traffic threads.
+/// Memory shared by all traffic threads.
 #[derive(Debug, Default)]
-pub struct Shared(Mutex<Memory>);
+pub struct SharedMemory(Mutex<Memory>);
 
-impl Shared {
-    /// The memory, locked; held for microseconds only.
+impl SharedMemory {
+    /// Locks the memory. Callers hold the lock for microseconds only.
     pub fn lock(&self) -> MutexGuard<'_, Memory> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -1,20 +1,23 @@
-//! The process that faces callers.
+//! The entry: the role that takes callers' requests and sends each to a sidecar.
+//!
+//! [`serve`] answers HTTP, [`prepare`] applies the rules, and [`drive`] makes attempts at the
+//! replicas that [`pick`] chooses. [`admin`] is the interface for operators.
 
 pub mod admin;
-pub mod answer;
-pub mod ask;
+pub mod answer_sink;
 mod attempt;
 mod baseline;
+mod by_probes;
+pub mod completion;
 pub mod drive;
 pub mod frames;
 pub mod job;
 pub mod limits;
 pub mod memory;
-mod ours;
-pub mod out;
 pub mod pick;
 pub mod prepare;
 pub mod probe;
+pub mod problem;
 pub mod serve;
 pub mod stop;
 
@@ -41,28 +44,28 @@
 use crate::view::SharedView;
 use crate::{clock, log, peer};
 
-/// What every request of this process shares.
+/// State that all requests of an entry share.
 #[derive(Debug)]
 pub struct Context {
-    /// The fleet as last published.
+    /// The latest snapshot of the fleet.
     pub view: SharedView,
     /// Connections to sidecars.
-    pub links: ConnectionPool,
-    /// Probes to sidecars.
-    pub probes: Arc<probe::Prober>,
-    /// What is remembered from request to request.
-    pub memory: Arc<memory::Shared>,
-    /// Settings of the role.
+    pub connections: ConnectionPool,
+    /// Sends probes to sidecars.
+    pub prober: Arc<probe::Prober>,
+    /// What the entry remembers across requests.
+    pub memory: Arc<memory::SharedMemory>,
+    /// Settings of the entry.
     pub role: Entry,
-    /// The way to membership.
-    pub members: membership::CommandSender,
-    /// The platform's table, if there is one.
+    /// Sends commands to the membership task.
+    pub membership: membership::CommandSender,
+    /// The platform's table, if a platform is configured.
     pub table: Option<Platform>,
-    /// Planned stop.
+    /// State of the shutdown.
     pub stop: stop::Stop,
 }
 
-/// Runs until told to stop and all that runs has ended.
+/// Runs an entry until it is signalled to stop and all requests have ended.
 pub fn run(settings: &Settings, role: &Entry) -> io::Result<()> {
     let start = start(settings.clone(), role.clone());
     process::traffic_runtime(settings.workers)?.block_on(start)
@@ -72,25 +75,25 @@
     let sockets = Sockets::bind(&settings, &role).await?;
     let ready = sockets.ready()?;
     let view = membership::empty_view();
-    let memory = Arc::new(memory::Shared::default());
-    let (members, asked) = mpsc::unbounded_channel();
+    let memory = Arc::new(memory::SharedMemory::default());
+    let (membership, commands) = mpsc::unbounded_channel();
     let gossip = sockets.gossip.into_std()?;
-    let thread = control(&settings, &ready, &gossip, &view, &memory, asked)?;
+    let thread = spawn_control(&settings, &ready, &gossip, &view, &memory, commands)?;
     let cx = Arc::new(Context {
         view,
-        links: ConnectionPool::new(settings.keys.clone()),
-        probes: probe::Prober::new(sockets.probes, settings.keys.clone()),
+        connections: ConnectionPool::new(settings.keys.clone()),
+        prober: probe::Prober::new(sockets.probes, settings.keys.clone()),
         memory,
         role,
-        members: members.clone(),
+        membership: membership.clone(),
         table: settings.platform.map(platform),
         stop: stop::Stop::new(drain::Config {
             notice: settings.notice.into(),
         }),
     });
-    tokio::spawn(Arc::clone(&cx.probes).listen());
+    tokio::spawn(Arc::clone(&cx.prober).listen());
     let pulls = Arc::new(peer::PullsOnly);
-    let peers = peer::listen(sockets.peer, settings.keys, members.clone(), pulls);
+    let peers = peer::listen(sockets.peer, settings.keys, membership.clone(), pulls);
     tokio::spawn(peers);
     tokio::spawn(crate::admin::serve(sockets.admin, admin::router(&cx)));
     let server = serve_callers(&cx, sockets.callers);
@@ -98,14 +101,14 @@
     spdlog::info!(logger: log::entry(), "serving callers at {:?}", ready.callers);
 
     stop_signal().await;
-    spdlog::info!(logger: log::entry(), "leaving, late requests are still served");
-    cx.stop.run(&members).await;
+    spdlog::info!(logger: log::entry(), "stopping, late requests are still accepted");
+    cx.stop.run(&membership).await;
     let _ = server.await;
-    let _ = members.send(membership::Command::Quit);
+    let _ = membership.send(membership::Command::Quit);
     process::join_control(thread).await
 }
 
-/// What the process listens on.
+/// Sockets that an entry listens on.
 struct Sockets {
     callers: TcpListener,
     admin: TcpListener,
@@ -125,7 +128,7 @@
         })
     }
 
-    /// The addresses to be told.
+    /// The addresses that the process reports once it is ready.
     fn ready(&self) -> io::Result<Ready> {
         Ok(Ready {
             callers: Some(self.callers.local_addr()?),
@@ -140,7 +143,7 @@
     Platform::new(base, Client::default())
 }
 
-/// Serves callers until the stop has closed their listener and all answers are out.
+/// Serves callers until the shutdown has closed their listener and all answers are sent.
 fn serve_callers(cx: &Arc<Context>, callers: TcpListener) -> JoinHandle<io::Result<()>> {
     let (serve, closed) = (Arc::clone(cx), Arc::clone(cx));
     let router = Router::new().any("/*", move |r: Request| serve::handle(Arc::clone(&serve), r));
@@ -149,13 +152,13 @@
 }
 
 /// Starts the control thread.
-fn control(
+fn spawn_control(
     settings: &Settings,
     ready: &Ready,
     gossip: &std::net::UdpSocket,
     view: &SharedView,
-    memory: &Arc<memory::Shared>,
-    asked: mpsc::UnboundedReceiver<membership::Command>,
+    memory: &Arc<memory::SharedMemory>,
+    commands: mpsc::UnboundedReceiver<membership::Command>,
 ) -> io::Result<thread::JoinHandle<io::Result<()>>> {
     let me = LocalMember {
         role: fleet::Role::Entry,
@@ -174,27 +177,33 @@
         run.block_on(async move {
             let gossip = UdpSocket::from_std(gossip)?;
             let shared = Arc::clone(&view);
-            let members = Membership::new(&settings, me, gossip, shared, asked)?;
-            follow(members, &view, &memory).await;
+            let membership = Membership::new(&settings, me, gossip, shared, commands)?;
+            run_membership(membership, &view, &memory).await;
             Ok(())
         })
     })
 }
 
-/// Runs membership, and tells the memory what it brings: configurations and convicted requests.
-async fn follow(mut members: Membership, view: &SharedView, memory: &memory::Shared) {
+/// Runs membership, and passes new configurations and crash reports on to the memory.
+async fn run_membership(
+    mut membership: Membership,
+    view: &SharedView,
+    memory: &memory::SharedMemory,
+) {
     let mut version = Version(0);
-    while members.run_once().await {
-        let seen = view.load();
-        if seen.version != version {
-            version = seen.version;
-            if let Some(rules) = &seen.rules {
-                memory.lock().tune(&PolicyConfigs::from(rules.config()));
+    while membership.run_once().await {
+        let current = view.load();
+        if current.version != version {
+            version = current.version;
+            if let Some(rules) = &current.rules {
+                memory
+                    .lock()
+                    .set_configs(&PolicyConfigs::from(rules.config()));
             }
         }
-        while let Some(c) = members.convicted() {
-            let mark = CrashReport::decode(c.fingerprint);
-            memory.lock().told(clock::now(), mark, c.until);
+        while let Some(c) = membership.take_conviction() {
+            let report = CrashReport::decode(c.fingerprint);
+            memory.lock().apply_report(clock::now(), report, c.until);
         }
     }
 }
--- a/crates/daemon/src/entry/pick.rs
+++ b/crates/daemon/src/entry/pick.rs
@@ -1,7 +1,7 @@
-//! Which sidecars a request is offered to, in order.
+//! Choosing the sidecars that a request is sent to, in order of preference.
 //!
-//! Here is what all ways to choose share: the targets that come into question, probes to them, and
-//! the refusal if there is none.
+//! This module has what all policies share: the usable targets of a pool, probes to their
+//! sidecars, and the refusal if there is no target.
 
 use std::net::SocketAddr;
 
@@ -15,69 +15,76 @@
 use wire::Offer;
 
 use crate::clock;
-use crate::entry::baseline::{hashed, least_loaded, turns};
-use crate::entry::ours::ours;
-use crate::entry::probe::Wanted;
+use crate::entry::baseline::{consistent_hash, least_loaded, round_robin};
+use crate::entry::by_probes::by_probes;
+use crate::entry::probe::Criteria;
 use crate::entry::Context;
 use crate::settings::Policy;
 use crate::view::View;
 
-/// When a refused caller may come back, if no sidecar says so.
-pub(super) const PAUSE: Micros = Micros::from_secs(1);
+/// Time after which a refused caller may retry, if no sidecar gives another.
+pub(super) const RETRY_AFTER: Micros = Micros::from_secs(1);
 
-/// A sidecar to offer a request to.
+/// A sidecar that a request may be sent to.
 #[derive(Clone, Debug)]
-pub struct Picked {
-    /// The target behind it.
+pub struct Candidate {
+    /// Target of the sidecar.
     pub target: TargetKey,
-    /// Its exchange address.
+    /// Address for exchanges.
     pub address: SocketAddr,
-    /// Its life, if it said so; else 0.
-    pub life: u64,
-    /// The probe that it answered; else 0.
-    pub probe: u64,
-    /// What it told, if it did.
-    pub cost: Option<Told>,
+    /// Incarnation of the sidecar, from its offer; 0 if unknown.
+    pub incarnation: u64,
+    /// Id of the probe that the sidecar answered; 0 if none.
+    pub probe_id: u64,
+    /// Expected time to the first token, if the sidecar sent an offer.
+    pub estimate: Option<OfferEstimate>,
 }
 
-/// What a sidecar told of the time to a first token.
+/// Time to the first token that a sidecar's offer promises.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
-    /// How long the request would wait for its turn.
+pub struct OfferEstimate {
+    /// Time in the target's queue.
     pub wait: Micros,
-    /// The rest of the time.
+    /// Time from the end of the queue to the first token.
     pub expected: Micros,
 }
 
-/// One target with the answer to its probe.
-pub(super) type Answered = (TargetKey, Option<Offer>);
+/// A probed target with the offer of its sidecar, if it answered.
+pub(super) type ProbeResult = (TargetKey, Option<Offer>);
 
-/// Sidecars for a request, the best first, or why there is none. Those tried before are left out.
+/// Candidates for a request, the best first, or why there is none. Targets in `tried` are
+/// omitted.
 pub async fn pick(
     cx: &Context,
     view: &View,
-    want: &Wanted,
+    criteria: &Criteria,
     tried: &[TargetKey],
-) -> Result<Vec<Picked>, Failure> {
-    let peers = peers(cx, view, want, tried);
+) -> Result<Vec<Candidate>, Failure> {
+    let peers = usable_targets(cx, view, criteria, tried);
     if peers.is_empty() {
-        return Err(failure(Code::NoTarget, Some(PAUSE)));
+        return Err(not_run(Code::NoTarget, Some(RETRY_AFTER)));
     }
     match cx.role.policy {
-        Policy::Ours => ours(cx, view, want, peers).await,
-        Policy::LeastLoaded => least_loaded(cx, view, want, &peers).await,
-        Policy::RoundRobin => Ok(turns(cx, view, &peers)),
-        Policy::ConsistentHash => Ok(hashed(view, want, &peers)),
+        Policy::ProbePlacement => by_probes(cx, view, criteria, peers).await,
+        Policy::LeastLoaded => least_loaded(cx, view, criteria, &peers).await,
+        Policy::RoundRobin => Ok(round_robin(cx, view, &peers)),
+        Policy::ConsistentHash => Ok(consistent_hash(view, criteria, &peers)),
     }
 }
 
-/// Targets of the pool that weren't tried; of these, under the project's own policy, the healthy.
-fn peers(cx: &Context, view: &View, want: &Wanted, tried: &[TargetKey]) -> Vec<Peer> {
+/// Targets of the pool that have had no attempt. Placement by probes uses the healthy ones among
+/// them only.
+fn usable_targets(
+    cx: &Context,
+    view: &View,
+    criteria: &Criteria,
+    tried: &[TargetKey],
+) -> Vec<Peer> {
     let now = clock::now();
     let memory = cx.memory.lock();
     let all: Vec<_> = view
         .world
-        .pool_targets(want.pool)
+        .pool_targets(criteria.pool)
         .filter(|(k, _)| !tried.contains(k))
         .map(|(target, t)| Peer {
             target,
@@ -85,41 +92,45 @@
             wait: memory.waits.get(&target).copied().unwrap_or_default(),
         })
         .collect();
-    if cx.role.policy != Policy::Ours {
+    if cx.role.policy != Policy::ProbePlacement {
         return all;
     }
     let usable = |p: &&Peer| memory.health.usable(now, p.target) != Use::Out;
-    let good: Vec<_> = all.iter().filter(usable).copied().collect();
+    let healthy: Vec<_> = all.iter().filter(usable).copied().collect();
     // Slow targets are better than none.
-    match good.is_empty() {
+    match healthy.is_empty() {
         true => all,
-        false => good,
+        false => healthy,
     }
 }
 
-/// The points to ask about, among them the deepest that this entry knows to be shared.
-pub(super) fn marks(cx: &Context, want: &Wanted) -> Marks {
+/// Points of the prompt that probes ask about. They include the longest prefix that this entry
+/// has seen in other requests.
+pub(super) fn marks(cx: &Context, criteria: &Criteria) -> Marks {
     let memory = cx.memory.lock();
-    let known = memory.recent.longest(&want.chain).map(|(m, _)| m.blocks);
-    Marks::with(&want.chain, known)
+    let known = memory
+        .recent
+        .longest(&criteria.chain)
+        .map(|(m, _)| m.blocks);
+    Marks::with(&criteria.chain, known)
 }
 
-/// Probes all of these at once.
+/// Probes the sidecars of these targets concurrently, and records the waits that they report.
 pub(super) async fn probe(
     cx: &Context,
     view: &View,
-    want: &Wanted,
+    criteria: &Criteria,
     marks: &Marks,
-    asked: &[TargetKey],
-) -> Vec<Answered> {
-    let asks = asked.iter().map(|t| async {
+    targets: &[TargetKey],
+) -> Vec<ProbeResult> {
+    let probes = targets.iter().map(|t| async {
         let offer = match view.world.targets.get(*t) {
-            Some(target) => cx.probes.ask(target.probe, want, marks).await,
+            Some(target) => cx.prober.probe(target.probe, criteria, marks).await,
             None => None,
         };
         (*t, offer)
     });
-    let offers = join_all(asks).await;
+    let offers = join_all(probes).await;
     let mut m = cx.memory.lock();
     for (t, o) in &offers {
         if let Some(o) = o {
@@ -129,28 +140,28 @@
     offers
 }
 
-/// Sidecars to be offered a request without a word from them.
-pub(super) fn unprobed_all(
+/// Candidates without an offer.
+pub(super) fn without_offers(
     view: &View,
     targets: impl IntoIterator<Item = TargetKey>,
-) -> Vec<Picked> {
+) -> Vec<Candidate> {
     let targets = targets.into_iter();
-    targets.filter_map(|t| unprobed(view, t)).collect()
+    targets.filter_map(|t| without_offer(view, t)).collect()
 }
 
-/// A sidecar to be offered a request without a word from it.
-pub(super) fn unprobed(view: &View, target: TargetKey) -> Option<Picked> {
+/// Candidate without an offer; none if the view has no such target.
+pub(super) fn without_offer(view: &View, target: TargetKey) -> Option<Candidate> {
     let t = view.world.targets.get(target)?;
-    Some(Picked {
+    Some(Candidate {
         target,
         address: t.exchange,
-        life: 0,
-        probe: 0,
-        cost: None,
+        incarnation: 0,
+        probe_id: 0,
+        estimate: None,
     })
 }
 
-/// One way to a target; far if it isn't known where it is.
+/// One-way network delay to a target; that between regions if the target's host is unknown.
 pub(super) fn delay(view: &View, target: TargetKey) -> Micros {
     let w = &view.world;
     let host = w.targets.get(target).and_then(|t| w.hosts.get(t.host));
@@ -159,13 +170,13 @@
     })
 }
 
-/// A refusal before any attempt.
-pub(super) fn failure(code: Code, retry: Option<Micros>) -> Failure {
-    // Spread, so that those refused together don't come back together.
-    let spread = 1.0 + rand::rng().random::<f64>() / 4.0;
+/// Failure of a request that had no attempt.
+pub(super) fn not_run(code: Code, retry: Option<Micros>) -> Failure {
+    // Random, so that callers that are refused together don't all retry at the same moment.
+    let factor = 1.0 + rand::rng().random::<f64>() / 4.0;
     Failure {
         code,
         outcome: Outcome::NotRun,
-        retry: retry.map(|t| Micros((t.0 as f64 * spread) as u64)),
+        retry: retry.map(|t| Micros((t.0 as f64 * factor) as u64)),
     }
 }
--- a/crates/daemon/src/entry/prepare.rs
+++ b/crates/daemon/src/entry/prepare.rs
@@ -1,4 +1,5 @@
-//! From a caller's HTTP request to a job: who sent it, what it asks, which rule decides.
+//! From a caller's HTTP request to a job: authentication of the team, the deciding rule, limits and
+//! headers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,53 +18,56 @@
 
 use crate::clock;
 use crate::entry;
-use crate::entry::answer::{Problem, REQUEST_ID};
-use crate::entry::ask::{self, Completion, CHAT, COMPLETIONS};
+use crate::entry::completion::{self, Completion, CHAT, COMPLETIONS};
 use crate::entry::job::{Job, Payload};
-use crate::entry::limits::Sent;
-use crate::entry::probe::Wanted;
+use crate::entry::limits::LimitedRequest;
+use crate::entry::probe::Criteria;
+use crate::entry::problem::{Problem, REQUEST_ID_HEADER};
 use crate::trace::{self, Context};
 
-/// Time to answer if neither rule nor caller says.
-const DEADLINE: Duration = Duration::from_secs(60);
-/// The caller's own limit, in milliseconds; the rule's is the most it can ask for.
+/// Time until the deadline if neither the rule nor the caller sets one.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
+/// Header with the caller's time limit in milliseconds. It can shorten the rule's limit only.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// The caller's name for a request that must not run twice.
-const KEY_HEADER: &str = "idempotency-key";
-/// Headers that stay at the entry.
-const OURS: [&str; 7] = [
+/// Header with the caller's idempotency key.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// Request headers that aren't sent to the target.
+const REMOVED_HEADERS: [&str; 7] = [
     "authorization",
     "host",
     "content-length",
     "connection",
     DEADLINE_HEADER,
-    REQUEST_ID,
+    REQUEST_ID_HEADER,
     trace::HEADER,
 ];
 
-/// A request that goes to a target, and the rule that sent it there.
+/// A request that is to be sent to a target.
 #[derive(Debug)]
 pub struct Prepared {
-    /// What is to be done.
+    /// The request.
     pub job: Job,
-    /// Name of the rule.
+    /// Name of the rule that decided.
     pub rule: String,
 }
 
-/// A request's id, and whether its caller chose it.
+/// Id of a request, and whether its caller set it.
 pub fn request_id(headers: &HeaderMap) -> Result<(RequestId, bool), Problem> {
-    let bad = |m: String| Problem::unsent(Code::BadRequest, m);
-    match headers.get(REQUEST_ID) {
+    let bad = |m: String| Problem::not_run(Code::BadRequest, m);
+    match headers.get(REQUEST_ID_HEADER) {
         None => Ok((RequestId::from_bits(rand::random()), false)),
         Some(v) => {
-            let text = v.to_str().map_err(|e| bad(format!("{REQUEST_ID}: {e}")))?;
+            let text = v
+                .to_str()
+                .map_err(|e| bad(format!("{REQUEST_ID_HEADER}: {e}")))?;
             let id = RequestId::new(text).map_err(|e| bad(e.to_string()))?;
             Ok((id, true))
         }
     }
 }
 
-/// Makes a job of a request, or says why it goes nowhere.
+/// Makes a job of a request, or says why the request is refused. `given` says whether the caller
+/// set the id.
 pub async fn prepare(
     cx: &entry::Context,
     id: &RequestId,
@@ -73,38 +77,40 @@
     let view = cx.view.load_full();
     let Some(rules) = view.rules.clone() else {
         let m = "no configuration is in force yet";
-        return Err(Problem::unsent(Code::NotReady, m));
+        return Err(Problem::not_run(Code::NotReady, m));
     };
     let (head, body) = req.into_parts();
     let team = team(&rules, &head.headers)?;
-    let completes = completes(&head)?;
+    let is_completion = is_completion(&head)?;
     let body = collect(body, cx.role.max_body).await?;
-    let completion = completes.then(|| Completion::parse(&body)).transpose()?;
+    let completion = is_completion
+        .then(|| Completion::parse(&body))
+        .transpose()?;
     let facts = facts(team.0, &head, completion.as_ref());
     let decision = decide(&rules, &facts, body.len())?;
     let Some((name, pool)) = decision.pool else {
-        return Err(Problem::unsent(Code::NoRule, "the rule names no pool"));
+        return Err(Problem::not_run(Code::NoRule, "the rule names no pool"));
     };
     if pool.kind == PoolKind::Model && completion.is_none() {
-        ask::guard(&body)?;
+        completion::check_reserved_fields(&body)?;
     }
     let Some(key) = view.world.pool(name) else {
         return Err(no_target(name));
     };
-    let sent = Sent {
+    let limited = LimitedRequest {
         team: &facts.team,
         rule: &decision.rule.name,
-        prompt: facts.prompt_bytes,
+        prompt_bytes: facts.prompt_bytes,
         entries: view.entries,
     };
-    limited(cx, sent, &decision)?;
+    check_limits(cx, limited, &decision)?;
     let scope = decision.scope.unwrap_or(team.0).to_owned();
     let seed = Seed::new(&scope, &pool.model, &pool.weights);
     let chain = completion.as_ref().map(|c| prefix::chain(seed, &c.prompt));
-    let limit = decision.deadline.map_or(DEADLINE, Duration::from);
+    let limit = decision.deadline.map_or(DEFAULT_DEADLINE, Duration::from);
     let job = Job {
         id: id.clone(),
-        want: Wanted {
+        criteria: Criteria {
             pool: key,
             class: decision.class,
             chain: chain.unwrap_or_default(),
@@ -113,34 +119,35 @@
         },
         share: team.1.share,
         idempotent: decision.idempotent,
-        key: idempotency(&head.headers, id, given),
+        idempotency_key: idempotency_key(&head.headers, id, given),
         method: facts.method,
-        path: target(&head),
-        headers: passed(&head.headers, id, &decision.rule.then.set),
+        path: path_and_query(&head),
+        headers: target_headers(&head.headers, id, &decision.rule.then.set),
         body: match completion {
             Some(c) => Payload::Completion(Box::new(c)),
             None => Payload::Plain(body),
         },
         scope,
-        deadline: Instant::now() + asked(&head.headers).map_or(limit, |a| a.min(limit)),
-        trace: context(&head.headers),
+        deadline: Instant::now() + requested_limit(&head.headers).map_or(limit, |a| a.min(limit)),
+        trace: trace_context(&head.headers),
     };
     let rule = decision.rule.name.clone();
     Ok(Prepared { job, rule })
 }
 
-/// Whether the body is a completion; its paths take one method only.
-fn completes(head: &Parts) -> Result<bool, Problem> {
+/// Whether the request is a completion. The paths of completions accept POST only.
+fn is_completion(head: &Parts) -> Result<bool, Problem> {
     let path = head.uri.path();
     match path == COMPLETIONS || path == CHAT {
         true if head.method != viz::Method::POST => {
-            let m = format!("{path} takes POST");
-            Err(Problem::unsent(Code::BadMethod, m))
+            let m = format!("{path} accepts only POST");
+            Err(Problem::not_run(Code::BadMethod, m))
         }
-        completes => Ok(completes),
+        is_completion => Ok(is_completion),
     }
 }
 
+/// What rules can match on.
 fn facts(team: &str, head: &Parts, completion: Option<&Completion>) -> Facts {
     let text = |v: &viz::header::HeaderValue| v.to_str().ok().map(str::to_owned);
     let headers = head.headers.iter();
@@ -157,43 +164,53 @@
     facts.at_unix_time(clock::unix_seconds())
 }
 
-fn target(head: &Parts) -> String {
+fn path_and_query(head: &Parts) -> String {
     let path = head.uri.path_and_query();
     path.map_or("/", |p| p.as_str()).to_owned()
 }
 
+/// Team of the API key in the `authorization` header.
 fn team<'a>(rules: &'a RuleSet, headers: &HeaderMap) -> Result<(&'a str, &'a Team), Problem> {
     let key = headers.get("authorization").map(|v| v.as_bytes());
     let key = key.and_then(|v| v.strip_prefix(b"Bearer "));
-    let unknown = || Problem::unsent(Code::UnknownTeam, "no team has this API key");
+    let unknown = || Problem::not_run(Code::UnknownTeam, "no team has this API key");
     key.and_then(|k| rules.team(k)).ok_or_else(unknown)
 }
 
+/// The decision of the rules, unless it refuses the request.
 fn decide<'a>(rules: &'a RuleSet, facts: &Facts, size: usize) -> Result<Decision<'a>, Problem> {
     let Some(d) = rules.decide(facts) else {
         let m = "no rule matches this request";
-        return Err(Problem::unsent(Code::NoRule, m));
+        return Err(Problem::not_run(Code::NoRule, m));
     };
     if let Some(reason) = &d.rule.then.refuse {
-        let mut p = Problem::unsent(Code::Refused, reason);
+        let mut p = Problem::not_run(Code::Refused, reason);
         p.retry = d.rule.then.retry_after.map(|t| t.0);
         return Err(p);
     }
     match d.max_body {
         Some(max) if size as u64 > max.0 => {
-            let m = format!("body has more than the {} bytes allowed here", max.0);
-            Err(Problem::unsent(Code::TooLarge, m))
+            let m = format!(
+                "body is larger than the {} bytes allowed for this request",
+                max.0
+            );
+            Err(Problem::not_run(Code::TooLarge, m))
         }
         _ => Ok(d),
     }
 }
 
-fn limited(cx: &entry::Context, sent: Sent<'_>, d: &Decision<'_>) -> Result<(), Problem> {
+/// Counts the request against the limits of its team and rule.
+fn check_limits(
+    cx: &entry::Context,
+    request: LimitedRequest<'_>,
+    d: &Decision<'_>,
+) -> Result<(), Problem> {
     let limits = &mut cx.memory.lock().limits;
-    let taken = limits.take(clock::now(), sent, &d.limits, &d.rule.then.limits);
+    let taken = limits.take(clock::now(), request, &d.limits, &d.rule.then.limits);
     taken.map_err(|wait| {
-        let m = format!("team {} is over its limit", sent.team);
-        let mut p = Problem::unsent(Code::Limited, m);
+        let m = format!("team {} is over its limit", request.team);
+        let mut p = Problem::not_run(Code::Limited, m);
         p.retry = Some(wait);
         p
     })
@@ -203,18 +220,18 @@
     match Limited::new(body, max).collect().await {
         Ok(b) => Ok(b.to_bytes()),
         Err(e) if e.is::<http_body_util::LengthLimitError>() => {
-            let m = format!("body has more than {max} bytes");
-            Err(Problem::unsent(Code::TooLarge, m))
+            let m = format!("body is larger than {max} bytes");
+            Err(Problem::not_run(Code::TooLarge, m))
         }
         Err(e) => {
-            let m = format!("body can't be read: {e}");
-            Err(Problem::unsent(Code::BadRequest, m))
+            let m = format!("failed to read the body: {e}");
+            Err(Problem::not_run(Code::BadRequest, m))
         }
     }
 }
 
-/// What recognizes a request that crashes its targets, whoever sends it. Other weights may not
-/// have the fault, so they are part of it.
+/// Hash that identifies a request that crashes its targets, whichever caller sends it. It covers
+/// the weights, since other weights may not have the fault.
 fn fingerprint(path: &str, weights: &str, body: &[u8]) -> u64 {
     let mut h = blake3::Hasher::new();
     for part in [path.as_bytes(), weights.as_bytes(), body] {
@@ -225,37 +242,45 @@
     front.map_or(0, |b| u64::from_le_bytes(*b))
 }
 
-/// The key by which a repeated request is known: the caller's idempotency key, or else the
-/// request id if the caller chose it.
-fn idempotency(headers: &HeaderMap, id: &RequestId, given: bool) -> String {
-    let key = headers.get(KEY_HEADER).and_then(|v| v.to_str().ok());
+/// Key by which a repeated request is recognized: the caller's idempotency key, or the request id
+/// if the caller set it; else empty.
+fn idempotency_key(headers: &HeaderMap, id: &RequestId, given: bool) -> String {
+    let key = headers
+        .get(IDEMPOTENCY_KEY_HEADER)
+        .and_then(|v| v.to_str().ok());
     key.or(given.then_some(id.as_str()))
         .unwrap_or_default()
         .to_owned()
 }
 
-/// The caller's trace, or a new one.
-fn context(headers: &HeaderMap) -> Context {
+/// The caller's trace context, or a new one.
+fn trace_context(headers: &HeaderMap) -> Context {
     let given = headers.get(trace::HEADER).and_then(|v| v.to_str().ok());
     given
         .and_then(Context::parse)
         .unwrap_or_else(Context::random)
 }
 
-fn asked(headers: &HeaderMap) -> Option<Duration> {
+/// The time limit that the caller asked for.
+fn requested_limit(headers: &HeaderMap) -> Option<Duration> {
     let ms = headers.get(DEADLINE_HEADER)?.to_str().ok()?.parse().ok()?;
     Some(Duration::from_millis(ms))
 }
 
-fn passed(headers: &HeaderMap, id: &RequestId, set: &BTreeMap<String, String>) -> Vec<Header> {
-    let kept = |n: &str| !OURS.contains(&n) && !set.contains_key(n);
+/// Headers for the target: the caller's, those that the rule sets, and the request id.
+fn target_headers(
+    headers: &HeaderMap,
+    id: &RequestId,
+    set: &BTreeMap<String, String>,
+) -> Vec<Header> {
+    let is_passed = |n: &str| !REMOVED_HEADERS.contains(&n) && !set.contains_key(n);
     let callers = headers
         .iter()
-        .filter(|(n, _)| kept(n.as_str()))
+        .filter(|(n, _)| is_passed(n.as_str()))
         .map(|(n, v)| header(n.as_str(), v.as_bytes()));
-    let own = set.iter().map(|(n, v)| header(n, v.as_bytes()));
-    let id = header(REQUEST_ID, id.as_str().as_bytes());
-    callers.chain(own).chain([id]).collect()
+    let added = set.iter().map(|(n, v)| header(n, v.as_bytes()));
+    let id = header(REQUEST_ID_HEADER, id.as_str().as_bytes());
+    callers.chain(added).chain([id]).collect()
 }
 
 fn header(name: &str, value: &[u8]) -> Header {
@@ -267,5 +292,5 @@
 
 fn no_target(pool: &str) -> Problem {
     let m = format!("pool {pool} has no live target");
-    Problem::unsent(Code::NoTarget, m)
+    Problem::not_run(Code::NoTarget, m)
 }
--- a/crates/daemon/src/entry/probe.rs
+++ b/crates/daemon/src/entry/probe.rs
@@ -1,4 +1,4 @@
-//! Probes to sidecars and the offers that come back.
+//! Probes to sidecars and the offers that they return.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,21 +15,21 @@
 
 use crate::meter;
 
-/// Longest wait for offers. A round trip between failure domains takes two or three milliseconds.
-const WAIT: Duration = Duration::from_millis(8);
+/// Longest wait for an offer. A round trip between failure domains takes 2 to 3 ms.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(8);
 
 /// What the choice of a replica depends on.
 #[derive(Clone, Debug)]
-pub struct Wanted {
-    /// Pool.
+pub struct Criteria {
+    /// Pool of the targets.
     pub pool: PoolKey,
-    /// How urgent it is.
+    /// Class of the request.
     pub class: Class,
-    /// Blocks of the prompt.
+    /// Hashes of the prompt's blocks.
     pub chain: Vec<BlockHash>,
     /// Fingerprint of the request.
     pub fingerprint: u64,
-    /// Team.
+    /// Team that sends the request.
     pub team: String,
 }
 
@@ -38,11 +38,12 @@
 pub struct Prober {
     udp: UdpSocket,
     keys: Keys,
+    /// Receivers of the offers, by probe id.
     pending: Mutex<HashMap<u64, oneshot::Sender<Offer>>>,
 }
 
 impl Prober {
-    /// Probes from this socket.
+    /// Prober that sends from this socket.
     pub fn new(udp: UdpSocket, keys: Keys) -> Arc<Self> {
         Arc::new(Self {
             udp,
@@ -51,7 +52,7 @@
         })
     }
 
-    /// Receives offers for ever.
+    /// Receives offers; never returns.
     pub async fn listen(self: Arc<Self>) {
         let mut buf = vec![0; PACKET_MAX + 1];
         loop {
@@ -63,8 +64,8 @@
                 metrics::counter!(meter::OFFER_FAULTS).increment(1);
                 continue;
             };
-            // An offer that comes after its probe was given up, or a second time, has nobody to
-            // go to.
+            // An offer that arrives after the timeout of its probe, or a second time, has no
+            // receiver.
             match self.lock().remove(&o.id) {
                 Some(tx) => {
                     let _ = tx.send(o);
@@ -74,13 +75,13 @@
         }
     }
 
-    /// Asks one sidecar.
-    pub async fn ask(&self, to: SocketAddr, want: &Wanted, marks: &Marks) -> Option<Offer> {
+    /// Probes one sidecar and waits for its offer.
+    pub async fn probe(&self, to: SocketAddr, criteria: &Criteria, marks: &Marks) -> Option<Offer> {
         let id = rand::random();
         let (tx, rx) = oneshot::channel();
         self.lock().insert(id, tx);
-        let offer = match self.send(id, to, want, marks).await {
-            Some(()) => timeout(WAIT, rx).await.ok().and_then(Result::ok),
+        let offer = match self.send(id, to, criteria, marks).await {
+            Some(()) => timeout(OFFER_TIMEOUT, rx).await.ok().and_then(Result::ok),
             None => None,
         };
         self.lock().remove(&id);
@@ -89,18 +90,24 @@
         offer
     }
 
-    async fn send(&self, id: u64, to: SocketAddr, want: &Wanted, marks: &Marks) -> Option<()> {
+    async fn send(
+        &self,
+        id: u64,
+        to: SocketAddr,
+        criteria: &Criteria,
+        marks: &Marks,
+    ) -> Option<()> {
         let points = marks.points().iter().map(|m| wire::Mark {
             blocks: m.blocks,
             hash: m.hash.0,
         });
         let probe = Probe {
             id,
-            class: want.class.index() as u32,
+            class: criteria.class.index() as u32,
             marks: points.collect(),
             blocks: marks.blocks(),
-            fingerprint: want.fingerprint,
-            team: want.team.clone(),
+            fingerprint: criteria.fingerprint,
+            team: criteria.team.clone(),
         };
         let bytes = Packet::seal(probe, &self.keys).ok()?;
         metrics::counter!(meter::PROBE_BYTES).increment(bytes.len() as u64);
--- a/crates/daemon/src/entry/serve.rs
+++ b/crates/daemon/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP: one request in, one answer out.
+//! HTTP server for callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,29 +12,29 @@
 use viz::{Body, Request, Response};
 use wire::Head;
 
-use crate::entry::answer::{Problem, OUTCOME, REQUEST_ID, RULE};
+use crate::entry::answer_sink::{Answer, Piece};
 use crate::entry::drive::drive;
-use crate::entry::out::{Answer, Piece};
 use crate::entry::prepare::{prepare, request_id, Prepared};
-use crate::entry::stop::Taken;
+use crate::entry::problem::{Problem, OUTCOME_HEADER, REQUEST_ID_HEADER, RULE_HEADER};
+use crate::entry::stop::ActiveRequest;
 use crate::entry::{admin, Context};
 use crate::log;
 use crate::meter;
 
-/// How long an error event has to leave before its connection is broken off.
-const LINGER: Duration = Duration::from_millis(100);
+/// Time for an error event to be sent before its connection is cut.
+const ERROR_FLUSH_DELAY: Duration = Duration::from_millis(100);
 
-/// The caller's stream ends without its end.
+/// The caller's stream is cut before its end.
 #[derive(Debug, Error)]
 #[error("answer can't be completed")]
 pub struct Cut;
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(cx: Arc<Context>, req: Request) -> viz::Result<Response> {
     if req.uri().path().starts_with("/health/") {
         return Ok(crate::admin::health(req.uri().path(), admin::ready(&cx)));
     }
-    let taken = Taken::new(&cx);
+    let active = ActiveRequest::new(&cx);
     let (id, given) = match request_id(req.headers()) {
         Ok(x) => x,
         Err(p) => return Ok(refuse(&RequestId::from_bits(rand::random()), &p)),
@@ -45,15 +45,15 @@
     };
     let (tx, rx) = oneshot::channel();
     tokio::spawn(drive(cx, job, tx));
-    // A fault of ours says nothing of what became of the request.
-    let gone = |_| {
-        Answer::None(Problem {
+    // The task ends without an answer only through a bug, and then the outcome is unknown.
+    let dropped = |_| {
+        Answer::Error(Problem {
             outcome: Outcome::Unknown,
-            ..Problem::unsent(Code::Internal, "request was dropped")
+            ..Problem::not_run(Code::Internal, "request was dropped")
         })
     };
-    let found = rx.await.unwrap_or_else(gone);
-    Ok(answer(&id, &rule, found, taken))
+    let result = rx.await.unwrap_or_else(dropped);
+    Ok(answer(&id, &rule, result, active))
 }
 
 fn refuse(id: &RequestId, p: &Problem) -> Response {
@@ -62,13 +62,13 @@
     p.response(id)
 }
 
-fn answer(id: &RequestId, rule: &str, answer: Answer, taken: Taken) -> Response {
+fn answer(id: &RequestId, rule: &str, answer: Answer, active: ActiveRequest) -> Response {
     let (code, res) = match answer {
-        Answer::None(p) => (p.code.as_str(), p.response(id)),
+        Answer::Error(p) => (p.code.as_str(), p.response(id)),
         Answer::Whole(head, body) => ("ok", respond(id, rule, head, Body::Full(body.into()))),
         Answer::Stream(head, rx) => (
             "ok",
-            respond(id, rule, head, Body::from_stream(pieces(rx, taken))),
+            respond(id, rule, head, Body::from_stream(pieces(rx, active))),
         ),
     };
     metrics::counter!(meter::REQUESTS, "code" => code).increment(1);
@@ -77,30 +77,35 @@
 
 fn respond(id: &RequestId, rule: &str, head: Head, body: Body) -> Response {
     let mut res = Response::builder().status(head.status as u16);
-    for h in head.headers.iter().filter(|h| h.name != REQUEST_ID) {
+    for h in head.headers.iter().filter(|h| h.name != REQUEST_ID_HEADER) {
         res = res.header(&h.name, h.value.as_ref());
     }
     if head.status >= 400 {
-        res = res.header(OUTCOME, "failed");
+        res = res.header(OUTCOME_HEADER, "failed");
     }
-    let res = res.header(REQUEST_ID, id.as_str()).header(RULE, rule);
+    let res = res
+        .header(REQUEST_ID_HEADER, id.as_str())
+        .header(RULE_HEADER, rule);
     res.body(body).unwrap_or_default()
 }
 
-/// The caller's stream. One that can't be completed ends in an error event and then in a fault,
-/// so that the connection is broken off and no client takes it for whole. The process counts as
-/// busy until the last piece is on its way.
-fn pieces(rx: mpsc::Receiver<Piece>, taken: Taken) -> impl Stream<Item = Result<Bytes, Cut>> {
-    futures::stream::unfold((rx, taken, false), |(mut rx, taken, broken)| async move {
-        if broken {
-            // The fault throws away what the connection hasn't sent yet. Without a pause the error
-            // event would never leave this process, and the caller would see a bare cut.
-            sleep(LINGER).await;
-            return Some((Err(Cut), (rx, taken, true)));
+/// Body of a stream. A stream that can't be completed ends with an error event and then a body
+/// error, which cuts the connection, so that no client takes the stream for complete. The request
+/// counts as active until its last piece is sent.
+fn pieces(
+    rx: mpsc::Receiver<Piece>,
+    active: ActiveRequest,
+) -> impl Stream<Item = Result<Bytes, Cut>> {
+    futures::stream::unfold((rx, active, false), |(mut rx, active, failed)| async move {
+        if failed {
+            // The body error discards data that the connection hasn't sent yet. Without a pause
+            // the error event would never be sent, and the caller would see a cut connection only.
+            sleep(ERROR_FLUSH_DELAY).await;
+            return Some((Err(Cut), (rx, active, true)));
         }
         match rx.recv().await? {
-            Piece::Data(d) => Some((Ok(d), (rx, taken, false))),
-            Piece::Broken(p) => Some((Ok(Bytes::from(p.event())), (rx, taken, true))),
+            Piece::Data(d) => Some((Ok(d), (rx, active, false))),
+            Piece::Error(p) => Some((Ok(Bytes::from(p.event())), (rx, active, true))),
         }
     })
 }
--- a/crates/daemon/src/entry/stop.rs
+++ b/crates/daemon/src/entry/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an entry: `policy::drain` with its signals.
+//! Graceful shutdown of an entry, with the state machine of `policy::drain`.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,62 +9,62 @@
 use crate::clock;
 use crate::membership;
 
-/// Longest sleep while waiting for requests to end.
-const SLEEP: Duration = Duration::from_millis(50);
+/// Interval at which the shutdown checks whether requests have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The stop, shared by all requests.
+/// Shutdown state, shared by all requests.
 #[derive(Debug)]
 pub struct Stop {
     inner: Mutex<Inner>,
     closed: watch::Sender<bool>,
 }
 
-/// The state machine and what it wants done; requests that end between two turns of the run loop
-/// leave their actions here.
+/// The state machine and its pending actions. Requests that end between two rounds of
+/// [`Stop::run`] leave their actions here.
 #[derive(Debug)]
 struct Inner {
     drain: Drain,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
-/// Counts a request for as long as it lives.
+/// Counts a request as active until dropped.
 #[derive(Debug)]
-pub struct Taken(Arc<crate::entry::Context>);
+pub struct ActiveRequest(Arc<crate::entry::Context>);
 
 impl Stop {
-    /// A process that serves.
+    /// State of a process that serves.
     pub fn new(config: Config) -> Self {
         Self {
             inner: Mutex::new(Inner {
                 drain: Drain::new(config, Role::Entry),
-                out: Vec::new(),
+                actions: Vec::new(),
             }),
             closed: watch::Sender::new(false),
         }
     }
 
-    /// Whether the balancer may send requests here.
+    /// Whether the load balancer may send requests to this process.
     pub fn is_ready(&self) -> bool {
         self.lock().drain.is_ready()
     }
 
-    /// Waits until no more connections are to be taken.
+    /// Waits until the process stops accepting connections.
     pub async fn closed(&self) {
         let _ = self.closed.subscribe().wait_for(|c| *c).await;
     }
 
-    /// Stops: from the notice to the end of the last request.
-    pub async fn run(&self, members: &membership::CommandSender) {
+    /// Shuts down; returns once the last request has ended.
+    pub async fn run(&self, membership: &membership::CommandSender) {
         let mut event = Event::Stop;
         loop {
             self.step(event);
-            let out = std::mem::take(&mut self.lock().out);
-            for action in out {
+            let actions = std::mem::take(&mut self.lock().actions);
+            for action in actions {
                 match action {
                     Action::Announce => {
-                        let _ = members.send(membership::Command::Leave);
+                        let _ = membership.send(membership::Command::Leave);
                     }
-                    // An entry queues nothing.
+                    // An entry has no queue.
                     Action::GiveBack => {}
                     Action::Close => {
                         self.closed.send_replace(true);
@@ -72,14 +72,14 @@
                     Action::Exit => return,
                 }
             }
-            tokio::time::sleep(SLEEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             event = Event::Tick;
         }
     }
 
     fn step(&self, event: Event) {
         let inner = &mut *self.lock();
-        inner.drain.step(clock::now(), event, &mut inner.out);
+        inner.drain.step(clock::now(), event, &mut inner.actions);
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -87,15 +87,15 @@
     }
 }
 
-impl Taken {
-    /// Takes a request.
+impl ActiveRequest {
+    /// Counts a new request.
     pub fn new(cx: &Arc<crate::entry::Context>) -> Self {
         cx.stop.step(Event::Taken);
         Self(Arc::clone(cx))
     }
 }
 
-impl Drop for Taken {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.stop.step(Event::Ended);
     }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -1,7 +1,7 @@
 //! Drives the fleet's membership: the gossip socket, pulls, the platform's table and host list.
 //!
-//! It runs on the control thread and is the only writer of the shared [`View`]. What traffic
-//! threads want of it they send as an [`Command`].
+//! It runs on the control thread and is the only writer of the shared [`View`]. Other threads send
+//! it a [`Command`].
 
 use std::collections::VecDeque;
 use std::io;
@@ -30,87 +30,88 @@
 use crate::view::{AnnouncedTarget, SharedView, View};
 use crate::{clock, meter, view};
 
-/// How often the host list is read; it lags by more than that.
-const HOSTS: Duration = Duration::from_secs(10);
-/// Largest gossip datagram that is looked at.
-const DATAGRAM: usize = 2_048;
+/// Mean time between two reads of the host list, which is older than that anyway.
+const HOSTS_INTERVAL: Duration = Duration::from_secs(10);
+/// Maximum size of a gossip datagram; longer ones are truncated.
+const MAX_DATAGRAM: usize = 2_048;
 
-/// What traffic asks of membership.
+/// Command from another thread.
 #[derive(Debug)]
 pub enum Command {
-    /// Another member's pull, to be answered.
+    /// Answer another member's pull.
     Pull(Bytes, oneshot::Sender<Bytes>),
-    /// Which version is where.
+    /// Report the version that each member has.
     Status(oneshot::Sender<Status>),
-    /// The configuration in force.
-    Text(oneshot::Sender<TableRow>),
-    /// A configuration of ours was accepted by the table.
+    /// Return the configuration in force.
+    Configuration(oneshot::Sender<TableRow>),
+    /// Put a configuration in force that this process has written to the table.
     Accepted(TableRow),
-    /// A request was found to crash its targets.
+    /// Report to the fleet that a request crashes its targets.
     Convict(Conviction),
-    /// The process will stop.
+    /// Announce that the process will stop.
     Leave,
-    /// The process stops now.
+    /// End membership; the process exits.
     Quit,
 }
 
-/// What membership knows.
+/// State of the fleet as this member knows it.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// Version in force here.
+    /// Version in force at this process.
     pub version: Version,
-    /// Its digest.
+    /// Hash of the configuration.
     pub digest: Digest,
-    /// This process and all members that are remembered.
+    /// This process and all members that it remembers.
     pub members: Vec<Member>,
-    /// How far the version is in force.
-    pub force: InForce,
-    /// What has happened since the start.
+    /// Where the version is in force.
+    pub in_force: InForce,
+    /// Counts of events since the start.
     pub counters: Counters,
 }
 
-/// The way to membership from other threads.
+/// Sends commands to the membership task.
 pub type CommandSender = mpsc::UnboundedSender<Command>;
 
-/// A fleet member with its sockets.
+/// This process as a fleet member, with its sockets.
 pub struct Membership {
     fleet: Fleet,
     socket: Arc<UdpSocket>,
-    links: Arc<ConnectionPool>,
+    connections: Arc<ConnectionPool>,
     platform: Option<Platform>,
     shared: SharedView,
     view: View,
-    asked: mpsc::UnboundedReceiver<Command>,
-    feed: mpsc::UnboundedSender<Event>,
-    fed: mpsc::UnboundedReceiver<Event>,
-    wake: Option<Micros>,
+    commands: mpsc::UnboundedReceiver<Command>,
+    /// For background tasks, which send their results as events.
+    event_sender: mpsc::UnboundedSender<Event>,
+    events: mpsc::UnboundedReceiver<Event>,
+    wake_at: Option<Micros>,
     buf: Vec<u8>,
-    convicted: VecDeque<Conviction>,
+    convictions: VecDeque<Conviction>,
 }
 
-/// What a process tells the fleet of itself.
+/// What a process announces about itself.
 #[derive(Clone, Debug)]
 pub struct LocalMember {
     /// Entry or sidecar.
     pub role: fleet::Role,
-    /// Peer address.
+    /// Address for other processes of the fleet.
     pub peer: SocketAddr,
-    /// Operators' address.
+    /// Address for operators.
     pub admin: Option<SocketAddr>,
-    /// ConnectionPool of its target.
+    /// Pool of its target, if it is a sidecar.
     pub pool: Option<String>,
-    /// Its life.
+    /// Incarnation of the process.
     pub incarnation: u64,
 }
 
 impl Membership {
-    /// Joins with the given socket. `platform` is needed only by those who may read its table.
+    /// Joins the fleet. `socket` is for gossip, and `commands` has the commands of other threads.
     pub fn new(
         settings: &Settings,
         me: LocalMember,
         socket: UdpSocket,
         shared: SharedView,
-        asked: mpsc::UnboundedReceiver<Command>,
+        commands: mpsc::UnboundedReceiver<Command>,
     ) -> io::Result<Self> {
         let member = Member {
             id: MemberId(rand::random()),
@@ -126,73 +127,77 @@
             incarnation: Incarnation(me.incarnation),
             state: MemberState::Alive,
         };
-        let mut set = fleet::Settings::new(ring(&settings.keys));
-        set.epoch = Micros(clock::incarnation()) - clock::now();
-        let (feed, fed) = mpsc::unbounded_channel();
+        let mut fleet_settings = fleet::Settings::new(keyring(&settings.keys));
+        fleet_settings.epoch = Micros(clock::incarnation()) - clock::now();
+        let (event_sender, events) = mpsc::unbounded_channel();
         let view = View::new(&settings.domain, &settings.region);
         shared.store(Arc::new(view.clone()));
         let client = store::Client::default();
         let platform = settings.platform.clone().map(|p| Platform::new(p, client));
         if let Some(p) = &platform {
-            tokio::spawn(hosts(p.clone(), feed.clone(), settings.seeds.is_empty()));
+            tokio::spawn(poll_hosts(
+                p.clone(),
+                event_sender.clone(),
+                settings.seeds.is_empty(),
+            ));
         }
         let mut this = Self {
-            fleet: Fleet::new(set, member, rand::random()),
+            fleet: Fleet::new(fleet_settings, member, rand::random()),
             socket: Arc::new(socket),
-            links: Arc::new(ConnectionPool::new(settings.keys.clone())),
+            connections: Arc::new(ConnectionPool::new(settings.keys.clone())),
             platform,
             shared,
             view,
-            asked,
-            feed,
-            fed,
-            wake: None,
-            buf: vec![0; DATAGRAM],
-            convicted: VecDeque::new(),
+            commands,
+            event_sender,
+            events,
+            wake_at: None,
+            buf: vec![0; MAX_DATAGRAM],
+            convictions: VecDeque::new(),
         };
         this.step(Event::Seeds(settings.seeds.clone()));
         Ok(this)
     }
 
-    /// Waits for the next thing to happen and takes it in; false once the process quits.
+    /// Waits for the next event and handles it; false once the process quits.
     pub async fn run_once(&mut self) -> bool {
-        let wake = self.wake.map(|w| Duration::from(w.since(clock::now())));
-        let sleep = tokio::time::sleep(wake.unwrap_or(HOSTS));
+        let wake = self.wake_at.map(|w| Duration::from(w.since(clock::now())));
+        let sleep = tokio::time::sleep(wake.unwrap_or(HOSTS_INTERVAL));
         tokio::select! {
-            got = self.socket.recv_from(&mut self.buf) => if let Ok((n, from)) = got {
+            received = self.socket.recv_from(&mut self.buf) => if let Ok((n, from)) = received {
                 let bytes = Bytes::copy_from_slice(&self.buf[..n]);
                 metrics::counter!(meter::GOSSIP_BYTES, "way" => "in")
                     .increment(n as u64);
                 self.step(Event::Datagram { from, bytes });
-                self.count();
+                self.count_datagram_faults();
             },
-            Some(event) = self.fed.recv() => self.step(event),
-            ask = self.asked.recv() => match ask {
+            Some(event) = self.events.recv() => self.step(event),
+            command = self.commands.recv() => match command {
                 Some(Command::Quit) | None => {
                     self.step(Event::Quit);
                     return false;
                 }
-                Some(ask) => self.ask(ask),
+                Some(command) => self.run_command(command),
             },
             () = sleep => self.step(Event::Tick),
         }
         true
     }
 
-    /// A conviction that came from another member since the last call.
-    pub fn convicted(&mut self) -> Option<Conviction> {
-        self.convicted.pop_front()
+    /// The next conviction received from another member, if any.
+    pub fn take_conviction(&mut self) -> Option<Conviction> {
+        self.convictions.pop_front()
     }
 
-    /// This process's words for its peers.
+    /// Sets the tags that this process announces.
     pub fn set_tags(&mut self, tags: impl Into<String>) {
         self.fleet.set_tags(tags);
     }
 
-    fn ask(&mut self, ask: Command) {
-        match ask {
+    fn run_command(&mut self, command: Command) {
+        match command {
             Command::Pull(data, out) => {
-                let scope = if data.as_ref() == CONFIG {
+                let scope = if data.as_ref() == CONFIGURATION_PULL {
                     PullScope::Config
                 } else {
                     PullScope::All
@@ -203,7 +208,7 @@
                 self.step(Event::PollVersions);
                 let _ = out.send(self.status());
             }
-            Command::Text(out) => {
+            Command::Configuration(out) => {
                 let _ = out.send(TableRow {
                     version: self.fleet.version(),
                     digest: self.fleet.digest(),
@@ -223,20 +228,21 @@
             version: self.fleet.version(),
             digest: self.fleet.digest(),
             members: me.chain(self.fleet.known_members()).cloned().collect(),
-            force: self.fleet.in_force(),
+            in_force: self.fleet.in_force(),
             counters: self.fleet.counters(),
         }
     }
 
+    /// Passes an event to the state machine, performs its actions and publishes a changed view.
     fn step(&mut self, event: Event) {
         let mut out = Vec::new();
         self.fleet.step(clock::now(), event, &mut out);
         let mut changed = false;
         for action in out {
-            changed |= self.act(action);
+            changed |= self.perform(action);
         }
-        meter::members(self.fleet.members().count() + 1, &self.fleet.counters());
-        let entries = self.entries();
+        meter::record_membership(self.fleet.members().count() + 1, &self.fleet.counters());
+        let entries = self.entry_count();
         let joined = self.fleet.has_joined();
         changed |= (entries, joined) != (self.view.entries, self.view.joined);
         (self.view.entries, self.view.joined) = (entries, joined);
@@ -245,9 +251,9 @@
         }
     }
 
-    /// Shows what was wrong with datagrams; without it, a member with another key, or somebody who
-    /// replays old datagrams, would be noticed by nobody.
-    fn count(&self) {
+    /// Exports why datagrams were dropped. A member with another key and replayed datagrams show
+    /// nowhere else.
+    fn count_datagram_faults(&self) {
         let c = self.fleet.counters();
         let name = "clementinestep_gossip_faults_total";
         metrics::counter!(name, "kind" => "seal").absolute(c.bad_seal);
@@ -255,19 +261,19 @@
         metrics::counter!(name, "kind" => "stale").absolute(c.stale);
     }
 
-    fn entries(&self) -> usize {
+    fn entry_count(&self) -> usize {
         let all = std::iter::once(self.fleet.me()).chain(self.fleet.members());
         all.filter(|m| m.role == fleet::Role::Entry).count()
     }
 
     /// Performs an action; true if the view changed.
-    fn act(&mut self, action: Action) -> bool {
+    fn perform(&mut self, action: Action) -> bool {
         match action {
             Action::Send { to, bytes } => self.send(to, &bytes),
             Action::Pull { from, tcp, scope } => self.pull(from, tcp, scope),
             Action::ReadTable => self.read_table(),
-            Action::WakeAt(at) => self.wake = Some(at),
-            Action::Convict(c) => self.convicted.push_back(c),
+            Action::WakeAt(at) => self.wake_at = Some(at),
+            Action::Convict(c) => self.convictions.push_back(c),
             Action::Adopt(row) => {
                 self.adopt(&row);
                 return true;
@@ -277,7 +283,7 @@
                     logger: log::fleet(),
                     "member {:016x} {:?} at {} is {:?}", m.id.0, m.role, m.tcp, m.state
                 );
-                return self.place(&m);
+                return self.update_target(&m);
             }
             Action::Gone(id) => {
                 spdlog::info!(logger: log::fleet(), "member {:016x} is gone", id.0);
@@ -290,41 +296,43 @@
 
     fn send(&self, to: SocketAddr, bytes: &Bytes) {
         metrics::counter!(meter::GOSSIP_BYTES, "way" => "out").increment(bytes.len() as u64);
-        // A datagram that can't be sent is one that was lost; the protocol reckons with both.
+        // The protocol tolerates lost datagrams, so one that can't be sent is dropped.
         let _ = self.socket.try_send_to(bytes, to);
     }
 
+    /// Pulls the state of another member; the result comes as an event.
     fn pull(&self, from: MemberId, tcp: SocketAddr, scope: PullScope) {
-        let (links, feed) = (Arc::clone(&self.links), self.feed.clone());
+        let (connections, events) = (Arc::clone(&self.connections), self.event_sender.clone());
         tokio::spawn(async move {
             let data = match scope {
-                PullScope::Config => Bytes::from_static(CONFIG),
+                PullScope::Config => Bytes::from_static(CONFIGURATION_PULL),
                 PullScope::All => Bytes::new(),
             };
-            let answer = match links.request(tcp, Pull { data }).await {
+            let answer = match connections.request(tcp, Pull { data }).await {
                 Ok(Body::Text(t)) => Answer::decode(t.data).ok(),
                 _ => None,
             };
-            let _ = feed.send(match answer {
+            let _ = events.send(match answer {
                 Some(answer) => Event::Pulled { from, answer },
                 None => Event::PullFailed { from },
             });
         });
     }
 
+    /// Reads the platform's table; the result comes as an event.
     fn read_table(&self) {
-        let (platform, feed) = (self.platform.clone(), self.feed.clone());
+        let (platform, events) = (self.platform.clone(), self.event_sender.clone());
         tokio::spawn(async move {
             let read = match platform {
-                Some(p) => read(&p).await,
+                Some(p) => read_configuration(&p).await,
                 None => Err(TableUnavailable),
             };
-            let _ = feed.send(Event::Table(read));
+            let _ = events.send(Event::Table(read));
         });
     }
 
-    /// Puts a configuration in force. One that doesn't compile here was checked by a later
-    /// release of ours; the old rules then stay, and the log says so.
+    /// Puts a configuration in force. If it doesn't compile here, a later release has checked it;
+    /// the old rules then stay in force, and an error is logged.
     fn adopt(&mut self, row: &TableRow) {
         let text = String::from_utf8_lossy(&row.text);
         match RuleSet::compile(&text) {
@@ -334,14 +342,15 @@
             }
             Err(e) => spdlog::error!(
                 logger: log::fleet(),
-                "configuration {} can't be read here, old rules stay: {e}", row.version
+                "configuration {} doesn't compile, the old rules stay in force: {e}", row.version
             ),
         }
         self.view.version = row.version;
         metrics::gauge!(meter::VERSION).set(row.version.0 as f64);
     }
 
-    fn place(&mut self, m: &Member) -> bool {
+    /// Updates the view with a member's target, if it has one; true if the view changed.
+    fn update_target(&mut self, m: &Member) -> bool {
         let Some(pool) = &m.pool else { return false };
         if matches!(m.state, MemberState::Leaving) {
             return self.view.remove(m.id);
@@ -359,15 +368,16 @@
     }
 }
 
-/// Asks for the configuration alone.
-const CONFIG: &[u8] = b"config";
+/// Data of a pull that asks for the configuration only.
+const CONFIGURATION_PULL: &[u8] = b"config";
 
-/// A shared view that nobody has written to yet.
+/// A shared view without content.
 pub fn empty_view() -> SharedView {
     Arc::new(ArcSwap::from_pointee(view::View::default()))
 }
 
-fn ring(keys: &Keys) -> Keyring {
+/// Seals datagrams with the first key and accepts both.
+fn keyring(keys: &Keys) -> Keyring {
     let mut all = keys.all();
     let first = all.next().map_or(&[][..], |k| k.bytes());
     match all.next() {
@@ -376,20 +386,21 @@
     }
 }
 
-async fn read(platform: &Platform) -> TableRead {
+/// Reads the configuration from the platform's table.
+async fn read_configuration(platform: &Platform) -> TableRead {
     let key = CONFIGURATION_KEY.to_owned();
     match platform.call(Request::Read { key }).await {
         Reply::Row(None) => Ok(None),
         Reply::Row(Some(row)) => match serde_json::from_slice::<Head>(&row.value) {
-            Ok(head) => Ok(Some(row_of(head))),
+            Ok(head) => Ok(Some(table_row(head))),
             Err(_) => Err(TableUnavailable),
         },
         _ => Err(TableUnavailable),
     }
 }
 
-/// A configuration as members pass it on.
-pub fn row_of(head: Head) -> TableRow {
+/// A configuration in the form in which members pass it on.
+pub fn table_row(head: Head) -> TableRow {
     TableRow {
         version: Version(head.version),
         digest: Digest::of(&head.text),
@@ -397,23 +408,23 @@
     }
 }
 
-/// Reads the host list for ever; without other seeds, its addresses serve as such.
-async fn hosts(platform: Platform, feed: mpsc::UnboundedSender<Event>, seeds: bool) {
+/// Reads the host list periodically. If `seeds` is set, its addresses serve as seeds.
+async fn poll_hosts(platform: Platform, events: mpsc::UnboundedSender<Event>, seeds: bool) {
     loop {
         if let Some(list) = platform.hosts().await {
             if seeds {
-                let _ = feed.send(Event::Seeds(peers(&list)));
+                let _ = events.send(Event::Seeds(peers(&list)));
             }
             let entries = list.iter().map(|h| HostEntry {
                 name: h.name.clone(),
                 leaving: h.state == HostState::Leaving,
             });
-            if feed.send(Event::Hosts(entries.collect())).is_err() {
+            if events.send(Event::Hosts(entries.collect())).is_err() {
                 return;
             }
         }
-        // Half to one and a half of the period, so that a herd of restarts doesn't read in step.
-        tokio::time::sleep(HOSTS.mul_f64(0.5 + rand::random::<f64>())).await;
+        // 0.5 to 1.5 times the interval, so that processes restarted together don't read in step.
+        tokio::time::sleep(HOSTS_INTERVAL.mul_f64(0.5 + rand::random::<f64>())).await;
     }
 }
 
--- a/crates/daemon/src/meter.rs
+++ b/crates/daemon/src/meter.rs
@@ -17,7 +17,7 @@
 /// Exchanges resumed on another connection.
 pub const RESUMES: &str = "clementinestep_resumes_total";
 /// Seconds from a request's arrival to the first event of its stream, by class.
-pub const FIRST: &str = "clementinestep_first_token_seconds";
+pub const FIRST_TOKEN: &str = "clementinestep_first_token_seconds";
 /// Probes sent, and those not answered in time.
 pub const PROBES: &str = "clementinestep_probes_total";
 /// Bytes of probes sent.
@@ -59,7 +59,11 @@
     describe_counter!(REQUESTS, "requests answered or refused, by code");
     describe_counter!(ATTEMPTS, "attempts at requests");
     describe_counter!(RESUMES, "exchanges resumed on another connection");
-    describe_histogram!(FIRST, Unit::Seconds, "arrival to first event, by class");
+    describe_histogram!(
+        FIRST_TOKEN,
+        Unit::Seconds,
+        "arrival to first event, by class"
+    );
     describe_counter!(PROBES, "probes, by outcome");
     describe_counter!(PROBE_BYTES, Unit::Bytes, "probes sent");
     describe_counter!(
@@ -83,12 +87,12 @@
 }
 
 /// Notes when a stream's first event came.
-pub fn first(class: Class, after: Duration) {
-    histogram!(FIRST, "class" => class.as_str()).record(after.as_secs_f64());
+pub fn record_first_event(class: Class, after: Duration) {
+    histogram!(FIRST_TOKEN, "class" => class.as_str()).record(after.as_secs_f64());
 }
 
 /// Takes over what membership has counted.
-pub fn members(live: usize, counters: &Counters) {
+pub fn record_membership(live: usize, counters: &Counters) {
     gauge!(MEMBERS).set(live as f64);
     counter!(GOSSIP_FAULTS).absolute(counters.bad_seal + counters.bad_packet);
     let kinds = [
--- a/crates/daemon/src/policy_configs.rs
+++ b/crates/daemon/src/policy_configs.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PolicyConfigs {
     /// Which replicas are asked.
-    pub place: probe_placement::Config,
+    pub placement: probe_placement::Config,
     /// Places held for requests that may come.
     pub reserve: reserve::Config,
     /// What is turned away before it waits.
@@ -31,7 +31,7 @@
 impl From<&Config> for PolicyConfigs {
     fn from(c: &Config) -> Self {
         Self {
-            place: probe_placement::Config {
+            placement: probe_placement::Config {
                 probes: c.place.probes as usize,
                 ..probe_placement::Config::default()
             },
--- a/crates/daemon/src/settings/words.rs
+++ b/crates/daemon/src/settings/words.rs
@@ -60,7 +60,7 @@
     /// How replicas are chosen; all but the first are baselines for measurements.
     Policy {
         /// By probes.
-        Ours = "ours",
+        ProbePlacement = "ours",
         /// In turn.
         RoundRobin = "round-robin",
         /// By the least wait that probes report.
--- a/crates/daemon/src/sidecar/control/fleet.rs
+++ b/crates/daemon/src/sidecar/control/fleet.rs
@@ -152,7 +152,7 @@
     /// Takes over what other processes found of requests.
     pub(super) fn marks(&mut self) {
         let now = clock::now();
-        while let Some(c) = self.members.convicted() {
+        while let Some(c) = self.members.take_conviction() {
             let mark = CrashReport::decode(c.fingerprint);
             if self.decide.told(now, mark, c.until) {
                 // Two sent at the same moment crashed one target each, and nobody else may have
--- a/crates/daemon/src/sidecar/decide/trials.rs
+++ b/crates/daemon/src/sidecar/decide/trials.rs
@@ -64,7 +64,7 @@
         let (crash, verdict) = last?;
         let convicted = verdict == Verdict::Convicted && before != verdict;
         convicted.then_some(CrashReport {
-            fingerprint: fingerprint,
+            fingerprint,
             convicted,
             crash,
         })
--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -182,12 +182,12 @@
         let mut d = decide();
         let mut before = false;
         for crash in c.heard {
-            let mark = CrashReport {
+            let report = CrashReport {
                 fingerprint: 5,
                 convicted: false,
                 crash: *crash,
             };
-            before |= d.told(NOW, mark, FAR);
+            before |= d.told(NOW, report, FAR);
         }
         assert_eq!(before, c.before, "{}", c.what);
         assert_eq!(open(&mut d, work(5, c.strikes), 1), !c.before, "{}", c.what);
@@ -195,10 +195,10 @@
             assert!(c.before, "{}", c.what);
             continue;
         };
-        let mark = d.crashed(NOW, run).expect("it runs");
-        assert_eq!(mark.convicted, c.convicted, "{}", c.what);
+        let report = d.crashed(NOW, run).expect("it runs");
+        assert_eq!(report.convicted, c.convicted, "{}", c.what);
         // Its own news, told back by others, changes nothing.
-        assert!(!d.told(NOW, mark, FAR), "{}", c.what);
+        assert!(!d.told(NOW, report, FAR), "{}", c.what);
         assert_eq!(open(&mut d, work(5, 0), 2), !c.convicted, "{}", c.what);
     }
 }
@@ -246,8 +246,8 @@
         let asked = d.inquire(NOW).expect("a question");
         assert_eq!(asked.peers, [PEER], "{}", c.what);
         if let Some(f) = &c.finding {
-            let mark = d.answered(NOW, PEER, asked.query, f);
-            assert_eq!(mark.is_some(), c.rejected, "{}", c.what);
+            let report = d.answered(NOW, PEER, asked.query, f);
+            assert_eq!(report.is_some(), c.rejected, "{}", c.what);
         }
         assert_eq!(turns(&mut d).len(), usize::from(c.runs), "{}", c.what);
         assert_eq!(d.rejected().len(), usize::from(c.rejected), "{}", c.what);
@@ -286,17 +286,17 @@
     assert_eq!((after.busy, after.crashes.len()), (false, 1));
 }
 
-/// A mark goes through the fleet as one number.
+/// Gossip carries a report as one number.
 #[test]
 fn mark_comes_back_from_its_number() {
     for convicted in [false, true] {
         for crash in [0, 1, u64::MAX >> 1] {
-            let mark = CrashReport {
+            let report = CrashReport {
                 fingerprint: u64::MAX - 3,
                 convicted,
                 crash,
             };
-            assert_eq!(CrashReport::decode(mark.encode()), mark);
+            assert_eq!(CrashReport::decode(report.encode()), report);
         }
     }
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Team limits and the configuration's feature tables, as an entry and a sidecar follow them.
 
-use daemon::entry::limits::{Limits, Sent};
+use daemon::entry::limits::{LimitedRequest, Limits};
 use daemon::policy_configs::PolicyConfigs;
 use model::{Class, Micros};
 use rules::{Limits as Allowed, RuleSet};
@@ -48,10 +48,10 @@
     ];
     for c in cases {
         let mut limits = Limits::default();
-        let sent = Sent {
+        let sent = LimitedRequest {
             team: "one",
             rule: "all",
-            prompt: c.prompt,
+            prompt_bytes: c.prompt,
             entries: c.entries,
         };
         let all = (0..50).map(|_| limits.take(NOW, sent, &c.team, &c.rule));
@@ -64,7 +64,7 @@
             "{}",
             c.what
         );
-        let other = Sent {
+        let other = LimitedRequest {
             team: "two",
             ..sent
         };
@@ -90,7 +90,7 @@
     let rules = RuleSet::compile(text).expect("no faults");
     let t = PolicyConfigs::from(rules.config());
     let secs = Micros::from_secs;
-    assert_eq!(t.place.probes, 3);
+    assert_eq!(t.placement.probes, 3);
     assert_eq!(t.reserve.hold, Micros::from_millis(70));
     assert_eq!((t.admit.places, t.admit.reserve), (9, 0.2));
     assert_eq!(t.admit.wait, [secs(1), secs(2), secs(3)]);
@@ -129,7 +129,7 @@
         format!("{:?}", policy::quarantine::Config::default()),
     ];
     let told = [
-        format!("{:?}", t.place),
+        format!("{:?}", t.placement),
         format!("{:?}", t.reserve),
         format!("{:?}", t.admit),
         format!("{:?}", t.queue),
