--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP that both roles have: health and metrics.
+//! HTTP endpoints of both roles: health and metrics.
 
 use std::future::IntoFuture;
 use std::io;
@@ -10,14 +10,14 @@
 
 use crate::meter;
 
-/// Buckets of times in seconds, around the bound of 1.5 s to a first token.
-const SECONDS: [f64; 11] = [
+/// Histogram buckets in seconds. They cover the goal of 1.5 s for the time to the first token.
+const SECONDS_BUCKETS: [f64; 11] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 3.0, 10.0,
 ];
 
 static METRICS: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Health and metrics of a process that is ready while `ready` says so.
+/// Router with health and metrics. `ready` says whether the process is ready.
 pub fn router(ready: impl Fn() -> bool + Clone + Send + Sync + 'static) -> Router {
     install();
     Router::new()
@@ -31,23 +31,23 @@
         })
 }
 
-/// Serves a router for ever.
+/// Serves a router; returns only on an error.
 pub async fn serve(listener: TcpListener, router: Router) -> io::Result<()> {
     viz::serve(listener, router).into_future().await
 }
 
-/// Answers a health question.
+/// Response to a health check.
 pub fn health(path: &str, ready: bool) -> Response {
     let (status, text) = match path {
         "/health/live" => (200, "live\n"),
         "/health/ready" if ready => (200, "ready\n"),
         "/health/ready" => (503, "not ready\n"),
-        _ => (404, "no such question\n"),
+        _ => (404, "unknown health check\n"),
     };
     answer(status, "text/plain", text)
 }
 
-/// A whole answer.
+/// Response with this body.
 pub fn answer(status: u16, kind: &str, body: impl Into<bytes::Bytes>) -> Response {
     let res = Response::builder()
         .status(status)
@@ -56,11 +56,11 @@
     res.unwrap_or_default()
 }
 
-/// Collects metrics from now on; later calls have no effect.
+/// Installs the recorder of metrics; later calls have no effect.
 fn install() {
     METRICS.get_or_init(|| {
         let recorder = PrometheusBuilder::new()
-            .set_buckets(&SECONDS)
+            .set_buckets(&SECONDS_BUCKETS)
             .unwrap_or_else(|_| PrometheusBuilder::new())
             .build_recorder();
         let handle = recorder.handle();
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's monotonic clock, as decision code counts it.
+//! Clocks: monotonic time for decisions, and wall-clock time.
 
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime};
@@ -7,19 +7,21 @@
 
 static START: OnceLock<Instant> = OnceLock::new();
 
-/// Now. The origin lies a day before the first call, so that spans can be taken off safely.
+/// Monotonic time. It is one day at the first call, so that subtracting durations doesn't
+/// underflow.
 pub fn now() -> Micros {
     let start = START.get_or_init(Instant::now);
     Micros::from_secs(86_400) + Micros::from(start.elapsed())
 }
 
-/// Seconds since the epoch, for records that outlive the process.
+/// Seconds since the Unix epoch, for records that outlive the process.
 pub fn unix_seconds() -> u64 {
     let d = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     d.map_or(0, |d| d.as_secs())
 }
 
-/// Microseconds since the epoch; later lives of a process draw higher ones.
+/// Incarnation for this process: microseconds since the Unix epoch, so that later incarnations of
+/// a process have higher numbers.
 pub fn incarnation() -> u64 {
     let d = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     d.map_or(0, |d| d.as_micros() as u64)
--- a/crates/daemon/src/connection_pool.rs
+++ b/crates/daemon/src/connection_pool.rs
@@ -1,7 +1,7 @@
-//! Connections to other processes' peer ports, kept for reuse.
+//! Pool of connections to the peer ports of other processes.
 //!
-//! A connection carries one exchange at a time and comes back only after the exchange's last
-//! frame, so that a late frame of one request can't be read as another's.
+//! A connection carries one exchange at a time. It returns to the pool only after the last frame of
+//! its exchange, so that a late frame of one request can't be taken for another's.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,17 +13,18 @@
 use tokio::time::timeout;
 use wire::{Body, Keys, Rx, Tx, WireError};
 
-/// Longest wait for a connection and its handshake; failure domains are milliseconds apart.
+/// Longest wait for a connection and its handshake. The network delay between failure domains is
+/// a few milliseconds.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Idle connections kept to one address.
-const IDLE: usize = 16;
+/// Maximum number of idle connections kept for one address.
+const MAX_IDLE: usize = 16;
 
-/// A connection to one peer.
+/// Connection to one peer.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends frames.
+    /// Sender of frames.
     pub tx: Tx,
-    /// Receives frames.
+    /// Receiver of frames.
     pub rx: Rx,
 }
 
@@ -35,7 +36,7 @@
 }
 
 impl ConnectionPool {
-    /// No connections yet.
+    /// Pool without connections.
     pub fn new(keys: Keys) -> Self {
         Self {
             keys,
@@ -43,46 +44,46 @@
         }
     }
 
-    /// An idle connection, or else a new one.
+    /// Takes an idle connection, or opens a new one.
     pub async fn take(&self, to: SocketAddr) -> Result<Connection, WireError> {
-        while let Some(mut link) = self.pop(to) {
-            // Anything to read on an idle connection is its end.
-            if link.rx.next().now_or_never().is_none() {
-                return Ok(link);
+        while let Some(mut connection) = self.pop(to) {
+            // The peer sends nothing on an idle connection except when it closes it.
+            if connection.rx.next().now_or_never().is_none() {
+                return Ok(connection);
             }
         }
         self.connect(to).await
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     pub async fn connect(&self, to: SocketAddr) -> Result<Connection, WireError> {
-        let dial = async {
+        let connect = async {
             let tcp = TcpStream::connect(to).await?;
             wire::connect(tcp, &self.keys, rand::random()).await
         };
-        let (tx, rx) = timeout(CONNECT_TIMEOUT, dial)
+        let (tx, rx) = timeout(CONNECT_TIMEOUT, connect)
             .await
             .map_err(|_| WireError::Closed)??;
         Ok(Connection { tx, rx })
     }
 
-    /// Returns a connection whose exchange has ended.
-    pub fn put_back(&self, to: SocketAddr, link: Connection) {
+    /// Returns a connection whose exchange has ended to the pool.
+    pub fn put_back(&self, to: SocketAddr, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let links = idle.entry(to).or_default();
-        if links.len() < IDLE {
-            links.push(link);
+        let connections = idle.entry(to).or_default();
+        if connections.len() < MAX_IDLE {
+            connections.push(connection);
         }
     }
 
-    /// One question and its answer on a connection of its own.
+    /// Sends one frame and receives the reply, on a connection of its own.
     pub async fn request(&self, to: SocketAddr, body: impl Into<Body>) -> Result<Body, WireError> {
-        let mut link = self.connect(to).await?;
-        let both = async {
-            link.tx.send(body).await?;
-            link.rx.next().await
+        let mut connection = self.connect(to).await?;
+        let exchange = async {
+            connection.tx.send(body).await?;
+            connection.rx.next().await
         };
-        timeout(4 * CONNECT_TIMEOUT, both)
+        timeout(4 * CONNECT_TIMEOUT, exchange)
             .await
             .map_err(|_| WireError::Closed)?
     }
--- a/crates/daemon/src/entry/limits.rs
+++ b/crates/daemon/src/entry/limits.rs
@@ -55,12 +55,12 @@
         team: &Allowed,
         rule: &Allowed,
     ) -> Result<(), Micros> {
-        let tokens = (request.prompt_bytes / BYTES_PER_TOKEN) as f64;
+        let prompt_tokens = (request.prompt_bytes / BYTES_PER_TOKEN) as f64;
         let limits = [
             (team.requests, 1.0, None, false),
-            (team.tokens, tokens, None, true),
+            (team.tokens, prompt_tokens, None, true),
             (rule.requests, 1.0, Some(request.rule), false),
-            (rule.tokens, tokens, Some(request.rule), true),
+            (rule.tokens, prompt_tokens, Some(request.rule), true),
         ];
         let mut taken = Vec::new();
         for (rate, units, rule, tokens) in limits {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,9 @@
-//! The daemon's two roles and what they share.
+//! The daemon: its two roles and the code that they share.
 //!
-//! A process has one control thread, which alone changes control state, and a pool of traffic
-//! threads. Control publishes immutable [`view::View`]s; traffic reads them and sends messages.
-//! [`entry`] faces callers and operators, [`sidecar`] faces one target.
+//! A process has one control thread, which owns the control state, and a pool of traffic threads.
+//! The control thread publishes immutable snapshots ([`view::View`]), which the traffic threads
+//! read; they send it messages. [`entry`] serves callers and operators, [`sidecar`] serves one
+//! target.
 
 pub mod admin;
 pub mod clock;
@@ -24,7 +25,7 @@
 
 use settings::{Parsed, Role};
 
-/// Reads settings, starts the role and runs until it is told to stop.
+/// Reads the settings and runs the role until the process is signalled to stop.
 pub fn run() -> ExitCode {
     let settings = match settings::from_process() {
         Ok(Parsed::Run(s)) => s,
@@ -38,11 +39,11 @@
         }
     };
     log::init(&settings);
-    let done = trace::init(&settings).and_then(|()| match &settings.role {
+    let result = trace::init(&settings).and_then(|()| match &settings.role {
         Role::Entry(e) => entry::run(&settings, e),
         Role::Sidecar(s) => sidecar::run(&settings, s),
     });
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             spdlog::error!(logger: log::main(), "start failed: {e}");
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs: short sentences, each part with its own fixed prefix.
+//! Loggers for each part of the process, each with its name as a prefix.
 
 use std::sync::{Arc, OnceLock};
 
@@ -8,67 +8,67 @@
 
 use crate::settings::{LogFormat, Settings};
 
-struct Parts {
+struct Loggers {
     main: Logger,
     entry: Logger,
     sidecar: Logger,
     fleet: Logger,
 }
 
-static PARTS: OnceLock<Parts> = OnceLock::new();
+static LOGGERS: OnceLock<Loggers> = OnceLock::new();
 
-/// Sets format and level; later calls have no effect.
+/// Creates the loggers; later calls have no effect.
 pub fn init(settings: &Settings) {
-    PARTS.get_or_init(|| parts(settings.log_format, settings.log_level));
+    LOGGERS.get_or_init(|| loggers(settings.log_format, settings.log_level));
 }
 
-/// Start and stop of the process.
+/// Logger for the start and stop of the process.
 pub fn main() -> &'static Logger {
     &get().main
 }
 
-/// Callers' requests and operators' calls.
+/// Logger for requests of callers and calls of operators.
 pub fn entry() -> &'static Logger {
     &get().entry
 }
 
-/// Exchanges and the target.
+/// Logger for exchanges and the target.
 pub fn sidecar() -> &'static Logger {
     &get().sidecar
 }
 
-/// Membership and configuration.
+/// Logger for membership and configuration.
 pub fn fleet() -> &'static Logger {
     &get().fleet
 }
 
-fn get() -> &'static Parts {
-    PARTS.get_or_init(|| parts(LogFormat::Text, LevelFilter::All))
+fn get() -> &'static Loggers {
+    LOGGERS.get_or_init(|| loggers(LogFormat::Text, LevelFilter::All))
 }
 
-fn parts(format: LogFormat, level: LevelFilter) -> Parts {
+fn loggers(format: LogFormat, level: LevelFilter) -> Loggers {
     let sink = StdStreamSink::builder()
         .std_stream(spdlog::sink::StdStream::Stderr)
         .build_arc();
-    let sink: Arc<StdStreamSink> = sink.expect("a sink on stderr needs nothing that can fail");
+    let sink: Arc<StdStreamSink> = sink.expect("a sink on stderr can always be created");
     match format {
         LogFormat::Json => sink.set_formatter(Box::new(JsonFormatter::new())),
         LogFormat::Text => sink.set_formatter(Box::new(PatternFormatter::new(pattern!(
             "{datetime}.{millisecond} {level} {logger}: {payload}{eol}"
         )))),
     }
-    let part = |name: &str| {
+    let logger = |name: &str| {
         Logger::builder()
             .name(name)
             .level_filter(level)
             .sink(Arc::clone(&sink) as Arc<dyn Sink>)
             .build()
-            .expect("part names are constants without forbidden characters")
+            .expect("logger names are constants without forbidden characters")
     };
-    Parts {
-        main: part("main"),
-        entry: part("entry"),
-        sidecar: part("sidecar"),
-        fleet: part("fleet"),
+    Loggers {
+        main: logger("main"),
+        entry: logger("entry"),
+        sidecar: logger("sidecar"),
+        fleet: logger("fleet"),
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,7 +1,7 @@
 //! The daemon: `clementinestepd entry` or `clementinestepd sidecar`.
 //!
-//! Where the platform's settings file is named in the environment, the process takes its role and
-//! all else from it; otherwise from its own flags and environment.
+//! If the environment names the platform's settings file, the role and all settings come from this
+//! file; otherwise they come from flags and environment variables.
 
 use std::process::ExitCode;
 
--- a/crates/daemon/src/peer.rs
+++ b/crates/daemon/src/peer.rs
@@ -1,7 +1,7 @@
-//! The peer port: other processes of the fleet connect here.
+//! The peer port, to which other processes of the fleet connect.
 //!
-//! Every process answers pulls; a sidecar also takes exchanges. A connection that sends what the
-//! wire doesn't allow is dropped, counted and logged, and harms no other.
+//! Every process answers pulls; a sidecar also accepts exchanges. A connection that violates the
+//! protocol is dropped, counted and logged, without effect on the other connections.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use crate::membership::{Command, CommandSender};
 use crate::meter;
 
-/// Longest handshake.
-const HANDSHAKE: Duration = Duration::from_secs(2);
-/// Longest time without a question on a connection.
-const IDLE: Duration = Duration::from_secs(60);
-/// Pause after a connection couldn't be accepted, so that others can close.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Maximum duration of a handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time without a frame, after which a connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a process does with a connection's frames, besides answering pulls.
+/// Handles the frames of a connection other than pulls.
 pub trait ExchangeHandler: Send + Sync + 'static {
-    /// Takes the frame that begins an exchange and carries it to its end.
+    /// Handles an exchange that begins with the frame `body`, until its end.
     fn exchange(
         self: &Arc<Self>,
         body: Body,
@@ -34,7 +34,7 @@
     ) -> impl Future<Output = Result<(), WireError>> + Send;
 }
 
-/// A process that answers pulls only.
+/// Handler of a process that accepts no exchanges.
 #[derive(Clone, Copy, Debug)]
 pub struct PullsOnly;
 
@@ -44,23 +44,23 @@
     }
 }
 
-/// Accepts connections for ever.
+/// Accepts connections; never returns.
 pub async fn listen(
     listener: TcpListener,
     keys: Keys,
-    members: CommandSender,
+    membership: CommandSender,
     handler: Arc<impl ExchangeHandler>,
 ) {
     loop {
         let Ok((tcp, _)) = listener.accept().await else {
-            // Out of descriptors; waiting lets some close.
-            tokio::time::sleep(PAUSE).await;
+            // No file descriptors are left; other connections may close meanwhile.
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let (keys, members, handler) = (keys.clone(), members.clone(), Arc::clone(&handler));
+        let (keys, membership, handler) = (keys.clone(), membership.clone(), Arc::clone(&handler));
         tokio::spawn(async move {
-            if let Err(e) = connection(tcp, &keys, &members, &handler).await {
-                fault(&e);
+            if let Err(e) = connection(tcp, &keys, &membership, &handler).await {
+                record_fault(&e);
             }
         });
     }
@@ -69,32 +69,33 @@
 async fn connection(
     tcp: TcpStream,
     keys: &Keys,
-    members: &CommandSender,
+    membership: &CommandSender,
     handler: &Arc<impl ExchangeHandler>,
 ) -> Result<(), WireError> {
-    let shake = wire::accept(tcp, keys, rand::random());
-    let (mut tx, mut rx) = timeout(HANDSHAKE, shake)
+    let handshake = wire::accept(tcp, keys, rand::random());
+    let (mut tx, mut rx) = timeout(HANDSHAKE_TIMEOUT, handshake)
         .await
         .map_err(|_| WireError::Closed)??;
     loop {
-        let Ok(body) = timeout(IDLE, rx.next()).await else {
+        let Ok(body) = timeout(IDLE_TIMEOUT, rx.next()).await else {
             return Ok(());
         };
         match body? {
             Body::Pull(p) => {
                 let (out, answer) = oneshot::channel();
-                let _ = members.send(Command::Pull(p.data, out));
+                let _ = membership.send(Command::Pull(p.data, out));
                 let data = answer.await.map_err(|_| WireError::Closed)?;
                 tx.send(Text { data }).await?;
             }
-            // Confirmations of an exchange that has ended meanwhile.
+            // Late frames of an exchange that has ended.
             Body::Ack(_) | Body::Cancel(_) => {}
             body => handler.exchange(body, &mut tx, &mut rx).await?,
         }
     }
 }
 
-fn fault(e: &WireError) {
+/// Counts and logs a violation of the protocol.
+fn record_fault(e: &WireError) {
     match e {
         WireError::Closed | WireError::Io(_) => {}
         e => {
--- a/crates/daemon/src/policy_configs.rs
+++ b/crates/daemon/src/policy_configs.rs
@@ -1,7 +1,7 @@
-//! From the configuration's feature tables to the settings of the policy modules.
+//! Conversion of the configuration's feature tables into the settings of the policy modules.
 //!
-//! Each feature table has the name of its module, except that the table `place` sets `probe_placement`. No other
-//! code maps tables to modules.
+//! Each feature table has the name of its module, except that the table `place` sets
+//! `probe_placement`. No other code maps tables to modules.
 
 use model::Class;
 use policy::{admit, concurrency, health, probe_placement, quarantine, queue, reserve, retry};
@@ -10,19 +10,19 @@
 /// Settings of every policy module.
 #[derive(Clone, Copy, Debug)]
 pub struct PolicyConfigs {
-    /// Which replicas are asked.
+    /// Which replicas are probed and chosen.
     pub placement: probe_placement::Config,
-    /// Places held for requests that may come.
+    /// Reservations for requests whose probe has been answered.
     pub reserve: reserve::Config,
-    /// What is turned away before it waits.
+    /// Which requests are refused before they are queued.
     pub admit: admit::Config,
-    /// The order of waiting requests.
+    /// Order of queued requests.
     pub queue: queue::Config,
-    /// How many requests a target runs.
+    /// Number of requests that a target runs at a time.
     pub concurrency: concurrency::Config,
-    /// How often a request is tried again.
+    /// How often a request is retried.
     pub retry: retry::Config,
-    /// When a slow target is left out.
+    /// When a slow target is ejected.
     pub health: health::Config,
     /// When a request is refused for crashing its targets.
     pub quarantine: quarantine::Config,
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! What both roles need of the operating system: ports, signals, the ready line.
+//! Process management that both roles share: the runtime, signals, and the ready line.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use crate::log;
 
-/// The runtime of a process's traffic threads.
+/// Creates the runtime of the traffic threads.
 pub fn traffic_runtime(workers: usize) -> io::Result<Runtime> {
     Builder::new_multi_thread()
         .worker_threads(workers)
@@ -18,17 +18,17 @@
         .build()
 }
 
-/// Waits for the control thread's end, the last of a process.
+/// Waits for the control thread, which is the last to end.
 pub async fn join_control(control: JoinHandle<io::Result<()>>) -> io::Result<()> {
-    let ended = tokio::task::spawn_blocking(move || control.join()).await;
+    let joined = tokio::task::spawn_blocking(move || control.join()).await;
     spdlog::info!(logger: log::main(), "stopped");
-    match ended {
+    match joined {
         Ok(Ok(r)) => r,
         _ => Err(io::Error::other("the control thread panicked")),
     }
 }
 
-/// Waits for the signal to stop.
+/// Waits for SIGTERM or SIGINT.
 pub async fn stop_signal() {
     let (Ok(mut term), Ok(mut int)) = (
         signal(SignalKind::terminate()),
@@ -42,22 +42,22 @@
     }
 }
 
-/// The addresses that a process listens on, printed as one JSON line once it does.
+/// Addresses that a process listens on, printed as one line of JSON once it is ready.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Ready {
-    /// For callers.
+    /// Address for callers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub callers: Option<SocketAddr>,
-    /// For other processes of the fleet.
+    /// Address for other processes of the fleet.
     pub peer: SocketAddr,
-    /// For health, metrics and operators.
+    /// Address for health, metrics and operators.
     pub admin: SocketAddr,
-    /// For membership datagrams.
+    /// Address for membership datagrams.
     pub gossip: SocketAddr,
 }
 
 impl Ready {
-    /// Prints it.
+    /// Prints the addresses to standard output.
     pub fn print(&self) {
         let text = serde_json::to_string(self).unwrap_or_default();
         println!("{text}");
--- a/crates/daemon/src/settings/args.rs
+++ b/crates/daemon/src/settings/args.rs
@@ -1,20 +1,20 @@
-//! Flags, as `argh` reads them and explains them to `--help`.
+//! Command-line flags, with their help texts, parsed by `argh`.
 //!
-//! All are text here: what isn't given as a flag may be an environment variable, and the same rules
-//! hold for both, see [`crate::settings::reader`].
+//! All values are text here. A setting that isn't given as a flag may be given as an environment
+//! variable; [`crate::settings::reader`] parses both in the same way.
 
 use argh::FromArgs;
 
 use crate::settings::Flags;
 
-/// Routes language-model traffic whose prompts share long openings.
+/// Route language-model traffic whose prompts share long prefixes.
 #[derive(FromArgs, Debug)]
 pub(super) struct Args {
     #[argh(subcommand)]
     pub(super) role: RoleArgs,
 }
 
-/// A role's flags.
+/// Flags of a role.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub(super) enum RoleArgs {
@@ -22,7 +22,7 @@
     Sidecar(SidecarArgs),
 }
 
-/// The flags of one role: those that all roles have, and its own.
+/// Defines the flags of a role: those of all roles and its own.
 macro_rules! args {
     (
         $(#[$doc:meta])* $name:ident, $command:literal;
@@ -35,7 +35,7 @@
             /// address for other processes of the fleet, TCP and UDP (default 127.0.0.1:0)
             #[argh(option)]
             peer_listen: Option<String>,
-            /// address told to other processes instead, if theirs is translated to it
+            /// address announced to other processes instead, for use behind address translation
             #[argh(option)]
             peer_announce: Option<String>,
             /// address for membership datagrams (default 127.0.0.1:0)
@@ -56,28 +56,28 @@
             /// platform's base URL
             #[argh(option)]
             platform: Option<String>,
-            /// membership addresses to start from, separated by commas
+            /// membership addresses of other members for joining, separated by commas
             #[argh(option)]
             seeds: Option<String>,
             /// file with the fleet's key, 64 hexadecimal digits
             #[argh(option)]
             key_file: Option<String>,
-            /// file with a second key accepted while keys are rotated
+            /// file with a second key that is accepted during key rotation
             #[argh(option)]
             old_key_file: Option<String>,
-            /// traffic threads (default 2)
+            /// number of traffic threads (default 2)
             #[argh(option)]
             workers: Option<String>,
-            /// least severe log level: trace, debug, info, warn, error (default info)
+            /// minimum log level: trace, debug, info, warn or error (default info)
             #[argh(option)]
             log_level: Option<String>,
             /// log format: text or json (default text)
             #[argh(option)]
             log_format: Option<String>,
-            /// file for trace spans, one JSON object a line
+            /// file for trace spans, one JSON object per line
             #[argh(option)]
             trace_file: Option<String>,
-            /// how long late requests are awaited at a planned stop, in milliseconds (default 5000)
+            /// how long late requests are expected during a shutdown, in milliseconds (default 5000)
             #[argh(option)]
             notice_ms: Option<String>,
             /// print the settings in force and exit
@@ -87,7 +87,7 @@
         }
 
         impl $name {
-            /// All flags by name, given or not.
+            /// All flags by name, with the value if given.
             pub(super) fn list(self) -> Flags {
                 vec![
                     ("peer_listen", self.peer_listen),
@@ -114,27 +114,27 @@
 }
 
 args! {
-    /// Take callers' requests and find a target for each.
+    /// Accept requests of callers and route each to a target.
     EntryArgs, "entry";
     /// address for callers (default 127.0.0.1:0)
     listen,
-    /// largest request body in bytes (default 4194304)
+    /// maximum size of a request body in bytes (default 4194304)
     max_body,
-    /// file with the operators' key
+    /// file with the key for operators
     operator_key_file,
     /// how replicas are chosen: ours, round-robin, least-loaded or consistent-hash (default ours)
     policy,
 }
 
 args! {
-    /// Stand before one target.
+    /// Queue and dispatch requests for one target.
     SidecarArgs, "sidecar";
-    /// the target's base URL
+    /// base URL of the target
     target,
-    /// pool that the target serves
+    /// pool of the target
     pool,
-    /// what the target is: model or plain (default model)
+    /// kind of the target: model or plain (default model)
     kind,
-    /// most requests handed to the target at a time (default 64)
+    /// maximum number of requests at the target at a time (default 64)
     slots,
 }
--- a/crates/daemon/src/settings/words.rs
+++ b/crates/daemon/src/settings/choices.rs
@@ -1,29 +1,29 @@
-//! Settings that are one word of a few.
+//! Settings whose value is one of a few words.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// A word that isn't among these.
+/// The value isn't any of these words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("one of {}", .0.join(", "))]
-pub struct UnknownWord(pub &'static [&'static str]);
+pub struct UnknownChoice(pub &'static [&'static str]);
 
-/// An enum whose variants have a word each in settings.
-macro_rules! words {
+/// Defines an enum with the word that stands for each variant in settings.
+macro_rules! choices {
     ($(#[$doc:meta])* $name:ident { $($(#[$var:meta])* $word:ident = $text:literal,)* }) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum $name { $($(#[$var])* $word,)* }
 
         impl FromStr for $name {
-            type Err = UnknownWord;
+            type Err = UnknownChoice;
 
-            fn from_str(s: &str) -> Result<Self, UnknownWord> {
+            fn from_str(s: &str) -> Result<Self, UnknownChoice> {
                 match s {
                     $($text => Ok(Self::$word),)*
-                    _ => Err(UnknownWord(&[$($text),*])),
+                    _ => Err(UnknownChoice(&[$($text),*])),
                 }
             }
         }
@@ -36,18 +36,18 @@
     };
 }
 
-words! {
-    /// How logs are written.
+choices! {
+    /// Format of the logs.
     LogFormat {
-        /// Lines for people.
+        /// Plain text.
         Text = "text",
-        /// One JSON object a line.
+        /// One JSON object per line.
         Json = "json",
     }
 }
 
-words! {
-    /// What a target is.
+choices! {
+    /// Kind of a target.
     Kind {
         /// A model engine.
         Model = "model",
@@ -56,16 +56,16 @@
     }
 }
 
-words! {
-    /// How replicas are chosen; all but the first are baselines for measurements.
+choices! {
+    /// How replicas are chosen. All but the first are baselines for comparison.
     Policy {
-        /// By probes.
+        /// By probes of a few replicas; see `policy::probe_placement`.
         ProbePlacement = "ours",
-        /// In turn.
+        /// Each replica in rotation.
         RoundRobin = "round-robin",
-        /// By the least wait that probes report.
+        /// The replica with the least wait, by probes of all replicas.
         LeastLoaded = "least-loaded",
-        /// By hash of the prompt's opening.
+        /// By a hash of the start of the prompt.
         ConsistentHash = "consistent-hash",
     }
 }
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,12 +1,12 @@
-//! Process settings: flags, or environment variables of the same names.
+//! Settings of a process, from flags or from environment variables of the same names.
 //!
-//! `--peer-listen X` and `CLEMENTINESTEP_PEER_LISTEN=X` mean the same; the flag wins. All faults
-//! are reported in one message. Secrets come from the environment or from files, never from
-//! flags, which other users of a host can read.
+//! `--peer-listen X` and `CLEMENTINESTEP_PEER_LISTEN=X` mean the same; the flag wins. All
+//! invalid settings are reported together. Secrets come from the environment or from files,
+//! never from flags, which other users of a host can read.
 
 mod args;
+mod choices;
 mod reader;
-mod words;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,21 +17,21 @@
 use wire::Keys;
 
 use args::{Args, RoleArgs};
+pub use choices::{Kind, LogFormat, Policy, UnknownChoice};
 use reader::Reader;
-pub use words::{Kind, LogFormat, Policy, UnknownWord};
 
-/// Prefix of environment variables.
+/// Prefix of the environment variables.
 pub const ENV: &str = "CLEMENTINESTEP_";
 
-/// Flags by name, given or not.
+/// All flags by name, with the value if given.
 pub type Flags = Vec<(&'static str, Option<String>)>;
 
-/// What a process was asked to do.
+/// What the command line asks for.
 #[derive(Debug)]
 pub enum Parsed {
     /// Run with these settings.
     Run(Box<Settings>),
-    /// Print this text.
+    /// Print this text and exit.
     Print(String),
 }
 
@@ -40,44 +40,45 @@
 pub struct Settings {
     /// Address for other processes of the fleet.
     pub peer: SocketAddr,
-    /// Address that others are told instead, where addresses are translated on the way.
+    /// Address announced to other processes instead of `peer`, if addresses are translated between
+    /// them.
     pub announce: Option<SocketAddr>,
     /// Address for membership datagrams.
     pub gossip: SocketAddr,
     /// Address for health, metrics and operators.
     pub admin: SocketAddr,
-    /// Name of this host.
+    /// Name of the host.
     pub host: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Its region.
+    /// Region of the failure domain.
     pub region: String,
-    /// The platform's base URL.
+    /// Base URL of the platform.
     pub platform: Option<String>,
-    /// Membership addresses to start from.
+    /// Membership addresses of other members, used for joining.
     pub seeds: Vec<SocketAddr>,
-    /// The fleet's keys.
+    /// Keys of the fleet.
     pub keys: Keys,
-    /// Traffic threads.
+    /// Number of traffic threads.
     pub workers: usize,
-    /// Least severe level that is logged.
+    /// Minimum severity that is logged.
     pub log_level: LevelFilter,
-    /// How logs are written.
+    /// Format of the logs.
     pub log_format: LogFormat,
-    /// Where spans go.
+    /// File for trace spans.
     pub trace_file: Option<String>,
-    /// How long late requests are awaited at a planned stop.
+    /// How long late requests are expected during a shutdown.
     pub notice: Duration,
-    /// What the process does.
+    /// Role with its own settings.
     pub role: Role,
 }
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Debug)]
 pub enum Role {
-    /// Faces callers.
+    /// Serves callers.
     Entry(Entry),
-    /// Faces a target.
+    /// Serves a target.
     Sidecar(Sidecar),
 }
 
@@ -86,9 +87,9 @@
 pub struct Entry {
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body: usize,
-    /// What an operator has to present; operators' calls are refused if there is none.
+    /// Key that operators have to send. Without one, all their calls are refused.
     pub operator_key: Option<String>,
     /// How replicas are chosen.
     pub policy: Policy,
@@ -97,41 +98,45 @@
 /// Settings of a sidecar.
 #[derive(Clone, Debug)]
 pub struct Sidecar {
-    /// The target's address.
+    /// Address of the target.
     pub target: SocketAddr,
-    /// The pool it serves.
+    /// Pool of the target.
     pub pool: String,
-    /// What it is.
+    /// Kind of the target.
     pub kind: Kind,
-    /// Most requests handed to it at a time.
+    /// Maximum number of requests that run at the target at a time.
     pub slots: usize,
 }
 
-/// Everything that is wrong with a process's settings.
+/// All invalid settings of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub struct SettingsError(pub Vec<Wrong>);
+pub struct SettingsError(pub Vec<InvalidSetting>);
 
-/// One setting that is wrong.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
-    /// Its name, as a flag.
+pub struct InvalidSetting {
+    /// Name of the flag.
     pub name: String,
-    /// What was given; never that of a secret.
+    /// Value that was given; a placeholder for secrets.
     pub value: String,
-    /// What was wanted.
-    pub wanted: String,
+    /// Description of valid values.
+    pub expected: String,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "settings: {} fault(s)", self.0.len())?;
-        self.0
-            .iter()
-            .try_for_each(|w| writeln!(f, "  --{}: got `{}`, wanted {}", w.name, w.value, w.wanted))
+        writeln!(f, "{} invalid setting(s):", self.0.len())?;
+        self.0.iter().try_for_each(|w| {
+            writeln!(
+                f,
+                "  --{}: got `{}`, expected {}",
+                w.name, w.value, w.expected
+            )
+        })
     }
 }
 
-/// Settings of this process.
+/// Reads the settings of this process.
 pub fn from_process() -> Result<Parsed, SettingsError> {
     let args: Args = argh::from_env();
     let env = |name: &str| std::env::var(format!("{ENV}{name}")).ok();
@@ -147,7 +152,8 @@
     }
 }
 
-/// Settings from flags and an environment.
+/// Resolves settings from flags and environment variables. With `print`, returns their listing
+/// instead.
 pub fn resolve(
     role: &str,
     flags: Flags,
@@ -156,8 +162,8 @@
 ) -> Result<Parsed, SettingsError> {
     let mut r = Reader::new(flags, &env);
     match r.settings(role) {
-        Some(_) if print => Ok(Parsed::Print(r.seen)),
-        Some(s) if r.wrong.is_empty() => Ok(Parsed::Run(Box::new(s))),
-        _ => Err(SettingsError(r.wrong)),
+        Some(_) if print => Ok(Parsed::Print(r.listing)),
+        Some(s) if r.invalid.is_empty() => Ok(Parsed::Run(Box::new(s))),
+        _ => Err(SettingsError(r.invalid)),
     }
 }
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -1,7 +1,7 @@
-//! From text to settings: flag, or else variable, or else default.
+//! Parsing of settings: the flag, else the environment variable, else the default.
 //!
-//! A fault doesn't end the reading, so that an operator hears of all of them at once instead of one
-//! a start.
+//! Reading continues after an invalid setting, so that all of them are reported together instead of
+//! one per start.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -12,40 +12,40 @@
 use spdlog::{Level, LevelFilter};
 use wire::{Key, Keys};
 
-use crate::settings::{Entry, Flags, Role, Settings, Sidecar, Wrong};
+use crate::settings::{Entry, Flags, InvalidSetting, Role, Settings, Sidecar};
 
-/// Where a process listens if it isn't told: on the loopback interface, at a free port.
-const ANY: &str = "127.0.0.1:0";
-/// What is wanted of an address.
+/// Default address to listen on: the loopback interface, any free port.
+const ANY_PORT: &str = "127.0.0.1:0";
+/// Description of a valid address.
 const ADDRESS: &str = "an address and port";
 
-/// Looks settings up, and notes each that it saw and each that was wrong.
+/// Looks up settings, lists their values and collects the invalid ones.
 pub(super) struct Reader<'a> {
     flags: Flags,
     env: &'a dyn Fn(&str) -> Option<String>,
-    /// Faults so far.
-    pub(super) wrong: Vec<Wrong>,
-    /// Settings in force so far, one a line; secrets aren't among them.
-    pub(super) seen: String,
+    /// Invalid settings so far.
+    pub(super) invalid: Vec<InvalidSetting>,
+    /// Settings read so far, one per line, without secrets.
+    pub(super) listing: String,
 }
 
 impl<'a> Reader<'a> {
-    /// Nothing read yet.
+    /// Reader of these flags and environment variables.
     pub(super) fn new(flags: Flags, env: &'a dyn Fn(&str) -> Option<String>) -> Self {
         Self {
             flags,
             env,
-            wrong: Vec::new(),
-            seen: String::new(),
+            invalid: Vec::new(),
+            listing: String::new(),
         }
     }
 
-    /// The settings of a role, unless any is wrong.
+    /// Reads the settings of a role; none if any of them can't be parsed.
     pub(super) fn settings(&mut self, role: &str) -> Option<Settings> {
-        let peer = self.value("peer_listen", ANY, ADDRESS);
+        let peer = self.value("peer_listen", ANY_PORT, ADDRESS);
         let announce = self.list("peer_announce");
-        let gossip = self.value("gossip_listen", ANY, ADDRESS);
-        let admin = self.value("admin_listen", ANY, ADDRESS);
+        let gossip = self.value("gossip_listen", ANY_PORT, ADDRESS);
+        let admin = self.value("admin_listen", ANY_PORT, ADDRESS);
         let host = self.value("host", "localhost", "a name");
         let domain = self.value("domain", "local", "a name");
         let region = self.value("region", "local", "a name");
@@ -81,44 +81,44 @@
         })
     }
 
-    /// A setting's text: flag, variable or default.
+    /// Text of a setting: the flag, the environment variable or the default.
     fn text(&mut self, name: &str, default: &str) -> String {
         let mut flags = self.flags.iter();
         let flag = flags.find(|(n, _)| *n == name);
         let flag = flag.and_then(|(_, v)| v.clone());
         let value = flag.or_else(|| (self.env)(&name.to_uppercase()));
         let value = value.unwrap_or_else(|| default.to_owned());
-        let _ = writeln!(self.seen, "{} = {value:?}", name.replace('_', "-"));
+        let _ = writeln!(self.listing, "{} = {value:?}", name.replace('_', "-"));
         value
     }
 
-    /// A setting of any type that is read from text.
-    fn value<T: FromStr>(&mut self, name: &str, default: &str, wanted: &str) -> Option<T> {
+    /// Value of a setting, parsed from its text.
+    fn value<T: FromStr>(&mut self, name: &str, default: &str, expected: &str) -> Option<T> {
         let text = self.text(name, default);
         text.parse()
-            .map_err(|_| self.fault(name, &text, wanted))
+            .map_err(|_| self.reject(name, &text, expected))
             .ok()
     }
 
-    /// Addresses, separated by commas.
+    /// Value of a setting with addresses separated by commas.
     fn list(&mut self, name: &str) -> Option<Vec<SocketAddr>> {
         let text = self.text(name, "");
         let parts = text.split(',').map(str::trim).filter(|p| !p.is_empty());
         let all: Result<Vec<_>, _> = parts.map(str::parse).collect();
-        all.map_err(|_| self.fault(name, &text, "addresses and ports, separated by commas"))
+        all.map_err(|_| self.reject(name, &text, "addresses and ports, separated by commas"))
             .ok()
     }
 
-    /// The least severe level that is logged.
+    /// The minimum severity that is logged.
     fn level(&mut self) -> Option<LevelFilter> {
         let text = self.text("log_level", "info");
         let level = Level::from_str(&text).map(LevelFilter::MoreSevereEqual);
         level
-            .map_err(|_| self.fault("log_level", &text, "a log level"))
+            .map_err(|_| self.reject("log_level", &text, "a log level"))
             .ok()
     }
 
-    /// A secret from the environment, or else from the file that a setting names.
+    /// A secret from an environment variable, or else from the file that the setting `file` names.
     fn secret(&mut self, variable: &str, file: &str) -> Option<String> {
         let path = self.text(file, "");
         if let Some(s) = (self.env)(variable) {
@@ -130,19 +130,19 @@
         match std::fs::read_to_string(&path) {
             Ok(s) => Some(s.trim().to_owned()),
             Err(e) => {
-                self.fault(file, &path, &format!("a readable file ({e})"));
+                self.reject(file, &path, &format!("a readable file ({e})"));
                 None
             }
         }
     }
 
-    /// The fleet's keys.
+    /// The keys of the fleet.
     fn keys(&mut self) -> Option<Keys> {
         let first = self.secret("KEY", "key_file");
         let old = self.secret("OLD_KEY", "old_key_file");
         let Some(first) = first else {
-            let wanted = "the fleet's key, here or in CLEMENTINESTEP_KEY";
-            self.fault("key-file", "", wanted);
+            let expected = "the fleet's key, here or in CLEMENTINESTEP_KEY";
+            self.reject("key-file", "", expected);
             return None;
         };
         let first = self.key("key-file", first);
@@ -153,18 +153,22 @@
         Some(Keys::new(first?, old))
     }
 
-    /// One key; a secret is never shown in a fault.
+    /// Parses a key. Its value isn't shown if it is invalid.
     fn key(&mut self, name: &str, hex: String) -> Option<Key> {
         let key = Key::from_hex(hex);
-        key.map_err(|_| self.fault(name, "(secret)", "64 hexadecimal digits"))
+        key.map_err(|_| self.reject(name, "(secret)", "64 hexadecimal digits"))
             .ok()
     }
 
-    /// What only an entry has.
+    /// Settings of the entry role.
     fn entry(&mut self) -> Option<Entry> {
-        let listen = self.value("listen", ANY, ADDRESS);
+        let listen = self.value("listen", ANY_PORT, ADDRESS);
         let max_body = self.value("max_body", "4194304", "a number of bytes");
-        let policy = self.value("policy", "ours", "ours or a baseline");
+        let policy = self.value(
+            "policy",
+            "ours",
+            "ours, round-robin, least-loaded or consistent-hash",
+        );
         let operator_key = self.secret("OPERATOR_KEY", "operator_key_file");
         Some(Entry {
             listen: listen?,
@@ -174,37 +178,37 @@
         })
     }
 
-    /// What only a sidecar has.
+    /// Settings of the sidecar role.
     fn sidecar(&mut self) -> Option<Sidecar> {
         let target = self.text("target", "");
-        let bare = target
+        let address = target
             .trim_start_matches("http://")
             .trim_end_matches('/')
             .parse();
-        let target = bare
-            .map_err(|_| self.fault("target", &target, "http:// and an address and port"))
+        let target = address
+            .map_err(|_| self.reject("target", &target, "http:// and an address and port"))
             .ok();
         let pool: Option<String> = self.value("pool", "", "a pool's name");
-        let empty = pool.as_deref() == Some("");
-        if empty {
-            self.fault("pool", "", "a pool's name");
+        let is_empty = pool.as_deref() == Some("");
+        if is_empty {
+            self.reject("pool", "", "a pool's name");
         }
         let kind = self.value("kind", "model", "model or plain");
         let slots = self.value("slots", "64", "a number");
         Some(Sidecar {
             target: target?,
-            pool: pool.filter(|_| !empty)?,
+            pool: pool.filter(|_| !is_empty)?,
             kind: kind?,
             slots: slots?,
         })
     }
 
-    /// Notes a setting that is wrong.
-    fn fault(&mut self, name: &str, value: &str, wanted: &str) {
-        self.wrong.push(Wrong {
+    /// Records an invalid setting.
+    fn reject(&mut self, name: &str, value: &str, expected: &str) {
+        self.invalid.push(InvalidSetting {
             name: name.replace('_', "-"),
             value: value.to_owned(),
-            wanted: wanted.to_owned(),
+            expected: expected.to_owned(),
         });
     }
 }
--- a/crates/daemon/src/trace.rs
+++ b/crates/daemon/src/trace.rs
@@ -1,7 +1,7 @@
-//! Traces: a span for each hop of a request, joined by the W3C trace context.
+//! Tracing: a span for each hop of a request, linked by the W3C trace context.
 //!
-//! Spans are written to a file as they end, one JSON object a line, by `tracing-subscriber`; no
-//! collector is needed. Without `--trace-file` spans cost a branch each.
+//! `tracing-subscriber` writes each span to a file when it ends, as one JSON object per line, so
+//! no collector is needed. Without `--trace-file`, a span costs one branch.
 
 use std::fmt;
 use std::fs::File;
@@ -12,20 +12,20 @@
 
 use crate::settings::Settings;
 
-/// Name of the header that carries the context.
+/// Header that carries the context.
 pub const HEADER: &str = "traceparent";
 
-/// Where in a trace a request is: the trace, and the span that is the parent of what follows.
+/// Position in a trace: the trace, and the span that is the parent of the next spans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Context {
-    /// The whole request's trace.
+    /// Id of the trace.
     pub trace: u128,
-    /// The last span.
+    /// Id of the span.
     pub span: u64,
 }
 
 impl Context {
-    /// A new trace.
+    /// Context of a new trace.
     pub fn random() -> Self {
         Self {
             trace: rand::random::<u128>() | 1,
@@ -33,21 +33,21 @@
         }
     }
 
-    /// The context in a header; none if it isn't well formed.
+    /// Parses a header; none if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('-');
         let (version, trace) = (parts.next()?, parts.next()?);
         let (span, flags) = (parts.next()?, parts.next()?);
         let hex = |s: &str, n| s.len() == n && s.bytes().all(|b| b.is_ascii_hexdigit());
-        let good = hex(version, 2) && version != "ff" && hex(trace, 32) && hex(span, 16);
-        let found = Self {
+        let valid = hex(version, 2) && version != "ff" && hex(trace, 32) && hex(span, 16);
+        let context = Self {
             trace: u128::from_str_radix(trace, 16).ok()?,
             span: u64::from_str_radix(span, 16).ok()?,
         };
-        (good && hex(flags, 2) && found.trace != 0 && found.span != 0).then_some(found)
+        (valid && hex(flags, 2) && context.trace != 0 && context.span != 0).then_some(context)
     }
 
-    /// The context for a span below this one.
+    /// Context of a new child span.
     pub fn child(self) -> Self {
         Self {
             span: Self::random().span,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A span named `$name` whose context is `$cx` and whose parent is `$parent`.
+/// Creates a span named `$name` with the context `$cx` and the parent `$parent`.
 #[macro_export]
 macro_rules! hop {
     ($name:literal, $parent:expr, $cx:expr $(, $key:ident = $value:expr)*) => {
@@ -76,7 +76,7 @@
     };
 }
 
-/// Writes spans to the file that the settings name, if any.
+/// Starts writing spans to the trace file, if the settings name one.
 pub fn init(settings: &Settings) -> io::Result<()> {
     let Some(path) = &settings.trace_file else {
         return Ok(());
--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -1,4 +1,4 @@
-//! What traffic threads know of the fleet: an immutable snapshot, replaced as a whole.
+//! Immutable snapshot of the fleet for the traffic threads, replaced as a whole.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,55 +12,57 @@
 use rules::RuleSet;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A snapshot of configuration and places.
+/// Snapshot of the configuration, and of hosts and targets.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Version of the configuration in force; 0 if there is none.
     pub version: Version,
     /// The configuration in force.
     pub rules: Option<Arc<RuleSet>>,
-    /// Places and targets. A target keeps its key for as long as its sidecar lives.
+    /// Regions, failure domains, hosts, pools and targets. A target keeps its key as long as its
+    /// sidecar is a member.
     pub world: World,
     /// Failure domain of this process.
     pub domain: DomainKey,
-    /// Whether the members are known; a process that has just started knows only itself.
+    /// Whether the other members are known; a process that has just started knows only itself.
     pub joined: bool,
-    /// Live entries, this process included if it is one.
+    /// Number of live entries, including this process if it is one.
     pub entries: usize,
+    /// Keys of targets by the member id of their sidecar.
     targets: HashMap<MemberId, TargetKey>,
 }
 
-/// The snapshot that all threads share.
+/// The current snapshot, shared by all threads.
 pub type SharedView = Arc<ArcSwap<View>>;
 
 /// A target as its sidecar announces it.
 #[derive(Clone, Debug)]
 pub struct AnnouncedTarget {
-    /// The sidecar.
+    /// Member id of the sidecar.
     pub member: MemberId,
-    /// Its life.
+    /// Incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// Where it takes probes and exchanges.
+    /// Address for probes and exchanges.
     pub peer: SocketAddr,
-    /// Pool it serves.
+    /// Pool of the target.
     pub pool: String,
-    /// Host it runs on.
+    /// Host that the target runs on.
     pub host: String,
-    /// That host's failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// That domain's region.
+    /// Region of the failure domain.
     pub region: String,
-    /// Whether the platform has announced that the host goes.
+    /// Whether the platform has announced that the host will leave.
     pub leaving: bool,
 }
 
-/// Rank of a target, the same for all processes.
+/// Id of a target for rendezvous hashing, the same in all processes.
 pub fn rank(pool: &str, peer: SocketAddr) -> u64 {
     xxh3_64(format!("{pool}@{peer}").as_bytes())
 }
 
 impl View {
-    /// A view without targets, seen from a failure domain.
+    /// View without targets, of a process in this failure domain.
     pub fn new(domain: &str, region: &str) -> Self {
         let mut view = Self::default();
         view.domain = view.domain_key(domain, region);
@@ -71,7 +73,7 @@
     pub fn upsert(&mut self, a: AnnouncedTarget) -> bool {
         let pool = self.pool_key(&a.pool);
         let host = self.host_key(&a);
-        let turned = self.set_leaving(host, a.leaving);
+        let leaving_changed = self.set_leaving(host, a.leaving);
         let old = self
             .targets
             .get(&a.member)
@@ -79,7 +81,7 @@
         if let Some(t) = old {
             let same = t.exchange == a.peer && t.pool == pool;
             (t.exchange, t.probe, t.pool, t.incarnation) = (a.peer, a.peer, pool, a.incarnation);
-            return !same || turned;
+            return !same || leaving_changed;
         }
         let target = Target {
             pool,
@@ -101,12 +103,13 @@
         key.and_then(|k| self.world.targets.remove(k)).is_some()
     }
 
-    /// Notes whether a host goes; true if that is news.
+    /// Sets whether a host will leave; true if that changed.
     fn set_leaving(&mut self, host: HostKey, leaving: bool) -> bool {
         let host = self.world.hosts.get_mut(host);
         host.is_some_and(|h| std::mem::replace(&mut h.leaving, leaving) != leaving)
     }
 
+    /// Key of a target's host, which is added if unknown.
     fn host_key(&mut self, a: &AnnouncedTarget) -> HostKey {
         let domain = self.domain_key(&a.domain, &a.region);
         let hosts = &mut self.world.hosts;
@@ -123,6 +126,7 @@
         })
     }
 
+    /// Key of a failure domain; it and its region are added if unknown.
     fn domain_key(&mut self, domain: &str, region: &str) -> DomainKey {
         let name = region.to_owned();
         let regions = &mut self.world.regions;
@@ -140,6 +144,7 @@
         found.unwrap_or_else(|| domains.insert(Domain { name, region }))
     }
 
+    /// Key of a pool, which is added if unknown.
     fn pool_key(&mut self, name: &str) -> PoolKey {
         let found = self.world.pool(name);
         found.unwrap_or_else(|| {
