--- a/crates/daemon/src/entry/admin.rs
+++ b/crates/daemon/src/entry/admin.rs
@@ -23,9 +23,9 @@
 use crate::entry::Context;
 use crate::membership::{Command, Status};
 
-/// Maximum number of checks whether the members are known.
+/// Maximum number of checks whether this entry has joined the fleet.
 const JOIN_CHECKS: u32 = 50;
-/// Time between two of these checks.
+/// Time between two checks whether this entry has joined the fleet.
 const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Deserialize)]
@@ -91,7 +91,7 @@
     let given = req.headers().get("authorization").map(|v| v.as_bytes());
     let given = given.and_then(|v| v.strip_prefix(b"Bearer "));
     match (&cx.role.operator_key, given) {
-        // Comparing hashes takes the same time for keys of any length.
+        // Hashes are compared in constant time, whatever the lengths of the keys.
         (Some(key), Some(given)) => blake3::hash(key.as_bytes()) == blake3::hash(given),
         _ => false,
     }
--- a/crates/daemon/src/entry/baseline.rs
+++ b/crates/daemon/src/entry/baseline.rs
@@ -34,7 +34,7 @@
     Ok(without_offers(view, offers.into_iter().map(|(t, _)| t)))
 }
 
-/// Uses all targets in rotation.
+/// Orders targets so that each is first in rotation.
 pub(super) fn round_robin(cx: &Context, view: &View, peers: &[Peer]) -> Vec<Candidate> {
     let mut m = cx.memory.lock();
     m.round_robin += 1;
--- a/crates/daemon/src/entry/by_probes.rs
+++ b/crates/daemon/src/entry/by_probes.rs
@@ -57,7 +57,7 @@
     rounds.fallback(view, criteria)
 }
 
-/// Input of `policy::probe_placement`. Also records the prompt as requested.
+/// Input of `policy::probe_placement`. Also records the request in the memory of recent prefixes.
 fn placement_request(
     cx: &Context,
     view: &View,
@@ -87,13 +87,13 @@
     probe_placement::replicas_to_probe(config, &criteria.chain, unprobed, &m.recent, &mut m.rng)
 }
 
-/// Results of the rounds of probes so far, none of which led to a choice.
+/// Results of the finished rounds of probes, none of which led to a choice.
 struct Rounds {
     /// Targets that may take the request without an offer.
     eligible: Vec<Peer>,
     /// Whether any target serves but is full.
     full: bool,
-    /// Shortest time after which a sidecar may be asked again.
+    /// Shortest time after which a sidecar may be probed again.
     retry: Option<Micros>,
 }
 
--- a/crates/daemon/src/entry/drive.rs
+++ b/crates/daemon/src/entry/drive.rs
@@ -1,8 +1,8 @@
 //! Drives one request to its end: attempts at one replica after another, then the answer.
 //!
-//! [`crate::entry::attempt`] has the exchange with one replica. This module has what spans several
-//! attempts: which replicas were tried, whether another attempt is allowed, and the error that the
-//! caller gets if none is.
+//! [`crate::entry::attempt`] runs the exchange with one replica. This module handles what concerns
+//! several attempts: which replicas were tried, whether another attempt is allowed, and the error
+//! for the caller if it isn't.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -131,7 +131,7 @@
         self.fail(failure).await;
     }
 
-    /// The best replica that has had no attempt.
+    /// The best replica that hasn't been tried.
     async fn pick(&self) -> Result<Option<Candidate>, Failure> {
         let view = self.cx.view.load_full();
         let probe = self.hop.child();
@@ -192,9 +192,9 @@
         memory.budget.allow_retry(now, &f).is_ok()
     }
 
-    /// Time until which an attempt may start its answer. The job's deadline holds only until the
-    /// answer has started: otherwise a failure of the engine would end
-    /// every stream that runs past it.
+    /// Time by which an attempt has to start its answer. The job's deadline applies only until the
+    /// caller has the start of its answer: otherwise a stream that runs past the deadline would be
+    /// lost if its engine failed.
     pub(super) fn deadline(&self) -> Instant {
         match self.sink.is_started() {
             true => Instant::now() + CONTINUE_TIMEOUT,
--- a/crates/daemon/src/entry/limits.rs
+++ b/crates/daemon/src/entry/limits.rs
@@ -2,7 +2,7 @@
 //!
 //! A limit holds for the whole fleet, and each entry enforces an equal part of it. The number of
 //! entries comes from membership. Equal parts fit callers that reach the entries through a load
-//! balancer; a team that sends to one entry only gets that entry's part only.
+//! balancer; a team that sends to a single entry gets only that entry's part.
 
 use std::collections::HashMap;
 
--- a/crates/daemon/src/entry/pick.rs
+++ b/crates/daemon/src/entry/pick.rs
@@ -1,6 +1,6 @@
 //! Choosing the sidecars that a request is sent to, in order of preference.
 //!
-//! This module has what all policies share: the usable targets of a pool, probes to their
+//! This module contains what all policies share: the usable targets of a pool, probes to their
 //! sidecars, and the refusal if there is no target.
 
 use std::net::SocketAddr;
@@ -72,8 +72,8 @@
     }
 }
 
-/// Targets of the pool that have had no attempt. Placement by probes uses the healthy ones among
-/// them only.
+/// Targets of the pool that haven't been tried. Placement by probes omits ejected targets, unless
+/// all are ejected.
 fn usable_targets(
     cx: &Context,
     view: &View,
@@ -97,15 +97,15 @@
     }
     let usable = |p: &&Peer| memory.health.usable(now, p.target) != Use::Out;
     let healthy: Vec<_> = all.iter().filter(usable).copied().collect();
-    // Slow targets are better than none.
+    // Ejected targets are better than none.
     match healthy.is_empty() {
         true => all,
         false => healthy,
     }
 }
 
-/// Points of the prompt that probes ask about. They include the longest prefix that this entry
-/// has seen in other requests.
+/// Points of the prompt's chain that probes contain. They include the end of the longest prefix
+/// that this entry has seen in other requests.
 pub(super) fn marks(cx: &Context, criteria: &Criteria) -> Marks {
     let memory = cx.memory.lock();
     let known = memory
--- a/crates/daemon/src/settings/args.rs
+++ b/crates/daemon/src/settings/args.rs
@@ -77,7 +77,7 @@
             /// file for trace spans, one JSON object per line
             #[argh(option)]
             trace_file: Option<String>,
-            /// how long late requests are expected during a shutdown, in milliseconds (default 5000)
+            /// how long a shutdown expects late requests, in milliseconds (default 5000)
             #[argh(option)]
             notice_ms: Option<String>,
             /// print the settings in force and exit
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -23,9 +23,9 @@
 pub(super) struct Reader<'a> {
     flags: Flags,
     env: &'a dyn Fn(&str) -> Option<String>,
-    /// Invalid settings so far.
+    /// Invalid settings found.
     pub(super) invalid: Vec<InvalidSetting>,
-    /// Settings read so far, one per line, without secrets.
+    /// Listing of the settings, one per line, without secrets.
     pub(super) listing: String,
 }
 
--- a/crates/daemon/src/view.rs
+++ b/crates/daemon/src/view.rs
@@ -56,7 +56,7 @@
     pub leaving: bool,
 }
 
-/// Id of a target for rendezvous hashing, the same in all processes.
+/// Input of rendezvous hashing for a target, the same in all processes and across restarts.
 pub fn rank(pool: &str, peer: SocketAddr) -> u64 {
     xxh3_64(format!("{pool}@{peer}").as_bytes())
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Team limits and the configuration's feature tables, as an entry and a sidecar follow them.
+//! Rate limits of teams, and the configuration's feature tables as entries and sidecars apply them.
 
 use daemon::entry::limits::{LimitedRequest, Limits};
 use daemon::policy_configs::PolicyConfigs;
@@ -7,7 +7,7 @@
 
 const NOW: Micros = Micros::from_secs(10);
 
-/// Requests that come at one moment, and how many of them pass.
+/// Requests that arrive at the same moment, and how many of them pass.
 struct Case {
     what: &'static str,
     team: Allowed,
@@ -31,9 +31,9 @@
     }
 }
 
-/// A team's client goes wrong and sends without pause. Without its limit it would take the places
-/// and the cache that other teams need; with one entry's part too large, many entries together
-/// would let through a multiple.
+/// A faulty client of a team sends without pause. Without a limit, it takes the queue slots and the
+/// cache that other teams need. If each entry's part of the limit were too large, all entries
+/// together would admit a multiple of the limit.
 #[test]
 fn a_team_gets_two_seconds_of_its_limit_at_once() {
     let none = Allowed::default();
@@ -57,7 +57,7 @@
         let all = (0..50).map(|_| limits.take(NOW, sent, &c.team, &c.rule));
         let (good, bad): (Vec<_>, Vec<_>) = all.partition(Result::is_ok);
         assert_eq!(good.len(), c.passes, "{}", c.what);
-        // Whoever is refused is told when to come back, and then passes.
+        // A refused request passes after the returned wait.
         let wait = bad.first().map_or(Micros::ZERO, |w| w.unwrap_err());
         assert!(
             limits.take(NOW + wait, sent, &c.team, &c.rule).is_ok(),
@@ -76,8 +76,8 @@
     }
 }
 
-/// An operator changes a figure and sees it accepted. If it didn't reach the module that it is
-/// named after, nothing would say so.
+/// Each value of a feature table reaches the policy module that the table is named after. Otherwise
+/// a change by an operator would be accepted without effect.
 #[test]
 fn feature_tables_reach_their_modules() {
     let text = "[place]\nprobes = 3\n[reserve]\nhold = \"70ms\"\n\
@@ -113,8 +113,8 @@
     assert_eq!((q.strikes, q.lasts, q.kept), (2, secs(60), 8));
 }
 
-/// A figure of a module is changed after a measurement, and its table in the configuration keeps
-/// the old one. Every process would then follow the old one, whatever was measured.
+/// The defaults of a feature table equal those of its module. If only the module's default were
+/// changed, every process would still use the table's old value.
 #[test]
 fn defaults_of_the_tables_are_the_modules_own() {
     let t = PolicyConfigs::from(&rules::Config::default());
@@ -128,7 +128,7 @@
         format!("{:?}", policy::health::Config::default()),
         format!("{:?}", policy::quarantine::Config::default()),
     ];
-    let told = [
+    let from_tables = [
         format!("{:?}", t.placement),
         format!("{:?}", t.reserve),
         format!("{:?}", t.admit),
@@ -138,7 +138,7 @@
         format!("{:?}", t.health),
         format!("{:?}", t.quarantine),
     ];
-    for (told, own) in told.iter().zip(&own) {
-        assert_eq!(told, own);
+    for (from_table, own) in from_tables.iter().zip(&own) {
+        assert_eq!(from_table, own);
     }
 }
