--- a/crates/daemon/src/crash_report.rs
+++ b/crates/daemon/src/crash_report.rs
@@ -97,8 +97,8 @@
     }
 }
 
-/// How many times a crash is reported. One report misses a given member in about 2 % of cases,
-/// all three in about 0.001 %.
+/// How many times a crash is reported. One report misses a given member in about 2% of cases,
+/// all three in about 0.001%.
 pub const REPORTS: u32 = 3;
 /// Time between two reports of a crash, in which a report reaches the fleet: each member passes it
 /// on to two others every 200 ms.
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -30,7 +30,7 @@
 use crate::view::{AnnouncedTarget, SharedView, View};
 use crate::{clock, meter, view};
 
-/// Mean time between two reads of the host list, which is older than that anyway.
+/// Mean time between two reads of the host list. The list itself lags by more than that.
 const HOSTS_INTERVAL: Duration = Duration::from_secs(10);
 /// Maximum size of a gossip datagram; longer ones are truncated.
 const MAX_DATAGRAM: usize = 2_048;
