--- a/crates/daemon/src/sidecar/claim.rs
+++ b/crates/daemon/src/sidecar/claim.rs
@@ -80,7 +80,7 @@
         token: hex(&open.token),
         address: cx.address.to_string(),
         incarnation: cx.incarnation,
-        since: clock::epoch(),
+        since: clock::unix_seconds(),
         body: digest(open),
     }
 }
--- a/crates/daemon/src/sidecar/control/fleet.rs
+++ b/crates/daemon/src/sidecar/control/fleet.rs
@@ -12,12 +12,12 @@
 
 use super::Control;
 use crate::clock;
+use crate::crash_report::{self, CrashReport};
 use crate::log;
-use crate::mark::{self, Mark};
 use crate::meter;
+use crate::policy_configs::PolicyConfigs;
 use crate::sidecar::probe;
 use crate::sidecar::scheduler::{Finding, RunKey};
-use crate::tune::Tuning;
 
 impl Control {
     /// Handles a sealed datagram; returns the sealed answer, if there is one.
@@ -79,7 +79,7 @@
                 .record_crashes(now, s.fingerprint, &s.crashes);
             self.report_conviction(now, mark);
             let claim = Claim {
-                fingerprint: mark::print(s.fingerprint),
+                fingerprint: crash_report::fingerprint(s.fingerprint),
                 rank: s.rank,
             };
             let f = self.scheduler.answer_claim(now, i.from, claim);
@@ -118,11 +118,11 @@
     }
 
     /// Reports a request to the fleet if crashes here and elsewhere convict it.
-    fn report_conviction(&mut self, now: Micros, mark: Option<Mark>) {
+    fn report_conviction(&mut self, now: Micros, mark: Option<CrashReport>) {
         let Some(mark) = mark else { return };
         spdlog::warn!(
             logger: log::sidecar(),
-            "request {:016x} is convicted by crashes of several targets", mark.print
+            "request {:016x} is convicted by crashes of several targets", mark.fingerprint
         );
         self.mark_updates.add(now, mark);
     }
@@ -148,7 +148,7 @@
         };
         spdlog::warn!(
             logger: log::sidecar(),
-            "target died under request {:016x}, convicted: {}", mark.print, mark.convicted
+            "target died under request {:016x}, convicted: {}", mark.fingerprint, mark.convicted
         );
         self.mark_updates.add(now, mark);
     }
@@ -156,13 +156,14 @@
     /// Records the marks that other processes have spread.
     pub(super) fn receive_marks(&mut self) {
         let now = clock::now();
-        while let Some(c) = self.membership.convicted() {
-            let mark = Mark::decode(c.fingerprint);
+        while let Some(c) = self.membership.take_conviction() {
+            let mark = CrashReport::decode(c.fingerprint);
             if self.scheduler.receive_mark(now, mark, c.until) {
                 // Two copies sent at the same time crashed one target each, and perhaps no other
                 // process has received both marks.
                 let convicted = true;
-                self.mark_updates.add(now, Mark { convicted, ..mark });
+                self.mark_updates
+                    .add(now, CrashReport { convicted, ..mark });
             }
         }
     }
@@ -177,7 +178,8 @@
         if let Some(rules) = &view.rules {
             let config = rules.config();
             let pool_limit = config.pool.get(&self.pool).and_then(|p| p.concurrency);
-            self.scheduler.tune(&Tuning::from(config), pool_limit);
+            self.scheduler
+                .tune(&PolicyConfigs::from(config), pool_limit);
         }
     }
 }
--- a/crates/daemon/src/sidecar/control/mod.rs
+++ b/crates/daemon/src/sidecar/control/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::clock;
 use crate::log;
-use crate::member::{self, Me, Membership};
+use crate::membership::{self, LocalMember, Membership};
 use crate::meter;
 use crate::settings::{Settings, Sidecar};
 use crate::sidecar::control_channel::{
@@ -34,7 +34,7 @@
 };
 use crate::sidecar::mark_updates::MarkUpdates;
 use crate::sidecar::scheduler::{EngineState, Refusal, Scheduler};
-use crate::view::{self, Shared, View};
+use crate::view::{self, SharedView, View};
 
 /// Longest sleep of the control thread.
 const MAX_SLEEP: Duration = Duration::from_millis(250);
@@ -47,7 +47,7 @@
     /// Settings of the role.
     pub role: Sidecar,
     /// This process as it joins the fleet.
-    pub me: Me,
+    pub me: LocalMember,
     /// Socket for probes.
     pub probe_socket: std::net::UdpSocket,
     /// Socket for membership.
@@ -55,11 +55,11 @@
     /// Receives messages from the traffic threads.
     pub endpoint: ControlEndpoint,
     /// Where the view of the fleet is published.
-    pub view: Shared,
+    pub view: SharedView,
     /// Receives requests to the membership from other threads.
-    pub member_requests: mpsc::UnboundedReceiver<member::Ask>,
+    pub member_requests: mpsc::UnboundedReceiver<membership::Command>,
     /// Sends requests to the membership.
-    pub member_sender: member::Asker,
+    pub member_sender: membership::CommandSender,
 }
 
 /// Starts the control thread.
@@ -77,7 +77,7 @@
     let s = start;
     let udp = UdpSocket::from_std(s.probe_socket)?;
     let gossip = UdpSocket::from_std(s.gossip_socket)?;
-    let incarnation = s.me.life;
+    let incarnation = s.me.incarnation;
     let rank = view::rank(&s.role.pool, s.me.peer);
     let notice = s.settings.notice.into();
     let shared = Arc::clone(&s.view);
@@ -112,7 +112,7 @@
     liveness: Liveness,
     drain: Drain,
     membership: Membership,
-    member_sender: member::Asker,
+    member_sender: membership::CommandSender,
     endpoint: ControlEndpoint,
     /// Marks of requests that crashed the target, to be sent to the fleet.
     mark_updates: MarkUpdates,
@@ -120,7 +120,7 @@
     pool: String,
     /// Notified once nothing runs at the target.
     quiesced: Option<oneshot::Sender<()>>,
-    view: Shared,
+    view: SharedView,
     /// Version of the configuration that the scheduler uses.
     version: Version,
     /// Rank of this target, which identifies it in the pool.
@@ -245,7 +245,7 @@
             match action {
                 drain::Action::Announce => {
                     spdlog::info!(logger: log::sidecar(), "leaving, new requests are refused");
-                    let _ = self.member_sender.send(member::Ask::Leave);
+                    let _ = self.member_sender.send(membership::Command::Leave);
                 }
                 drain::Action::GiveBack => {
                     let removed = self.scheduler.leave();
--- a/crates/daemon/src/sidecar/mark_updates.rs
+++ b/crates/daemon/src/sidecar/mark_updates.rs
@@ -6,19 +6,19 @@
 use fleet::Conviction;
 use model::Micros;
 
-use crate::mark::{self, Mark};
-use crate::member;
+use crate::crash_report::{self, CrashReport};
+use crate::membership;
 
 /// Marks that are still being sent.
 #[derive(Debug)]
 pub struct MarkUpdates {
-    member_sender: member::Asker,
+    member_sender: membership::CommandSender,
     pending: Vec<Update>,
 }
 
 #[derive(Debug)]
 struct Update {
-    mark: Mark,
+    mark: CrashReport,
     /// When the mark is sent next.
     next_send: Micros,
     /// Number of rounds left.
@@ -27,7 +27,7 @@
 
 impl MarkUpdates {
     /// Creates an empty set of updates.
-    pub fn new(member_sender: member::Asker) -> Self {
+    pub fn new(member_sender: membership::CommandSender) -> Self {
         let pending = Vec::new();
         Self {
             member_sender,
@@ -36,11 +36,11 @@
     }
 
     /// Sends the mark of a suspect or a convicted request now and in the following rounds.
-    pub fn add(&mut self, now: Micros, mark: Mark) {
+    pub fn add(&mut self, now: Micros, mark: CrashReport) {
         self.pending.push(Update {
             mark,
             next_send: now,
-            rounds_left: mark::ROUNDS,
+            rounds_left: crash_report::REPORTS,
         });
         self.send_due(now);
     }
@@ -49,14 +49,16 @@
     pub fn send_due(&mut self, now: Micros) {
         for update in self.pending.iter_mut().filter(|u| u.next_send <= now) {
             update.rounds_left -= 1;
-            update.next_send = now + mark::ROUND.into();
+            update.next_send = now + crash_report::REPORT_INTERVAL.into();
             // A later expiry makes the mark new to members that have it already, so that they
             // spread it again.
             let conviction = Conviction {
                 fingerprint: update.mark.encode(),
-                until: now + mark::lasts(),
+                until: now + crash_report::strike_duration(),
             };
-            let _ = self.member_sender.send(member::Ask::Convict(conviction));
+            let _ = self
+                .member_sender
+                .send(membership::Command::Convict(conviction));
         }
         self.pending.retain(|u| u.rounds_left > 0);
     }
--- a/crates/daemon/src/sidecar/mod.rs
+++ b/crates/daemon/src/sidecar/mod.rs
@@ -28,8 +28,8 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::mpsc;
 
-use crate::member::{self, Me};
-use crate::process::{self, stopped, Ready};
+use crate::membership::{self, LocalMember};
+use crate::process::{self, stop_signal, Ready};
 use crate::settings::{Kind, Settings, Sidecar};
 use crate::{admin, clock, log, peer};
 use control::Start;
@@ -40,11 +40,11 @@
 /// Runs until the process is told to stop and all exchanges have ended.
 pub fn run(settings: &Settings, role: &Sidecar) -> io::Result<()> {
     let start = start(settings.clone(), role.clone());
-    process::traffic(settings.workers)?.block_on(start)
+    process::traffic_runtime(settings.workers)?.block_on(start)
 }
 
 async fn start(settings: Settings, role: Sidecar) -> io::Result<()> {
-    let incarnation = clock::life();
+    let incarnation = clock::incarnation();
     let (tcp, probes) = wire::bind_both(settings.peer).await?;
     let gossip = UdpSocket::bind(settings.gossip).await?;
     let admin = TcpListener::bind(settings.admin).await?;
@@ -57,14 +57,14 @@
     let announced = settings.announce.unwrap_or(ready.peer);
     let (mut control, endpoint) = control_channel::channel();
     let (member_sender, member_requests) = mpsc::unbounded_channel();
-    let view = member::empty_view();
+    let view = membership::empty_view();
     let thread = control::spawn(Start {
-        me: Me {
+        me: LocalMember {
             role: fleet::Role::Sidecar,
             peer: announced,
             admin: Some(ready.admin),
             pool: Some(role.pool.clone()),
-            life: incarnation,
+            incarnation,
         },
         settings: settings.clone(),
         role: role.clone(),
@@ -108,9 +108,9 @@
     ready.print();
     spdlog::info!(logger: log::sidecar(), "serving pool {} at {}", role.pool, ready.peer);
 
-    stopped().await;
+    stop_signal().await;
     control.send(ControlMessage::Stop);
     control.until_may_exit().await;
-    let _ = member_sender.send(member::Ask::Quit);
-    process::ended(thread).await
+    let _ = member_sender.send(membership::Command::Quit);
+    process::join_control(thread).await
 }
--- a/crates/daemon/src/sidecar/run.rs
+++ b/crates/daemon/src/sidecar/run.rs
@@ -67,7 +67,7 @@
     let ex = Exchange::new();
     let deadline = Instant::now() + Duration::from_millis(open.deadline);
     let enqueued = clock::now();
-    let parent = trace::Context::parse(&open.trace).unwrap_or_else(trace::Context::fresh);
+    let parent = trace::Context::parse(&open.trace).unwrap_or_else(trace::Context::random);
     let queue = hop!("queue", parent, parent.child(), request = open.request);
     let end = tokio::select! {
         r = slot::acquire(cx, &open).instrument(queue) => match r {
--- a/crates/daemon/src/sidecar/scheduler/dispatch.rs
+++ b/crates/daemon/src/sidecar/scheduler/dispatch.rs
@@ -10,7 +10,7 @@
 use prefix::Index;
 
 use super::{Granted, RunKey, Running, Scheduler, State, Waiting};
-use crate::mark;
+use crate::crash_report;
 use crate::settings::Kind;
 
 impl<G> Scheduler<G> {
@@ -41,7 +41,7 @@
             is_stream: waiting.request.is_stream,
             last_output: None,
             had_strikes: waiting.request.strikes > 0,
-            fingerprint: mark::print(waiting.request.fingerprint),
+            fingerprint: crash_report::fingerprint(waiting.request.fingerprint),
         });
         self.prefills_end = self.prefills_end.max(now) + prefill;
         self.utilization.set(now, self.computing_class());
--- a/crates/daemon/src/sidecar/scheduler/mod.rs
+++ b/crates/daemon/src/sidecar/scheduler/mod.rs
@@ -32,8 +32,8 @@
 use slab::Slab;
 use slotmap::SlotMap;
 
+use crate::policy_configs::PolicyConfigs;
 use crate::settings::Kind;
-use crate::tune::Tuning;
 use admission::refusal;
 use dispatch::current_engine_time;
 pub use types::{
@@ -159,7 +159,7 @@
     }
 
     /// Applies another configuration; `pool_limit` is the pool's limit on concurrent requests.
-    pub fn tune(&mut self, tuning: &Tuning, pool_limit: Option<u32>) {
+    pub fn tune(&mut self, tuning: &PolicyConfigs, pool_limit: Option<u32>) {
         self.slots = pool_limit.map_or(self.max_slots, |m| self.max_slots.min(m as usize));
         self.run_limit.set_config(tuning.concurrency);
         self.admission = tuning.admit;
--- a/crates/daemon/src/sidecar/scheduler/trials.rs
+++ b/crates/daemon/src/sidecar/scheduler/trials.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{Finding, RequestSpec, RunKey, Running, Scheduler, Waiting};
-use crate::mark::{self, Mark};
+use crate::crash_report::{self, CrashReport};
 
 /// Age up to which a run may still crash its engine at the start.
 const CRASH_AGE: Micros = Micros::from_secs(2);
@@ -45,7 +45,11 @@
 
     /// IDs of the crashes recorded for a request.
     pub fn crashes(&self, now: Micros, fingerprint: u64) -> Vec<u64> {
-        mark::crashes(&self.quarantine, now, mark::print(fingerprint))
+        crash_report::crash_ids(
+            &self.quarantine,
+            now,
+            crash_report::fingerprint(fingerprint),
+        )
     }
 
     /// Records crashes by their IDs; returns the mark to report to the fleet if they convict the
@@ -55,18 +59,18 @@
         now: Micros,
         fingerprint: u64,
         crashes: &[u64],
-    ) -> Option<Mark> {
+    ) -> Option<CrashReport> {
         let before = self.verdict(now, fingerprint);
-        let key = mark::print(fingerprint);
+        let key = crash_report::fingerprint(fingerprint);
         let mut last = None;
         for crash_id in crashes.iter().copied().filter(|c| *c != 0) {
-            let verdict = mark::strike(&mut self.quarantine, now, key, crash_id);
+            let verdict = crash_report::record_crash(&mut self.quarantine, now, key, crash_id);
             last = Some((crash_id, verdict));
         }
         let (crash_id, verdict) = last?;
         let convicted = verdict == Verdict::Convicted && before != verdict;
-        convicted.then_some(Mark {
-            print: fingerprint,
+        convicted.then_some(CrashReport {
+            fingerprint,
             convicted,
             crash: crash_id,
         })
@@ -81,7 +85,7 @@
         let running = self.running.iter().any(|(_, r)| runs(r));
         Finding {
             fingerprint: fingerprint.body as u64,
-            crashes: mark::crashes(&self.quarantine, now, fingerprint),
+            crashes: crash_report::crash_ids(&self.quarantine, now, fingerprint),
             busy: running || self.trials.outranks(claim),
             good: self.quarantine.recently_succeeded(now, fingerprint),
         }
@@ -94,8 +98,8 @@
         from: u64,
         query: Query,
         finding: &Finding,
-    ) -> Option<Mark> {
-        let fingerprint = mark::print(finding.fingerprint);
+    ) -> Option<CrashReport> {
+        let fingerprint = crash_report::fingerprint(finding.fingerprint);
         self.trials
             .answered(now, from, query, fingerprint, finding.busy);
         if finding.good && self.verdict(now, finding.fingerprint) != Verdict::Convicted {
@@ -117,7 +121,7 @@
 
     /// Verdict on a request from the crashes recorded here and at its entry.
     pub(super) fn request_verdict(&self, now: Micros, request: &RequestSpec) -> Verdict {
-        let fingerprint = mark::print(request.fingerprint);
+        let fingerprint = crash_report::fingerprint(request.fingerprint);
         match self.quarantine.verdict(now, fingerprint) {
             Verdict::Convicted => Verdict::Convicted,
             _ if self.quarantine.recently_succeeded(now, fingerprint) => Verdict::Clear,
@@ -134,7 +138,7 @@
             let Some(job) = self.held_suspects.pop_front() else {
                 break;
             };
-            let fingerprint = mark::print(job.payload.request.fingerprint);
+            let fingerprint = crash_report::fingerprint(job.payload.request.fingerprint);
             match self.request_verdict(now, &job.payload.request) {
                 _ if released.is_some() => self.held_suspects.push_back(job),
                 Verdict::Convicted => self.rejected.push(job.payload.grant),
--- a/crates/daemon/src/sidecar/slot.rs
+++ b/crates/daemon/src/sidecar/slot.rs
@@ -10,7 +10,7 @@
 use wire::Open;
 
 use crate::clock;
-use crate::mark;
+use crate::crash_report;
 use crate::sidecar::control_channel::ControlMessage;
 use crate::sidecar::run::Context;
 use crate::sidecar::scheduler::{Refusal, RequestSpec, RunKey};
@@ -92,7 +92,7 @@
         self.cx
             .control
             .send(ControlMessage::TargetCrashed(self.run));
-        mark::crash(MemberId(self.cx.incarnation), incarnation)
+        crash_report::crash_id(MemberId(self.cx.incarnation), incarnation)
     }
 
     /// Records that the target answered successfully.
--- a/crates/daemon/src/sidecar/weight_loader.rs
+++ b/crates/daemon/src/sidecar/weight_loader.rs
@@ -23,7 +23,7 @@
 use crate::log;
 use crate::sidecar::control_channel::{ControlHandle, ControlMessage, TargetReport};
 use crate::sidecar::feed;
-use crate::view::Shared;
+use crate::view::SharedView;
 
 /// Interval at which the engine's weights are compared with the configuration.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
     /// Pool of the engine.
     pub pool: String,
     /// View with the configuration in force.
-    pub view: Shared,
+    pub view: SharedView,
     /// Sends messages to the control thread.
     pub control: ControlHandle,
     /// The platform's table.
--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -2,7 +2,7 @@
 //! of crashes.
 
 use bytes::Bytes;
-use daemon::mark::{self, Mark};
+use daemon::crash_report::{self, CrashReport};
 use daemon::settings::Kind;
 use daemon::sidecar::scheduler::{
     EngineState, Finding, ProbeRequest, RequestSpec, RunKey, Scheduler, State,
@@ -184,12 +184,12 @@
         let mut s = scheduler();
         let mut before = false;
         for crash in c.received {
-            let mark = Mark {
-                print: 5,
+            let report = CrashReport {
+                fingerprint: 5,
                 convicted: false,
                 crash: *crash,
             };
-            before |= s.receive_mark(NOW, mark, FAR);
+            before |= s.receive_mark(NOW, report, FAR);
         }
         assert_eq!(before, c.convicted_before, "{}", c.case);
         assert_eq!(
@@ -202,10 +202,10 @@
             assert!(c.convicted_before, "{}", c.case);
             continue;
         };
-        let mark = s.record_crash(NOW, run).expect("the request runs");
-        assert_eq!(mark.convicted, c.convicted, "{}", c.case);
+        let report = s.record_crash(NOW, run).expect("the request runs");
+        assert_eq!(report.convicted, c.convicted, "{}", c.case);
         // The sidecar's own mark, sent back by others, changes nothing.
-        assert!(!s.receive_mark(NOW, mark, FAR), "{}", c.case);
+        assert!(!s.receive_mark(NOW, report, FAR), "{}", c.case);
         assert_eq!(
             enqueue(&mut s, request(5, 0), 2),
             !c.convicted,
@@ -263,8 +263,8 @@
         let step = s.next_query(NOW).expect("a query");
         assert_eq!(step.peers, [PEER], "{}", c.case);
         if let Some(f) = &c.finding {
-            let mark = s.receive_finding(NOW, PEER, step.query, f);
-            assert_eq!(mark.is_some(), c.rejected, "{}", c.case);
+            let report = s.receive_finding(NOW, PEER, step.query, f);
+            assert_eq!(report.is_some(), c.rejected, "{}", c.case);
         }
         assert_eq!(
             dispatch_all(&mut s).len(),
@@ -299,7 +299,7 @@
 #[test]
 fn run_is_reported_until_its_crash_is_counted() {
     let claim = Claim {
-        fingerprint: mark::print(5),
+        fingerprint: crash_report::fingerprint(5),
         rank: 1,
     };
     let mut s = scheduler();
@@ -313,17 +313,17 @@
     assert_eq!((after.busy, after.crashes.len()), (false, 1));
 }
 
-/// Guards against losing a part of a mark in the number that the fleet spreads.
+/// Guards against losing a part of a crash report in the number that the fleet spreads.
 #[test]
 fn encoded_mark_decodes_to_the_same_mark() {
     for convicted in [false, true] {
         for crash in [0, 1, u64::MAX >> 1] {
-            let mark = Mark {
-                print: u64::MAX - 3,
+            let report = CrashReport {
+                fingerprint: u64::MAX - 3,
                 convicted,
                 crash,
             };
-            assert_eq!(Mark::decode(mark.encode()), mark);
+            assert_eq!(CrashReport::decode(report.encode()), report);
         }
     }
 }
