--- a/crates/daemon/tests/hosted/pool.rs
+++ b/crates/daemon/tests/hosted/pool.rs
@@ -11,47 +11,48 @@
 
 use crate::fleet::{Entry, Platform, Process, LIMIT, MODEL};
 
-/// Pause between two looks at something that is awaited.
-const LOOK: Duration = Duration::from_millis(5);
-/// How long a load takes in the pool of three.
-const LOAD: Duration = Duration::from_millis(300);
+/// Interval between two checks of an awaited condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Duration of a weight load.
+const LOAD_TIME: Duration = Duration::from_millis(300);
 
-/// Three engines with their sidecars, which know one another, and an entry.
-pub struct Three {
+/// EnginePool engines with their sidecars, and an entry. All processes have discovered one another.
+pub struct EnginePool {
     pub platform: Platform,
     pub engines: [Arc<Replica>; 3],
     pub sidecars: Vec<Process>,
     pub entry: Entry,
-    /// Where the engines are reached.
+    /// Addresses of the engines.
     addrs: Vec<SocketAddr>,
 }
 
-impl Three {
+impl EnginePool {
+    /// Starts the pool on a new platform.
     pub async fn start() -> Self {
-        Self::on(Platform::start().await).await
+        Self::start_on(Platform::start().await).await
     }
 
-    /// The same on a platform whose processes reach one another through a switch.
-    pub async fn behind(switch: &Arc<Switch>) -> Self {
+    /// Starts the pool on a new platform whose processes exchange datagrams through a switch.
+    pub async fn start_behind(switch: &Arc<Switch>) -> Self {
         let platform = Platform::start().await;
         platform.store.set_switch(Arc::clone(switch));
-        Self::on(platform).await
+        Self::start_on(platform).await
     }
 
-    async fn on(mut platform: Platform) -> Self {
+    async fn start_on(mut platform: Platform) -> Self {
         let engines = ["e1", "e2", "e3"].map(|id| Replica::new(id, 2, Duration::ZERO));
         let (mut sidecars, mut addrs) = (Vec::new(), Vec::new());
         for e in &engines {
             e.load(MODEL, 1);
-            e.set_load(LOAD);
+            e.set_load(LOAD_TIME);
             let at = platform.replica(e, "engines").await;
             sidecars.push(platform.sidecar(&format!("side-{}", e.id), at));
             addrs.push(at);
         }
         let entry = platform.entry("front-1", 3).await;
         for s in &sidecars {
-            let all = |e: &Value| e["entries"] == 1 && e["sidecars"] == 2;
-            s.event("members", all).await;
+            let is_complete = |e: &Value| e["entries"] == 1 && e["sidecars"] == 2;
+            s.event("members", is_complete).await;
         }
         Self {
             platform,
@@ -62,66 +63,69 @@
         }
     }
 
-    /// Kills a sidecar and starts it again.
-    pub fn restart(&mut self, n: usize) {
-        self.sidecars[n].signal("KILL");
-        self.sidecars[n].wait();
-        self.sidecars[n] = self.start_sidecar(n);
+    /// Kills a sidecar and restarts it.
+    pub fn restart_sidecar(&mut self, index: usize) {
+        self.sidecars[index].signal("KILL");
+        self.sidecars[index].wait();
+        self.sidecars[index] = self.start_sidecar(index);
     }
 
-    fn start_sidecar(&self, n: usize) -> Process {
-        let name = format!("side-{}", self.engines[n].id);
-        self.platform.sidecar(&name, self.addrs[n])
+    fn start_sidecar(&self, index: usize) -> Process {
+        let name = format!("side-{}", self.engines[index].id);
+        self.platform.sidecar(&name, self.addrs[index])
     }
 
-    pub fn name(&self, version: u64) {
-        let named = json!({"model": MODEL, "version": version});
-        self.platform.store.write("op", "version/lekha", &named);
+    /// Announces a version of the model to all engines.
+    pub fn announce(&self, version: u64) {
+        let announcement = json!({"model": MODEL, "version": version});
+        self.platform
+            .store
+            .write("op", "version/lekha", &announcement);
     }
 
-    /// Engines that load now.
-    pub fn loading(&self) -> usize {
+    /// Number of engines that are loading.
+    pub fn loading_count(&self) -> usize {
         let loading = self.engines.iter().filter(|e| e.loading().is_some());
         loading.count()
     }
 
-    /// Whether all have a version.
-    pub fn have(&self, version: u64) -> bool {
+    /// Whether all engines have a version.
+    pub fn all_have(&self, version: u64) -> bool {
         self.engines.iter().all(|e| e.version(MODEL) == version)
     }
 
-    /// What was ordered, for a failure's message.
+    /// Log lines on the orders that the sidecars sent, for failure messages.
     pub fn orders(&self) -> Vec<Value> {
         let orders = self.sidecars.iter().flat_map(|s| s.events("ordered"));
         orders.collect()
     }
 
-    /// Waits until all have a version.
-    pub async fn all_have(&self, version: u64) {
-        let all = async {
-            while !self.have(version) {
-                // A load that has ended is in force from the next look on.
-                let _loading = self.loading();
-                sleep(LOOK).await;
+    /// Waits until all engines have a version.
+    pub async fn wait_for_version(&self, version: u64) {
+        let all_have = async {
+            while !self.all_have(version) {
+                // A finished load takes effect only when the stand-in's state is next read.
+                let _loading = self.loading_count();
+                sleep(POLL_INTERVAL).await;
             }
         };
-        let waited = timeout(LIMIT, all).await;
+        let result = timeout(LIMIT, all_have).await;
         assert!(
-            waited.is_ok(),
-            "not all have {version}: {:?}",
+            result.is_ok(),
+            "not all engines have version {version}: {:?}",
             self.orders()
         );
     }
 
-    /// Most engines that have loaded at a time.
-    pub fn most(&self) -> usize {
+    /// Highest number of engines that have loaded at a time.
+    pub fn max_concurrent_loads(&self) -> usize {
         let loads: Vec<_> = self.engines.iter().flat_map(|e| e.loads()).collect();
-        let at_start = |at| {
+        let count_at = |at| {
             loads
                 .iter()
                 .filter(|l| l.begun <= at && at < l.ends)
                 .count()
         };
-        loads.iter().map(|l| at_start(l.begun)).max().unwrap_or(0)
+        loads.iter().map(|l| count_at(l.begun)).max().unwrap_or(0)
     }
 }
--- a/crates/daemon/tests/hosted/slots.rs
+++ b/crates/daemon/tests/hosted/slots.rs
@@ -1,4 +1,4 @@
-//! Slots for loads of weights, with sidecars that are stopped and datagrams that don't arrive.
+//! Slots for weight loads when sidecars are paused or killed and datagrams are lost or delayed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,55 +10,61 @@
 use tokio::time::{sleep, timeout};
 
 use crate::fleet::{ask, Platform, Process, LIMIT, MODEL};
-use crate::pool::Three;
+use crate::pool::EnginePool;
 
-/// How long a load takes.
-const LOAD: Duration = Duration::from_millis(600);
-/// How long an engine's answer to an order takes.
-const ANSWER: Duration = Duration::from_millis(200);
-/// Pause between two looks at the engines.
-const LOOK: Duration = Duration::from_millis(1);
+/// Duration of a weight load.
+const LOAD_TIME: Duration = Duration::from_millis(600);
+/// Delay of an engine's answer to a load order.
+const ORDER_DELAY: Duration = Duration::from_millis(200);
+/// Interval between two checks of the engines' state.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What happens to one of the sidecars.
+/// Fault applied to one of the three sidecars.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stop {
-    /// It is paused before the weights are named, until another engine loads.
-    Before,
-    /// It is paused once an engine loads, for twice as long as a load takes.
-    Within,
-    /// It is killed once an engine loads, and starts again at once.
+enum SidecarFault {
+    /// The sidecar is paused from before the new weights are announced until another engine loads.
+    PausedBefore,
+    /// The sidecar is paused once an engine loads, for twice the duration of a load.
+    PausedDuring,
+    /// The sidecar is killed once an engine loads and is restarted at once.
     Killed,
 }
 
 struct Case {
     name: &'static str,
     path: Path,
-    /// How much later a second version is named.
-    second: Option<Duration>,
+    /// Delay after which a second version is announced, if there is one.
+    second_after: Option<Duration>,
 }
 
-/// Two engines load at a time, and of three one is left, if agreement rests on single datagrams.
+/// If agreement on slots depends on single datagrams, two of the three engines load at a time and
+/// only one is left to serve.
 #[tokio::test]
-async fn stopped_sidecar_loads_beside_no_other_one_whatever_datagrams_arrive() {
+async fn paused_or_killed_sidecar_never_loads_alongside_another() {
     let ms = Duration::from_millis;
     #[rustfmt::skip]
     let cases = [
-        Case { name: "all arrive", path: Path::GOOD, second: None },
-        Case { name: "some are lost", path: Path { loss: 0.3, delay: ms(2) }, second: None },
-        Case { name: "they overtake one another", path: Path { loss: 0.0, delay: ms(60) }, second: None },
-        Case { name: "a second version follows", path: Path { loss: 0.1, delay: ms(10) }, second: Some(ms(100)) },
+        Case { name: "all datagrams arrive", path: Path::GOOD, second_after: None },
+        Case { name: "some datagrams are lost", path: Path { loss: 0.3, delay: ms(2) }, second_after: None },
+        Case { name: "datagrams are reordered", path: Path { loss: 0.0, delay: ms(60) }, second_after: None },
+        Case { name: "a second version follows", path: Path { loss: 0.1, delay: ms(10) }, second_after: Some(ms(100)) },
+    ];
+    let faults = [
+        SidecarFault::PausedBefore,
+        SidecarFault::PausedDuring,
+        SidecarFault::Killed,
     ];
-    let stops = [Stop::Before, Stop::Within, Stop::Killed];
     for (seed, c) in (0..).zip(&cases) {
-        for stop in stops {
-            join_all((0..3).map(|who| run(c, stop, who, seed))).await;
+        for fault in faults {
+            join_all((0..3).map(|index| check_case(c, fault, index, seed))).await;
         }
     }
 }
 
-/// A sidecar without its engine's incarnation holds its order back, or sends it to whatever listens there.
+/// A sidecar that lacks its engine's incarnation withholds the order, or sends it to whichever
+/// process listens on the engine's address.
 #[tokio::test]
-async fn order_names_the_incarnation_though_no_datagram_arrives() {
+async fn order_carries_the_incarnation_when_all_datagrams_are_lost() {
     let switch = Switch::new(1);
     switch.set(Path {
         loss: 1.0,
@@ -71,86 +77,90 @@
     let at = platform.replica(&engine, "engines").await;
     let _entry = platform.entry("front-1", 1).await;
     let sidecar = platform.sidecar("side-1", at);
-    let named = json!({"model": MODEL, "version": 2});
-    platform.store.write("op", "version/lekha", &named);
+    let announcement = json!({"model": MODEL, "version": 2});
+    platform.store.write("op", "version/lekha", &announcement);
     sidecar.event("ordered", |e| e["outcome"] == "begun").await;
     let orders = engine.orders();
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!(orders[0]["meant"], "e1");
 }
 
-/// Callers are refused as if no engine were there when loads are late and the versions look old.
+/// When loads are late and the engines' versions look outdated, callers are refused as if the pool
+/// had no engine.
 #[tokio::test]
-async fn callers_are_served_while_weights_change_and_datagrams_are_lost() {
-    join_all((0..8).map(served)).await;
+async fn callers_are_served_during_a_rollout_while_datagrams_are_lost() {
+    join_all((0..8).map(check_served)).await;
 }
 
-async fn served(seed: u64) {
+async fn check_served(seed: u64) {
     let switch = Switch::new(seed);
-    let three = Three::behind(&switch).await;
+    let pool = EnginePool::start_behind(&switch).await;
     switch.set(Path {
         loss: 0.3,
         ..Path::GOOD
     });
-    three.name(2);
-    let rolled = async {
+    pool.announce(2);
+    let rollout = async {
         let mut refused = 0;
         for n in 0.. {
-            if three.have(2) {
+            if pool.all_have(2) {
                 break;
             }
-            let _loading = three.loading();
-            let answer = ask(&three.entry, "/probe/1", &format!("lost-{n}")).await;
+            let _loading = pool.loading_count();
+            let answer = ask(&pool.entry, "/probe/1", &format!("lost-{n}")).await;
             refused += usize::from(!answer.is_ok_and(|a| a.status == 200));
         }
         refused
     };
-    let refused = timeout(LIMIT, rolled).await.expect("all have them");
-    let refusals = three.entry.process.events("refused");
-    let context = || format!("seed {seed}: {:?}; {:?}", refusals.first(), three.orders());
+    let refused = timeout(LIMIT, rollout)
+        .await
+        .expect("all engines load the version");
+    let refusals = pool.entry.process.events("refused");
+    let context = || format!("seed {seed}: {:?}; {:?}", refusals.first(), pool.orders());
     assert_eq!(refused, 0, "{}", context());
 }
 
-async fn run(c: &Case, stop: Stop, who: usize, seed: u64) {
+async fn check_case(c: &Case, fault: SidecarFault, index: usize, seed: u64) {
     let switch = Switch::new(seed);
-    let mut three = Three::behind(&switch).await;
+    let mut pool = EnginePool::start_behind(&switch).await;
     switch.set(c.path);
-    let waited = timeout(LIMIT, rolled(&mut three, c, stop, who)).await;
-    let context = || format!("{}, {stop:?} {who}: {:?}", c.name, three.orders());
-    let tails = || three.sidecars.iter().map(Process::tail).collect::<String>();
-    assert!(waited.is_ok(), "none loads: {}\n{}", context(), tails());
-    three.all_have(if c.second.is_some() { 3 } else { 2 }).await;
+    let result = timeout(LIMIT, roll_out(&mut pool, c, fault, index)).await;
+    let context = || format!("{}, {fault:?} {index}: {:?}", c.name, pool.orders());
+    let logs = || pool.sidecars.iter().map(Process::tail).collect::<String>();
+    assert!(result.is_ok(), "no engine loads: {}\n{}", context(), logs());
+    pool.wait_for_version(if c.second_after.is_some() { 3 } else { 2 })
+        .await;
     assert_eq!(
-        three.most(),
+        pool.max_concurrent_loads(),
         1,
-        "engines that loaded at a time: {}",
+        "more than one engine loaded at a time: {}",
         context()
     );
 }
 
-async fn rolled(three: &mut Three, c: &Case, stop: Stop, who: usize) {
-    three.engines.iter().for_each(|e| {
-        e.set_slow_orders(ANSWER);
-        e.set_load(LOAD);
+async fn roll_out(pool: &mut EnginePool, c: &Case, fault: SidecarFault, index: usize) {
+    pool.engines.iter().for_each(|e| {
+        e.set_slow_orders(ORDER_DELAY);
+        e.set_load(LOAD_TIME);
     });
-    if stop == Stop::Before {
-        three.sidecars[who].signal("STOP");
+    if fault == SidecarFault::PausedBefore {
+        pool.sidecars[index].signal("STOP");
     }
-    three.name(2);
-    if let Some(later) = c.second {
-        sleep(later).await;
-        three.name(3);
+    pool.announce(2);
+    if let Some(delay) = c.second_after {
+        sleep(delay).await;
+        pool.announce(3);
     }
-    while three.loading() == 0 {
-        sleep(LOOK).await;
+    while pool.loading_count() == 0 {
+        sleep(POLL_INTERVAL).await;
     }
-    match stop {
-        Stop::Before => three.sidecars[who].signal("CONT"),
-        Stop::Within => {
-            three.sidecars[who].signal("STOP");
-            sleep(2 * LOAD).await;
-            three.sidecars[who].signal("CONT");
+    match fault {
+        SidecarFault::PausedBefore => pool.sidecars[index].signal("CONT"),
+        SidecarFault::PausedDuring => {
+            pool.sidecars[index].signal("STOP");
+            sleep(2 * LOAD_TIME).await;
+            pool.sidecars[index].signal("CONT");
         }
-        Stop::Killed => three.restart(who),
+        SidecarFault::Killed => pool.restart_sidecar(index),
     }
 }
--- a/crates/daemon/tests/hosted/weights.rs
+++ b/crates/daemon/tests/hosted/weights.rs
@@ -1,4 +1,4 @@
-//! New weights, from the operator's word to the requests that use them.
+//! New weights, from the operator's announcement to the requests that run on them.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use tokio::time::{sleep, timeout};
 
 use crate::fleet::{ask, Platform, LIMIT, MODEL};
-use crate::pool::Three;
+use crate::pool::EnginePool;
 
 #[tokio::test]
-async fn a_sidecar_orders_its_engine_and_the_entries_follow() {
-    // The operator names new weights. The engine's sidecar orders them once, with a fencing token,
-    // and requests then ask for the new version and for nothing cached under the old one.
+async fn announced_weights_are_ordered_once_and_used_by_requests() {
+    // Guards against repeated or unfenced orders, and against requests that still use the old
+    // version or its cache after the operator has announced a new one.
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
     engine.load(MODEL, 1);
@@ -31,41 +31,41 @@
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!(orders[0]["holder"], "side-1");
     assert!(orders[0]["fence"].as_u64().expect("a token") > 0);
-    // An order that names nobody may be carried out late by the engine's next life, and put older
-    // weights in the place of newer ones.
+    // An order without an incarnation may be executed late by the engine's next incarnation and
+    // replace newer weights by older ones.
     assert_eq!(orders[0]["meant"], "e1");
-    let served = async {
+    let new_version_request = async {
         let mut n = 0;
         loop {
             n += 1;
             let answer = ask(&entry, "/probe/1", &format!("new-{n}")).await;
-            let last = engine.seen().pop();
-            if let (Ok(a), Some(seen)) = (answer, last) {
-                if a.status == 200 && seen.headers["expect-version"] == "2" {
-                    return seen;
+            let last_request = engine.seen().pop();
+            if let (Ok(a), Some(received)) = (answer, last_request) {
+                if a.status == 200 && received.headers["expect-version"] == "2" {
+                    return received;
                 }
             }
             sleep(Duration::from_millis(50)).await;
         }
     };
-    let seen = timeout(LIMIT, served)
+    let received = timeout(LIMIT, new_version_request)
         .await
         .expect("a request on the new weights");
-    assert_eq!(seen.headers["cache-salt"], "lekha.2");
+    assert_eq!(received.headers["cache-salt"], "lekha.2");
 }
 
 #[tokio::test]
-async fn a_restarted_sidecar_orders_with_a_higher_token() {
-    // A sidecar is killed and starts again with nothing of before. Its next order bears a higher
-    // token than its last, so that an engine that checks tokens takes it.
+async fn restarted_sidecar_orders_with_a_higher_fencing_token() {
+    // A sidecar that is killed loses its state. If its next order doesn't carry a higher token than
+    // its last one, an engine that checks tokens rejects it.
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
     engine.load(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     for version in [2, 3] {
         let sidecar = platform.sidecar("side-1", at);
-        let named = json!({"model": MODEL, "version": version});
-        platform.store.write("op", "version/lekha", &named);
+        let announcement = json!({"model": MODEL, "version": version});
+        platform.store.write("op", "version/lekha", &announcement);
         sidecar.event("ordered", |e| e["outcome"] == "begun").await;
     }
     let fences: Vec<_> = engine
@@ -78,72 +78,80 @@
 }
 
 #[tokio::test]
-async fn sidecars_agree_on_turns_and_callers_are_served_meanwhile() {
-    // New weights are named for three engines, and a load takes 300 ms, which no sidecar has seen yet.
-    // If two engines load at a time, a pool of three serves hardly anybody; a caller finds all of them
-    // refusing. The sidecars have nothing but one another's words to keep apart.
-    let three = Three::start().await;
-    three.name(2);
-    let rolled = async {
-        let (mut most, mut n, mut refused) = (0, 0, 0);
-        while !three.have(2) {
-            most = three.loading().max(most);
+async fn sidecars_load_one_engine_at_a_time_and_callers_are_served() {
+    // A load takes 300 ms, which no sidecar has observed yet; only messages between the sidecars
+    // keep loads apart. If two of three engines load at a time, callers find all of them refusing.
+    let pool = EnginePool::start().await;
+    pool.announce(2);
+    let rollout = async {
+        let (mut max_loading, mut n, mut refused) = (0, 0, 0);
+        while !pool.all_have(2) {
+            max_loading = pool.loading_count().max(max_loading);
             n += 1;
-            let answer = ask(&three.entry, "/probe/1", &format!("roll-{n}")).await;
+            let answer = ask(&pool.entry, "/probe/1", &format!("roll-{n}")).await;
             refused += usize::from(!answer.is_ok_and(|a| a.status == 200));
         }
-        (most, refused, n)
+        (max_loading, refused, n)
     };
-    let (most, refused, n) = timeout(LIMIT, rolled).await.expect("all have them");
-    let orders = three.orders();
-    assert_eq!(most, 1, "engines that loaded at a time: {orders:?}");
-    let refusals = three.entry.process.events("refused");
+    let (max_loading, refused, n) = timeout(LIMIT, rollout)
+        .await
+        .expect("all engines load the version");
+    let orders = pool.orders();
+    assert_eq!(
+        max_loading, 1,
+        "more than one engine loaded at a time: {orders:?}"
+    );
+    let refusals = pool.entry.process.events("refused");
     let first = refusals.first();
-    let named = three.entry.process.events("named");
+    let announced = pool.entry.process.events("named");
     assert_eq!(
         refused, 0,
-        "of {n} requests: {first:?}; {named:?}; {orders:?}"
+        "of {n} requests: {first:?}; {announced:?}; {orders:?}"
     );
-    let loads: usize = three.engines.iter().map(|e| e.orders().len()).sum();
-    assert_eq!(loads, 3, "each loads once");
+    let loads: usize = pool.engines.iter().map(|e| e.orders().len()).sum();
+    assert_eq!(loads, 3, "each engine loads once");
 }
 
 #[tokio::test]
-async fn a_sidecar_that_was_stopped_doesn_t_load_beside_another_one() {
-    // A sidecar stands still while new weights are named and another engine begins to load. That
-    // engine's answer to its order takes long. The first sidecar goes on, stands before the other one
-    // and, unless it has been told that the other loads already, loads as well: of three engines one
-    // is left, and callers are refused.
-    for stopped in 0..3 {
-        let three = Three::start().await;
-        three.engines.iter().for_each(|e| {
+async fn resumed_sidecar_never_loads_alongside_another() {
+    // A sidecar is paused while another engine starts to load and answers its order slowly. The
+    // resumed sidecar ranks first; unless it learns of that load, it loads too: one engine is left.
+    for paused in 0..3 {
+        let pool = EnginePool::start().await;
+        pool.engines.iter().for_each(|e| {
             e.set_slow_orders(Duration::from_millis(200));
             e.set_load(Duration::from_millis(600));
         });
-        three.sidecars[stopped].signal("STOP");
-        three.name(2);
-        let rolled = async {
-            while three.loading() == 0 {
+        pool.sidecars[paused].signal("STOP");
+        pool.announce(2);
+        let rollout = async {
+            while pool.loading_count() == 0 {
                 yield_now().await;
             }
-            three.sidecars[stopped].signal("CONT");
-            let mut most = 0;
-            while !three.have(2) {
-                most = three.loading().max(most);
+            pool.sidecars[paused].signal("CONT");
+            let mut max_loading = 0;
+            while !pool.all_have(2) {
+                max_loading = pool.loading_count().max(max_loading);
                 yield_now().await;
             }
-            most
+            max_loading
         };
-        let most = timeout(LIMIT, rolled).await.expect("all have them");
-        assert_eq!(most, 1, "{stopped} was stopped: {:?}", three.orders());
+        let max_loading = timeout(LIMIT, rollout)
+            .await
+            .expect("all engines load the version");
+        assert_eq!(
+            max_loading,
+            1,
+            "sidecar {paused} was paused: {:?}",
+            pool.orders()
+        );
     }
 }
 
 #[tokio::test]
-async fn while_the_only_engine_loads_its_callers_wait_or_learn_when_it_is_back() {
-    // The only engine of a pool loads weights. What is sent to it meanwhile is refused, and each such
-    // try would cost a retry. A caller with time waits at the router and is served after the load; one
-    // without is told at once how long the load goes on.
+async fn request_waits_at_the_router_while_the_only_engine_loads() {
+    // A loading engine refuses requests, and each refused attempt would use up a retry. A request
+    // with enough time must wait at the router and be sent once, after the load.
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
     engine.load(MODEL, 1);
@@ -152,28 +160,28 @@
     let entry = platform.entry("front-1", 1).await;
     let sidecar = platform.sidecar("side-1", at);
     sidecar.event("members", |e| e["entries"] == 1).await;
-    let named = json!({"model": MODEL, "version": 2});
-    platform.store.write("op", "version/lekha", &named);
+    let announcement = json!({"model": MODEL, "version": 2});
+    platform.store.write("op", "version/lekha", &announcement);
     sidecar.event("ordered", |e| e["outcome"] == "begun").await;
-    // The entry hears of it by the sidecar's next word.
+    // The sidecar's next update reports the load to the entry.
     sleep(Duration::from_millis(250)).await;
     let answer = timeout(LIMIT, ask(&entry, "/probe/1", "patient")).await;
     let answer = answer.expect("in time").expect("an answer");
     assert_eq!(answer.status, 200, "{}", entry.process.about("patient"));
     assert_eq!(engine.version(MODEL), 2, "served after the load");
-    let tries = engine.seen().iter().filter(|s| s.id == "patient").count();
-    assert_eq!(tries, 1, "sent once, when the engine takes it");
+    let attempts = engine.seen().iter().filter(|s| s.id == "patient").count();
+    assert_eq!(attempts, 1, "sent once, when the engine accepts requests");
 }
 
-/// Guards against refusing a caller because the pool's only engine has newer weights than its entry knew.
+/// A caller is refused because the pool's only engine has newer weights than the entry recorded.
 #[tokio::test]
-async fn engine_with_newer_weights_than_known_serves_the_same_request() {
+async fn request_is_served_by_an_engine_with_newer_weights_than_recorded() {
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
     engine.load(MODEL, 1);
     platform.replica(&engine, "engines").await;
-    let named = json!({"model": MODEL, "version": 2});
-    platform.store.write("op", "version/lekha", &named);
+    let announcement = json!({"model": MODEL, "version": 2});
+    platform.store.write("op", "version/lekha", &announcement);
     let entry = platform.entry("front-1", 1).await;
     engine.load(MODEL, 2);
     let answer = timeout(LIMIT, ask(&entry, "/probe/1", "newer")).await;
@@ -182,10 +190,9 @@
 }
 
 #[tokio::test]
-async fn an_engine_with_too_old_weights_hides_no_other_one() {
-    // One engine has been left with old weights for too long to be used. The other one has the newest
-    // and has just failed a request, so that it is to be left alone for a moment. Callers get it all
-    // the same: it is the only one that may serve them, and nobody is refused.
+async fn ejected_engine_serves_when_the_other_has_outdated_weights() {
+    // One engine's weights are too old to be used, and the only engine with the newest weights has
+    // just been ejected after a failure. Callers are refused unless the ejected engine serves them.
     let mut platform = Platform::start().await;
     let newer = Replica::new("e1", 2, Duration::ZERO);
     newer.load(MODEL, 2);
@@ -193,29 +200,34 @@
     older.load(MODEL, 1);
     platform.replica(&newer, "engines").await;
     platform.replica(&older, "engines").await;
-    let named = json!({"model": MODEL, "version": 2});
-    platform.store.write("op", "version/lekha", &named);
+    let announcement = json!({"model": MODEL, "version": 2});
+    platform.store.write("op", "version/lekha", &announcement);
     let entry = platform.entry("front-1", 2).await;
-    // Named before the entry's start, they count as 2.5 s old then; 4.8 s are allowed.
-    let old = async {
+    // A version announced before the entry's start counts as 2.5 s old at the start; outdated
+    // weights may be used until 4.8 s.
+    let outdated = async {
         let mut n = 0;
-        let late = |e: &Value| e["up_ms"].as_u64().is_some_and(|ms| ms > 2_600);
-        while !entry.process.events("answered").iter().any(late) {
+        let is_late = |e: &Value| e["up_ms"].as_u64().is_some_and(|ms| ms > 2_600);
+        while !entry.process.events("answered").iter().any(is_late) {
             n += 1;
             let answer = ask(&entry, "/probe/1", &format!("wait-{n}")).await;
             assert!(answer.is_ok_and(|a| a.status == 200));
         }
     };
-    timeout(LIMIT, old).await.expect("old weights");
+    timeout(LIMIT, outdated)
+        .await
+        .expect("the old weights are outdated");
     newer.set_fault(Fault::Error);
-    let failed = async {
+    let ejection = async {
         let mut n = 0;
         while entry.process.events("left_out").is_empty() {
             n += 1;
             let _failed = ask(&entry, "/probe/1", &format!("fail-{n}")).await;
         }
     };
-    timeout(LIMIT, failed).await.expect("left out");
+    timeout(LIMIT, ejection)
+        .await
+        .expect("the engine is ejected");
     newer.set_fault(Fault::None);
     let answer = ask(&entry, "/probe/1", "served").await.expect("an answer");
     let refusals = entry.process.events("refused");
