--- a/crates/daemon/tests/hosted/fatal.rs
+++ b/crates/daemon/tests/hosted/fatal.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the replicas that run them.
+//! Requests that crash the engines that run them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,33 +10,34 @@
 
 use crate::fleet::{ask, Entry, Platform, MODEL};
 
-/// Pause between the events of a stream in these tests.
-const PAUSE: Duration = Duration::from_millis(2);
-/// How long all datagrams are lost.
-const LOST: Duration = Duration::from_millis(300);
-/// The request that crashes replicas.
-const FATAL: &str = "/probe/fatal";
-/// A request beside it, of the same kind and for the same model.
-const OTHER: &str = "/probe/other";
+/// Interval between the events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(2);
+/// Time for which all datagrams are lost.
+const LOSS_DURATION: Duration = Duration::from_millis(300);
+/// Path of the request that crashes engines.
+const CRASHING_PATH: &str = "/probe/fatal";
+/// Path of a harmless request of the same kind and for the same model.
+const HARMLESS_PATH: &str = "/probe/other";
 
-/// Four engines that one request crashes, and two entries.
+/// Four engines that requests to `CRASHING_PATH` crash, and two entries.
 struct Fleet {
     platform: Platform,
+    /// Engines with their addresses and the incarnation numbers under which they are listed.
     engines: Vec<(Arc<Replica>, SocketAddr, u64)>,
     entries: [Entry; 2],
 }
 
 impl Fleet {
     async fn start() -> Self {
-        Self::on(Platform::start().await).await
+        Self::start_on(Platform::start().await).await
     }
 
-    async fn on(mut platform: Platform) -> Self {
+    async fn start_on(mut platform: Platform) -> Self {
         let mut engines = Vec::new();
         for id in ["e1", "e2", "e3", "e4"] {
-            let engine = Replica::new(id, 4, PAUSE);
+            let engine = Replica::new(id, 4, EVENT_INTERVAL);
             engine.load(MODEL, 1);
-            engine.set_fatal(FATAL);
+            engine.set_fatal(CRASHING_PATH);
             let at = platform.replica(&engine, "engines").await;
             engines.push((engine, at, 1));
         }
@@ -54,47 +55,56 @@
         }
     }
 
-    /// Times that a request to a path ran.
+    /// Number of times that a request to a path ran on any engine.
     fn runs(&self, path: &str) -> usize {
         let all = self.engines.iter().flat_map(|(e, _, _)| e.seen());
         all.filter(|s| s.path == path && s.ran).count()
     }
 
-    /// Enters the next life of each engine on which the request has run since the last time.
-    fn crash(&mut self, before: &[usize]) {
-        for ((engine, at, born), before) in self.engines.iter_mut().zip(before) {
-            if runs(engine) > *before {
-                *born += 1;
+    /// Lists the next incarnation of each engine on which the crashing request has run more often
+    /// than the given number of times.
+    fn restart_crashed(&mut self, before: &[usize]) {
+        for ((engine, at, incarnation), before) in self.engines.iter_mut().zip(before) {
+            if crashing_runs(engine) > *before {
+                *incarnation += 1;
                 self.platform
-                    .list_life(engine, "engines", *at, "ready", *born);
+                    .list_life(engine, "engines", *at, "ready", *incarnation);
             }
         }
     }
 
-    fn each(&self) -> Vec<usize> {
-        self.engines.iter().map(|(e, _, _)| runs(e)).collect()
+    /// Number of runs of the crashing request on each engine.
+    fn runs_per_engine(&self) -> Vec<usize> {
+        self.engines
+            .iter()
+            .map(|(e, _, _)| crashing_runs(e))
+            .collect()
     }
 }
 
-fn runs(engine: &Replica) -> usize {
+/// Number of runs of the crashing request on an engine.
+fn crashing_runs(engine: &Replica) -> usize {
     let seen = engine.seen();
-    seen.iter().filter(|s| s.path == FATAL && s.ran).count()
+    seen.iter()
+        .filter(|s| s.path == CRASHING_PATH && s.ran)
+        .count()
 }
 
 #[tokio::test]
-async fn a_request_that_crashes_each_engine_is_refused_by_all_entries_after_a_few() {
-    // One request crashes whatever engine runs it, and is sent again through any entry. Unless the
-    // entries tell one another, each of them gives it some engines of its own, and all streams there
-    // are cut. Once three engines have ended under it, every entry refuses it and says when it may be tried again;
-    // requests beside it are served all the while.
+async fn request_that_crashes_engines_is_refused_by_all_entries_after_three_crashes() {
+    // A request that crashes every engine is repeated through different entries. Unless the entries
+    // share crash reports, each sends it to further engines, and all streams on these are cut.
     let mut fleet = Fleet::start().await;
-    for (turn, id) in ["f1", "f2"].into_iter().enumerate() {
-        let before = fleet.each();
-        let answer = ask(&fleet.entries[turn], FATAL, id).await;
+    for (index, id) in ["f1", "f2"].into_iter().enumerate() {
+        let before = fleet.runs_per_engine();
+        let answer = ask(&fleet.entries[index], CRASHING_PATH, id).await;
         let failed = answer.map_or(true, |a| a.status == 502);
-        assert!(failed, "a crashed request looked served");
-        fleet.crash(&before);
-        let crashes = fleet.runs(FATAL);
+        assert!(
+            failed,
+            "a request that crashed its engine was answered as served"
+        );
+        fleet.restart_crashed(&before);
+        let crashes = fleet.runs(CRASHING_PATH);
         for e in &fleet.entries {
             e.process
                 .event("suspected", |s| {
@@ -103,99 +113,108 @@
                 .await;
         }
     }
-    let crashes = fleet.runs(FATAL);
-    assert!(
-        (3..=4).contains(&crashes),
-        "{crashes} engines were given to it"
-    );
+    let crashes = fleet.runs(CRASHING_PATH);
+    assert!((3..=4).contains(&crashes), "{crashes} engines ran it");
     for (entry, id) in fleet.entries.iter().zip(["f3", "f4"]) {
-        let refused = ask(entry, FATAL, id).await.expect("an answer");
+        let refused = ask(entry, CRASHING_PATH, id).await.expect("an answer");
         assert_eq!(refused.status, 503);
-        let back: f64 = refused.headers["retry-after"]
+        let retry_after: f64 = refused.headers["retry-after"]
             .to_str()
             .expect("text")
             .parse()
             .expect("a number");
         assert!(
-            (5.0..=15.0).contains(&back),
-            "told to come back after {back} s"
+            (5.0..=15.0).contains(&retry_after),
+            "retry-after is {retry_after} s"
         );
-        let beside = ask(entry, OTHER, &format!("{id}-other")).await;
-        assert_eq!(beside.expect("an answer").status, 200);
+        let harmless = ask(entry, HARMLESS_PATH, &format!("{id}-other")).await;
+        assert_eq!(harmless.expect("an answer").status, 200);
     }
-    assert_eq!(fleet.runs(FATAL), crashes, "ran after three crashes");
+    assert_eq!(
+        fleet.runs(CRASHING_PATH),
+        crashes,
+        "the request ran again after it was refused"
+    );
 }
 
 #[tokio::test]
-async fn a_request_that_was_under_way_at_a_crash_and_then_served_is_clear() {
-    // An engine ends while it runs a request, for reasons of its own. The next try is served, so
-    // that the request wasn't the reason. If that weren't taken back, three such crashes in ten
-    // minutes would have a good request refused.
+async fn suspected_request_is_cleared_once_it_is_served() {
+    // An engine crashes for another reason while it runs a request, and the next attempt is served.
+    // Unless suspicion is withdrawn, three such crashes in ten minutes get a good request refused.
     let mut fleet = Fleet::start().await;
-    let before = fleet.each();
-    let _ = ask(&fleet.entries[0], FATAL, "f1").await;
-    fleet.crash(&before);
-    let struck = |s: &serde_json::Value| s["verdict"] == "suspect";
+    let before = fleet.runs_per_engine();
+    let _ = ask(&fleet.entries[0], CRASHING_PATH, "f1").await;
+    fleet.restart_crashed(&before);
+    let is_suspect = |s: &serde_json::Value| s["verdict"] == "suspect";
     for e in &fleet.entries {
-        e.process.event("suspected", struck).await;
+        e.process.event("suspected", is_suspect).await;
     }
     for (engine, _, _) in &fleet.engines {
         engine.set_fatal("/none");
     }
-    let served = ask(&fleet.entries[1], FATAL, "f2").await;
+    let served = ask(&fleet.entries[1], CRASHING_PATH, "f2").await;
     assert_eq!(served.expect("an answer").status, 200);
     for e in &fleet.entries {
-        let clear = |s: &serde_json::Value| s["verdict"] == "clear";
-        e.process.event("suspected", clear).await;
+        let is_clear = |s: &serde_json::Value| s["verdict"] == "clear";
+        e.process.event("suspected", is_clear).await;
     }
 }
 
-/// An entry whose peers' updates on a crash were lost gives the request another engine.
+/// An entry that misses its peers' updates on a crash because datagrams are lost sends the request
+/// to another engine.
 #[tokio::test]
-async fn crash_reaches_an_entry_to_which_datagrams_were_lost() {
+async fn crash_report_reaches_an_entry_after_datagrams_were_lost() {
     let platform = Platform::start().await;
     let switch = Switch::new(0);
     platform.store.set_switch(Arc::clone(&switch));
-    let mut fleet = Fleet::on(platform).await;
+    let mut fleet = Fleet::start_on(platform).await;
     switch.set(Path {
         loss: 1.0,
         delay: Duration::ZERO,
     });
-    let before = fleet.each();
-    let _ = ask(&fleet.entries[0], FATAL, "f1").await;
-    fleet.crash(&before);
-    let own = |s: &serde_json::Value| s["source"] == "own";
-    fleet.entries[0].process.event("suspected", own).await;
-    sleep(LOST).await;
+    let before = fleet.runs_per_engine();
+    let _ = ask(&fleet.entries[0], CRASHING_PATH, "f1").await;
+    fleet.restart_crashed(&before);
+    let is_own = |s: &serde_json::Value| s["source"] == "own";
+    fleet.entries[0].process.event("suspected", is_own).await;
+    sleep(LOSS_DURATION).await;
     switch.set(Path::GOOD);
-    let peer = |s: &serde_json::Value| s["source"] == "peer";
-    fleet.entries[1].process.event("suspected", peer).await;
+    let is_from_peer = |s: &serde_json::Value| s["source"] == "peer";
+    fleet.entries[1]
+        .process
+        .event("suspected", is_from_peer)
+        .await;
 }
 
-/// Neither entry knows yet of the other's crash, and each gives the request further engines.
+/// Two entries receive the request at the same time, and each sends it to further engines before
+/// the other's crash report arrives.
 #[tokio::test]
-async fn request_sent_through_two_entries_at_once_is_refused_after_the_tries_of_both() {
+async fn request_sent_through_two_entries_at_once_is_refused_after_the_attempts_of_both() {
     let mut fleet = Fleet::start().await;
     let mut crashes = 0;
     while crashes < 3 {
-        let before = fleet.each();
+        let before = fleet.runs_per_engine();
         let [one, other] = &fleet.entries;
         let (a, b) = (format!("a{crashes}"), format!("b{crashes}"));
-        let _ = tokio::join!(ask(one, FATAL, &a), ask(other, FATAL, &b));
-        let after = fleet.each();
+        let _ = tokio::join!(ask(one, CRASHING_PATH, &a), ask(other, CRASHING_PATH, &b));
+        let after = fleet.runs_per_engine();
         crashes += before.iter().zip(&after).filter(|(b, a)| a > b).count();
-        fleet.crash(&before);
-        let all = |s: &serde_json::Value| s["crashes"].as_u64() >= Some(crashes.min(3) as u64);
+        fleet.restart_crashed(&before);
+        let has_all = |s: &serde_json::Value| s["crashes"].as_u64() >= Some(crashes.min(3) as u64);
         for e in &fleet.entries {
-            e.process.event("suspected", all).await;
+            e.process.event("suspected", has_all).await;
         }
     }
-    // Two tries of each entry.
-    assert!(crashes <= 4, "{crashes} engines were given to it");
-    let runs = fleet.runs(FATAL);
+    // Each entry makes two attempts.
+    assert!(crashes <= 4, "{crashes} engines ran it");
+    let runs = fleet.runs(CRASHING_PATH);
     for (entry, id) in fleet.entries.iter().zip(["c1", "c2"]) {
-        let refused = ask(entry, FATAL, id).await.expect("an answer");
+        let refused = ask(entry, CRASHING_PATH, id).await.expect("an answer");
         assert_eq!(refused.status, 503);
     }
-    assert_eq!(fleet.runs(FATAL), runs, "ran after three crashes");
+    assert_eq!(
+        fleet.runs(CRASHING_PATH),
+        runs,
+        "the request ran again after it was refused"
+    );
 }
