--- a/crates/daemon/tests/hosted/answers.rs
+++ b/crates/daemon/tests/hosted/answers.rs
@@ -1,4 +1,4 @@
-//! What replicas do to a request, and what its caller gets.
+//! Faults of replicas and the answers that callers get.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use http_body_util::BodyExt;
 use standin::hosted::replica::{Fault, Replica};
 
-use crate::fleet::{ask, request, Entry, Platform, LIMIT, MODEL};
+use crate::fleet::{fetch, request, Entry, Platform, MODEL, TIMEOUT};
 
-/// Pause between the events of a stream in these tests.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Interval between the events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Two replicas of each service and an entry.
 struct Fleet {
@@ -23,8 +23,8 @@
 impl Fleet {
     async fn start(events: u64) -> Self {
         let mut platform = Platform::start().await;
-        let engines = ["e1", "e2"].map(|id| Replica::new(id, events, PAUSE));
-        let plain = ["p1", "p2"].map(|id| Replica::new(id, 0, PAUSE));
+        let engines = ["e1", "e2"].map(|id| Replica::new(id, events, EVENT_INTERVAL));
+        let plain = ["p1", "p2"].map(|id| Replica::new(id, 0, EVENT_INTERVAL));
         for r in &engines {
             r.load(MODEL, 1);
             platform.replica(r, "engines").await;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Times that a request with an id ran on any replica.
+    /// Number of times that a request with an id ran on any replica.
     fn runs(&self, id: &str) -> usize {
         let all = self.engines.iter().chain(&self.plain);
         let seen = all.flat_map(|r| r.seen());
@@ -49,14 +49,15 @@
     }
 }
 
+/// The events of a stream with these numbers.
 fn events(range: std::ops::RangeInclusive<u64>) -> Bytes {
     let events = range.map(|n| format!("id: {n}\ndata: token {n}\n\n"));
     events.collect::<String>().into()
 }
 
 #[tokio::test]
-async fn every_kind_of_request_is_served_whole() {
-    // All is well. A caller gets its replica's own answer: status, signature and every byte.
+async fn answer_reaches_the_caller_unchanged_on_every_kind_of_route() {
+    // Without any fault, a caller must get the status, signature and body that its replica sent.
     let fleet = Fleet::start(6).await;
     struct Case {
         path: &'static str,
@@ -81,9 +82,9 @@
         },
     ];
     for case in cases {
-        let answer = ask(&fleet.entry, case.path, case.path)
+        let answer = fetch(&fleet.entry, case.path, case.path)
             .await
-            .expect("whole");
+            .expect("a complete answer");
         assert_eq!(
             (answer.status, &answer.body),
             (200, &case.body),
@@ -101,7 +102,7 @@
                 .map(|v| v.to_str().expect("text").to_owned())
         };
         assert_eq!(text("tenant").as_deref(), Some("north"));
-        assert_eq!(text("credential"), None, "the key stays here");
+        assert_eq!(text("credential"), None, "the key isn't passed on");
         assert_eq!(text("expect-version").as_deref(), Some("1"));
         assert_eq!(text("cache-salt").as_deref(), Some("lekha.1"));
         let left: u64 = text("deadline-ms")
@@ -113,36 +114,34 @@
 }
 
 #[tokio::test]
-async fn a_cut_stream_goes_on_at_another_replica_only_if_it_may() {
-    // A replica dies in the middle of its fourth event. The caller of a stream that may be resumed
-    // gets the rest from another replica, without a gap or a repetition; any other caller gets a
-    // broken connection, never an end that looks whole.
+async fn broken_stream_is_resumed_only_on_a_resumable_route() {
+    // A replica dies in its fourth event. A resumed stream must have no gap or repetition, and a
+    // stream that may not be resumed must not look complete to its caller.
     let fleet = Fleet::start(6).await;
     fleet.engines.iter().for_each(|r| r.set_fault(Fault::Cut));
-    let cut = ask(&fleet.entry, "/code/1", "cut").await;
+    let cut = fetch(&fleet.entry, "/code/1", "cut").await;
     assert!(cut.is_err(), "{cut:?}");
     assert_eq!(fleet.runs("cut"), 1);
-    // The second replica that gets it has no fault any more.
+    // Only the first replica that gets the next request has a fault.
     fleet.engines.iter().for_each(|r| r.set_fault(Fault::None));
     Replica::set_first_fault(&fleet.engines, Fault::Cut);
-    let held = request(&fleet.entry, "/probe/1", "resumed").open().await;
-    let body = held.expect("an answer").into_body();
-    let whole = tokio::time::timeout(LIMIT, body.collect()).await;
+    let response = request(&fleet.entry, "/probe/1", "resumed").open().await;
+    let body = response.expect("an answer").into_body();
+    let whole = tokio::time::timeout(TIMEOUT, body.collect()).await;
     let whole = whole.expect("an end").expect("a whole answer").to_bytes();
     assert_eq!(whole, events(1..=6));
     let seen: Vec<_> = fleet.engines.iter().flat_map(|r| r.seen()).collect();
-    let again = seen
+    let resumed = seen
         .iter()
         .find(|s| s.headers.contains_key("last-event-id"));
-    let again = again.expect("a second sending");
-    assert_eq!(again.headers["last-event-id"], "3");
+    let resumed = resumed.expect("a second attempt");
+    assert_eq!(resumed.headers["last-event-id"], "3");
 }
 
 #[tokio::test]
-async fn a_silent_stream_is_given_up_only_once_another_replica_goes_on() {
-    // An engine loads weights in the middle of an answer: it is silent for longer than a good pause and
-    // then goes on. The other engine is full. A router that gives up on the first one before the second
-    // has answered cuts the caller's answer in its middle, though it was being made.
+async fn stalled_stream_is_dropped_only_after_another_replica_resumes_it() {
+    // An engine that loads weights in the middle of an answer stalls its stream. A router that
+    // drops the stream before another engine has answered cuts it off if that engine is full.
     struct Case {
         name: &'static str,
         other: Fault,
@@ -150,17 +149,17 @@
     }
     let cases = [
         Case {
-            name: "the other is full",
+            name: "the other engine is full",
             other: Fault::Full,
             runs: 1,
         },
         Case {
-            name: "the other goes on, and says so first",
+            name: "the other engine resumes the stream",
             other: Fault::None,
             runs: 2,
         },
         Case {
-            name: "the other loses it",
+            name: "the other engine loses the request",
             other: Fault::Lost,
             runs: 2,
         },
@@ -172,14 +171,14 @@
         platform.replica(&slow, "engines").await;
         let entry = platform.entry("front-1", 1).await;
         let answer = request(&entry, "/probe/1", "silent-1").open().await;
-        let other = Replica::new("e2", 3, PAUSE);
+        let other = Replica::new("e2", 3, EVENT_INTERVAL);
         other.load(MODEL, 1);
         other.set_fault(c.other);
         platform.replica(&other, "engines").await;
-        let ready = |e: &serde_json::Value| e["target"] == "e2";
-        entry.process.event("target", ready).await;
+        let is_second = |e: &serde_json::Value| e["target"] == "e2";
+        entry.process.wait_for_event("target", is_second).await;
         let body = answer.expect("an answer").into_body();
-        let whole = tokio::time::timeout(LIMIT, body.collect()).await;
+        let whole = tokio::time::timeout(TIMEOUT, body.collect()).await;
         let whole = whole.expect("an end").map(|b| b.to_bytes());
         assert_eq!(whole.ok(), Some(events(1..=3)), "{}", c.name);
         let seen = slow.seen().into_iter().chain(other.seen());
@@ -189,35 +188,33 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_ends_within_an_event_isn_t_taken_for_whole() {
-    // A replica's stream ends in order, but in the middle of its fourth event, as when a stream
-    // without a length loses its connection. The caller gets the rest from another replica instead
-    // of three events and a half.
+async fn resumable_stream_that_ends_within_an_event_is_resumed() {
+    // A stream without a length loses its connection and seems to end normally within its fourth
+    // event. The caller must get the rest from another replica.
     let fleet = Fleet::start(6).await;
     Replica::set_first_fault(&fleet.engines, Fault::Short);
-    let held = request(&fleet.entry, "/probe/1", "short").open().await;
-    let body = held.expect("an answer").into_body();
-    let whole = tokio::time::timeout(LIMIT, body.collect()).await;
+    let response = request(&fleet.entry, "/probe/1", "short").open().await;
+    let body = response.expect("an answer").into_body();
+    let whole = tokio::time::timeout(TIMEOUT, body.collect()).await;
     let whole = whole.expect("an end").expect("a whole answer").to_bytes();
     assert_eq!(whole, events(1..=6));
 }
 
 #[tokio::test]
-async fn a_stream_that_can_t_go_on_and_ends_within_an_event_is_cut() {
-    // The same on a route whose streams may not be resumed. The caller has three events and a half;
-    // if the stream ended in order, it would take them for the whole answer.
+async fn non_resumable_stream_that_ends_within_an_event_is_cut() {
+    // A stream that may not be resumed ends normally within its fourth event. If the router ended
+    // it normally too, the caller would take three and a half events for the complete answer.
     let fleet = Fleet::start(6).await;
     fleet.engines.iter().for_each(|r| r.set_fault(Fault::Short));
-    let answer = ask(&fleet.entry, "/code/1", "short").await;
+    let answer = fetch(&fleet.entry, "/code/1", "short").await;
     assert!(answer.is_err(), "looks complete: {answer:?}");
     assert_eq!(fleet.runs("short"), 1);
 }
 
 #[tokio::test]
-async fn what_may_have_run_is_never_sent_twice_nor_called_not_run() {
-    // A replica takes a record and its connection breaks, or it answers with what can't be its own
-    // answer. Nobody can tell whether the record was written, so the caller gets 502, and no other
-    // replica gets the record.
+async fn record_that_may_have_been_written_is_never_sent_again_or_reported_as_not_run() {
+    // A replica's connection breaks after it got a record, or its answer is invalid. The record may
+    // have been written, so the caller must get 502 and no other replica may get the record.
     struct Case {
         fault: Fault,
         status: u16,
@@ -252,16 +249,16 @@
     for case in cases {
         let id = format!("{:?}", case.fault);
         fleet.plain.iter().for_each(|r| r.set_fault(case.fault));
-        let answer = ask(&fleet.entry, "/log/1", &id).await.expect("an answer");
+        let answer = fetch(&fleet.entry, "/log/1", &id).await.expect("an answer");
         assert_eq!(answer.status, case.status, "{id}");
         assert_eq!(fleet.runs(&id), 1, "{id}");
     }
 }
 
 #[tokio::test]
-async fn what_may_be_repeated_is_sent_to_another_replica() {
-    // One of two replicas fails in some way. A caller whose request may run twice gets the other
-    // one's answer and notices nothing.
+async fn repeatable_request_is_retried_on_another_replica() {
+    // One of two replicas has a fault. A request that may run twice must be answered by the other
+    // replica without an error.
     for fault in [
         Fault::Lost,
         Fault::Vague,
@@ -277,7 +274,9 @@
         for n in 0..4 {
             let id = format!("{fault:?} {n}");
             let id = id.replace(' ', "-");
-            let answer = ask(&fleet.entry, "/check/1", &id).await.expect("an answer");
+            let answer = fetch(&fleet.entry, "/check/1", &id)
+                .await
+                .expect("an answer");
             let tried = fleet.entry.process.events("tried");
             assert_eq!(answer.status, 200, "{id}: {tried:?}");
         }
@@ -285,52 +284,52 @@
 }
 
 #[tokio::test]
-async fn a_refusal_says_not_run_and_when_to_come_back() {
-    // All replicas are full. The caller is told at once, truthfully, and with a time to come back
-    // within a third of what it has left.
+async fn refusal_when_all_replicas_are_full_reports_not_run_and_a_retry_time() {
+    // All replicas are full. The refusal must come at once, only for requests that didn't run, and
+    // with a retry-after within a third of the caller's remaining time.
     let fleet = Fleet::start(1).await;
     let all = fleet.engines.iter().chain(&fleet.plain);
     all.for_each(|r| r.set_fault(Fault::Full));
     for path in ["/code/1", "/probe/1", "/log/1", "/check/1"] {
-        let answer = ask(&fleet.entry, path, path).await.expect("an answer");
+        let answer = fetch(&fleet.entry, path, path).await.expect("an answer");
         assert_eq!(answer.status, 503, "{path}");
-        let back = answer.headers["retry-after"].to_str().expect("text");
-        let back: f64 = back.parse().expect("seconds");
-        assert!(back > 0.0 && back <= 1.0, "{back}");
+        let retry_after = answer.headers["retry-after"].to_str().expect("text");
+        let retry_after: f64 = retry_after.parse().expect("seconds");
+        assert!(retry_after > 0.0 && retry_after <= 1.0, "{retry_after}");
         assert_eq!(fleet.runs(path), 0, "{path}");
     }
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_ends_the_work() {
-    // A caller hangs up while its replica still works. The replica's connection closes too, so that
-    // it doesn't go on for nobody.
+async fn caller_that_disconnects_stops_the_work_at_the_replica() {
+    // A caller disconnects while its replica still works. Unless the replica's connection is closed
+    // too, it goes on with an answer that no caller reads.
     let fleet = Fleet::start(1_000_000).await;
     let call = request(&fleet.entry, "/code/1", "left").open().await;
     let response = call.expect("the head of an answer");
     drop(response);
-    let left = async {
+    let disconnected = async {
         tokio::select! {
             () = fleet.engines[0].caller_left() => {}
             () = fleet.engines[1].caller_left() => {}
         }
     };
-    let within = tokio::time::timeout(Duration::from_millis(500), left).await;
-    assert!(within.is_ok(), "the replica still works");
+    let result = tokio::time::timeout(Duration::from_millis(500), disconnected).await;
+    assert!(result.is_ok(), "the replica still works");
 }
 
 #[tokio::test]
-async fn an_address_that_another_target_has_taken_gets_nothing_run() {
-    // A replica dies and its address goes to another target before the list says so. That target
-    // refuses what isn't meant for it, and the caller is served elsewhere.
+async fn request_to_an_address_taken_by_another_target_runs_elsewhere() {
+    // A replica dies and another target takes its address before the list changes. That target must
+    // refuse the request, and the caller must be served by another replica.
     let fleet = Fleet::start(1).await;
-    let stranger = Replica::new("stranger", 1, PAUSE);
+    let stranger = Replica::new("stranger", 1, EVENT_INTERVAL);
     let (at, _served) = stranger.start().await.expect("a replica");
     fleet.platform.list(&fleet.plain[0], "plain", at, "ready");
-    fleet.entry.process.event("target", |_| true).await;
+    fleet.entry.process.wait_for_event("target", |_| true).await;
     for n in 0..4 {
         let id = format!("moved-{n}");
-        let answer = ask(&fleet.entry, "/log/1", &id).await.expect("an answer");
+        let answer = fetch(&fleet.entry, "/log/1", &id).await.expect("an answer");
         let tried = fleet.entry.process.events("tried");
         assert_eq!(answer.status, 200, "{id}: {tried:?}");
         assert_eq!(fleet.runs(&id), 1, "{id}");
@@ -339,20 +338,20 @@
 }
 
 #[tokio::test]
-async fn a_hanging_replica_ends_at_the_routes_time_with_a_final_answer() {
-    // A replica takes a record and says nothing. Its silence is no reason to give up sooner, but at
-    // the end of the caller's time there is a final answer that promises nothing.
+async fn request_at_a_hanging_replica_is_answered_at_its_deadline() {
+    // A replica accepts a record and never answers. The router must wait until the caller's
+    // deadline and then answer without a statement on whether the record was written.
     let fleet = Fleet::start(1).await;
     fleet.plain.iter().for_each(|r| r.set_fault(Fault::Hang));
     let mut call = request(&fleet.entry, "/log/1", "hang");
     let deadline = call.headers.iter_mut().find(|(n, _)| *n == "deadline-ms");
     deadline.expect("a deadline").1 = "600".to_owned();
-    let began = std::time::Instant::now();
-    let (status, _) = tokio::time::timeout(LIMIT, call.whole())
+    let started = std::time::Instant::now();
+    let (status, _) = tokio::time::timeout(TIMEOUT, call.whole())
         .await
         .expect("an end")
         .expect("an answer");
     assert!(matches!(status.as_u16(), 502 | 504), "{status}");
-    assert!(began.elapsed() >= Duration::from_millis(600));
+    assert!(started.elapsed() >= Duration::from_millis(600));
     assert_eq!(fleet.runs("hang"), 1);
 }
--- a/crates/daemon/tests/hosted/callers.rs
+++ b/crates/daemon/tests/hosted/callers.rs
@@ -1,4 +1,4 @@
-//! What callers send, and how a process that stops treats them.
+//! Malformed and forged requests, and requests to an entry that stops or reloads its settings.
 
 use std::time::Duration;
 
@@ -12,21 +12,25 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::fleet::{ask, ready, request, Entry, Platform, HOST, KEY, LIMIT, MODEL};
+use crate::fleet::{fetch, ready, request, Entry, Platform, HOST, KEY, MODEL, TIMEOUT};
 
-async fn fleet(events: u64, pause: Duration) -> (Platform, std::sync::Arc<Replica>, Entry) {
+/// Starts a platform with an engine, a plain replica and an entry.
+async fn fleet(
+    events: u64,
+    event_interval: Duration,
+) -> (Platform, std::sync::Arc<Replica>, Entry) {
     let mut platform = Platform::start().await;
-    let engine = Replica::new("e1", events, pause);
+    let engine = Replica::new("e1", events, event_interval);
     engine.load(MODEL, 1);
     platform.replica(&engine, "engines").await;
-    let plain = Replica::new("p1", 0, pause);
+    let plain = Replica::new("p1", 0, event_interval);
     platform.replica(&plain, "plain").await;
     let entry = platform.entry("front-1", 2).await;
     (platform, plain, entry)
 }
 
-/// Sends raw bytes and reads until the entry closes or falls silent.
-async fn raw(entry: &Entry, bytes: &[u8]) -> String {
+/// Sends raw bytes and reads until the entry closes the connection or 1.5 s have passed.
+async fn send_raw(entry: &Entry, bytes: &[u8]) -> String {
     let mut tcp = TcpStream::connect(entry.callers)
         .await
         .expect("a connection");
@@ -38,9 +42,8 @@
 
 #[tokio::test]
 async fn malformed_requests_reach_no_replica() {
-    // Requests that are torn, too large, without a key or in two lengths at once. Each gets the
-    // answer that says what is wrong, or a closed connection, and what hides inside one of them is
-    // never taken for a request of its own.
+    // A truncated, oversized, unauthenticated or ambiguous request must be refused, and a request
+    // smuggled in the body of one with two lengths must never run.
     let (_platform, plain, entry) = fleet(1, Duration::ZERO).await;
     let head = |path: &str, more: &str| {
         format!("POST {path} HTTP/1.1\r\nhost: {HOST}\r\nattempt-id: a\r\n{more}")
@@ -92,18 +95,18 @@
             status: "HTTP/1.1 ",
         },
         Case {
-            name: "half a head",
+            name: "truncated head",
             sent: "POST /log/1 HTTP/1.1\r\nhost: po".to_owned(),
             status: "",
         },
         Case {
-            name: "half a body",
+            name: "truncated body",
             sent: head("/log/1", &format!("{key}content-length: 10\r\n\r\nhalf")),
             status: "",
         },
     ];
     for case in cases {
-        let answer = raw(&entry, case.sent.as_bytes()).await;
+        let answer = send_raw(&entry, case.sent.as_bytes()).await;
         assert!(answer.starts_with(case.status), "{}: {answer:?}", case.name);
     }
     let seen: Vec<_> = plain.seen().into_iter().map(|s| s.path).collect();
@@ -112,9 +115,9 @@
 }
 
 #[tokio::test]
-async fn what_callers_may_not_set_is_not_passed_on() {
-    // A caller sends headers by which the system speaks to replicas. If they got through, a caller
-    // could read another team's cache or pass for another team.
+async fn reserved_headers_from_callers_are_not_passed_on() {
+    // A caller sends headers that the system uses towards replicas. If they were passed on, the
+    // caller could read another team's cache or impersonate another team.
     let (_platform, plain, entry) = fleet(1, Duration::ZERO).await;
     let mut call = request(&entry, "/log/1", "an-id");
     for name in [
@@ -138,45 +141,45 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_no_request_and_takes_no_late_one() {
-    // A process is told to stop while it passes a stream on and a caller keeps a connection open.
-    // The stream ends whole, the kept connection is served and then closed, the process says at once
-    // that it isn't ready, and it ends well.
+async fn planned_stop_completes_streams_and_closes_idle_connections() {
+    // An entry is stopped while it relays a stream and holds a keep-alive connection. It must
+    // complete the stream, serve and close the connection, and report at once that it isn't ready.
     let (_platform, _plain, mut entry) = fleet(100, Duration::from_millis(10)).await;
     let tcp = TcpStream::connect(entry.callers)
         .await
         .expect("a connection");
-    let (mut kept, conn) = handshake(TokioIo::new(tcp)).await.expect("HTTP");
+    let (mut keep_alive, conn) = handshake(TokioIo::new(tcp)).await.expect("HTTP");
     tokio::spawn(conn);
     let stream = request(&entry, "/code/1", "long").open().await;
     let stream = stream.expect("the head of an answer");
     entry.process.signal("TERM");
-    entry.process.event("stopping", |_| true).await;
+    entry.process.wait_for_event("stopping", |_| true).await;
     assert_eq!(ready(&entry).await, 503);
-    let again = Request::post("/log/1")
+    let second = Request::post("/log/1")
         .header("host", HOST)
         .header("attempt-id", "kept")
         .header("credential", KEY)
         .body(Full::new(Bytes::from("body")))
         .expect("a request");
-    let answer = kept.send_request(again).await.expect("an answer");
+    let answer = keep_alive.send_request(second).await.expect("an answer");
     assert_eq!(answer.status(), 200);
     assert_eq!(answer.headers()["connection"], "close");
-    let whole = timeout(LIMIT, stream.into_body().collect()).await;
+    let whole = timeout(TIMEOUT, stream.into_body().collect()).await;
     let whole = whole.expect("an end").expect("a whole stream").to_bytes();
     assert!(whole.ends_with(b"id: 100\ndata: token 100\n\n"));
     assert!(entry.process.wait());
 }
 
 #[tokio::test]
-async fn a_hangup_reads_the_settings_again_and_ends_nothing() {
-    // The settings file changes and the process is told so. Requests go on, and the log says it.
+async fn hangup_signal_reloads_the_settings_without_a_restart() {
+    // A hangup signal must reload the settings, log that, and neither end the process nor stop it
+    // from serving requests.
     let (_platform, _plain, entry) = fleet(1, Duration::ZERO).await;
     entry.process.signal("HUP");
     entry
         .process
-        .event("reloaded", |e| e["signal"] == true)
+        .wait_for_event("reloaded", |e| e["signal"] == true)
         .await;
-    let answer = ask(&entry, "/log/1", "after").await.expect("an answer");
+    let answer = fetch(&entry, "/log/1", "after").await.expect("an answer");
     assert_eq!(answer.status, 200);
 }
--- a/crates/daemon/tests/hosted/delegates.rs
+++ b/crates/daemon/tests/hosted/delegates.rs
@@ -9,7 +9,7 @@
 use standin::switch::{Path, Switch};
 use tokio::time::{sleep, timeout};
 
-use crate::fleet::{ask, Entry, Platform, Process, MODEL};
+use crate::fleet::{fetch, Entry, Platform, Process, MODEL};
 
 /// Time limit for all engines to load a version.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(40);
@@ -137,7 +137,7 @@
         while !self.all_have(version) {
             let _loading = self.loading_count();
             let entry = &self.entries[n % self.entries.len()];
-            let answer = ask(entry, "/probe/1", &format!("have-{version}-{n}")).await;
+            let answer = fetch(entry, "/probe/1", &format!("have-{version}-{n}")).await;
             refused += usize::from(!answer.is_ok_and(|a| a.status == 200));
             n += 1;
             sleep(POLL_INTERVAL).await;
--- a/crates/daemon/tests/hosted/fatal.rs
+++ b/crates/daemon/tests/hosted/fatal.rs
@@ -8,7 +8,7 @@
 use standin::switch::{Path, Switch};
 use tokio::time::sleep;
 
-use crate::fleet::{ask, Entry, Platform, MODEL};
+use crate::fleet::{fetch, Entry, Platform, MODEL};
 
 /// Interval between the events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(2);
@@ -46,7 +46,9 @@
             platform.entry("front-2", 4).await,
         ];
         for e in &entries {
-            e.process.event("members", |m| m["entries"] == 1).await;
+            e.process
+                .wait_for_event("members", |m| m["entries"] == 1)
+                .await;
         }
         Self {
             platform,
@@ -68,7 +70,7 @@
             if crashing_runs(engine) > *before {
                 *incarnation += 1;
                 self.platform
-                    .list_life(engine, "engines", *at, "ready", *incarnation);
+                    .list_incarnation(engine, "engines", *at, "ready", *incarnation);
             }
         }
     }
@@ -97,7 +99,7 @@
     let mut fleet = Fleet::start().await;
     for (index, id) in ["f1", "f2"].into_iter().enumerate() {
         let before = fleet.runs_per_engine();
-        let answer = ask(&fleet.entries[index], CRASHING_PATH, id).await;
+        let answer = fetch(&fleet.entries[index], CRASHING_PATH, id).await;
         let failed = answer.map_or(true, |a| a.status == 502);
         assert!(
             failed,
@@ -107,7 +109,7 @@
         let crashes = fleet.runs(CRASHING_PATH);
         for e in &fleet.entries {
             e.process
-                .event("suspected", |s| {
+                .wait_for_event("suspected", |s| {
                     s["crashes"].as_u64() >= Some(crashes.min(3) as u64)
                 })
                 .await;
@@ -116,7 +118,7 @@
     let crashes = fleet.runs(CRASHING_PATH);
     assert!((3..=4).contains(&crashes), "{crashes} engines ran it");
     for (entry, id) in fleet.entries.iter().zip(["f3", "f4"]) {
-        let refused = ask(entry, CRASHING_PATH, id).await.expect("an answer");
+        let refused = fetch(entry, CRASHING_PATH, id).await.expect("an answer");
         assert_eq!(refused.status, 503);
         let retry_after: f64 = refused.headers["retry-after"]
             .to_str()
@@ -127,7 +129,7 @@
             (5.0..=15.0).contains(&retry_after),
             "retry-after is {retry_after} s"
         );
-        let harmless = ask(entry, HARMLESS_PATH, &format!("{id}-other")).await;
+        let harmless = fetch(entry, HARMLESS_PATH, &format!("{id}-other")).await;
         assert_eq!(harmless.expect("an answer").status, 200);
     }
     assert_eq!(
@@ -143,20 +145,20 @@
     // Unless suspicion is withdrawn, three such crashes in ten minutes get a good request refused.
     let mut fleet = Fleet::start().await;
     let before = fleet.runs_per_engine();
-    let _ = ask(&fleet.entries[0], CRASHING_PATH, "f1").await;
+    let _ = fetch(&fleet.entries[0], CRASHING_PATH, "f1").await;
     fleet.restart_crashed(&before);
     let is_suspect = |s: &serde_json::Value| s["verdict"] == "suspect";
     for e in &fleet.entries {
-        e.process.event("suspected", is_suspect).await;
+        e.process.wait_for_event("suspected", is_suspect).await;
     }
     for (engine, _, _) in &fleet.engines {
         engine.set_fatal("/none");
     }
-    let served = ask(&fleet.entries[1], CRASHING_PATH, "f2").await;
+    let served = fetch(&fleet.entries[1], CRASHING_PATH, "f2").await;
     assert_eq!(served.expect("an answer").status, 200);
     for e in &fleet.entries {
         let is_clear = |s: &serde_json::Value| s["verdict"] == "clear";
-        e.process.event("suspected", is_clear).await;
+        e.process.wait_for_event("suspected", is_clear).await;
     }
 }
 
@@ -173,16 +175,19 @@
         delay: Duration::ZERO,
     });
     let before = fleet.runs_per_engine();
-    let _ = ask(&fleet.entries[0], CRASHING_PATH, "f1").await;
+    let _ = fetch(&fleet.entries[0], CRASHING_PATH, "f1").await;
     fleet.restart_crashed(&before);
     let is_own = |s: &serde_json::Value| s["source"] == "own";
-    fleet.entries[0].process.event("suspected", is_own).await;
+    fleet.entries[0]
+        .process
+        .wait_for_event("suspected", is_own)
+        .await;
     sleep(LOSS_DURATION).await;
     switch.set(Path::GOOD);
     let is_from_peer = |s: &serde_json::Value| s["source"] == "peer";
     fleet.entries[1]
         .process
-        .event("suspected", is_from_peer)
+        .wait_for_event("suspected", is_from_peer)
         .await;
 }
 
@@ -196,20 +201,23 @@
         let before = fleet.runs_per_engine();
         let [one, other] = &fleet.entries;
         let (a, b) = (format!("a{crashes}"), format!("b{crashes}"));
-        let _ = tokio::join!(ask(one, CRASHING_PATH, &a), ask(other, CRASHING_PATH, &b));
+        let _ = tokio::join!(
+            fetch(one, CRASHING_PATH, &a),
+            fetch(other, CRASHING_PATH, &b)
+        );
         let after = fleet.runs_per_engine();
         crashes += before.iter().zip(&after).filter(|(b, a)| a > b).count();
         fleet.restart_crashed(&before);
         let has_all = |s: &serde_json::Value| s["crashes"].as_u64() >= Some(crashes.min(3) as u64);
         for e in &fleet.entries {
-            e.process.event("suspected", has_all).await;
+            e.process.wait_for_event("suspected", has_all).await;
         }
     }
     // Each entry makes two attempts.
     assert!(crashes <= 4, "{crashes} engines ran it");
     let runs = fleet.runs(CRASHING_PATH);
     for (entry, id) in fleet.entries.iter().zip(["c1", "c2"]) {
-        let refused = ask(entry, CRASHING_PATH, id).await.expect("an answer");
+        let refused = fetch(entry, CRASHING_PATH, id).await.expect("an answer");
         assert_eq!(refused.status, 503);
     }
     assert_eq!(
--- a/crates/daemon/tests/hosted/fleet.rs
+++ b/crates/daemon/tests/hosted/fleet.rs
@@ -1,4 +1,4 @@
-//! A hosted platform in this process and the real binary as children.
+//! A hosted platform within the test process, and the daemon's binary as child processes.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -18,13 +18,14 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for anything; only a fault reaches it.
-pub const LIMIT: Duration = Duration::from_secs(20);
-/// Pause between two looks at something that is awaited.
-const LOOK: Duration = Duration::from_millis(10);
-/// Log lines shown with a failure.
-const TAIL: usize = 60;
-/// A process of ours; it is killed when dropped.
+/// Time limit for every awaited condition; only a failure reaches it.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between two checks of an awaited condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of log lines shown with a failure.
+const TAIL_LINES: usize = 60;
+
+/// A running daemon; the process is killed when the value is dropped.
 pub struct Process {
     child: Child,
     lines: Arc<Mutex<Vec<Value>>>,
@@ -32,7 +33,7 @@
 }
 
 impl Process {
-    /// Starts one with a settings file of these lines.
+    /// Starts a daemon with a settings file of these lines.
     pub fn start(lines: &[String]) -> Self {
         let dir = tempfile::tempdir().expect("a folder");
         let path = dir.path().join("boot.conf");
@@ -43,14 +44,14 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("start of the daemon");
-        let out = child.stdout.take().expect("its output");
+        let stdout = child.stdout.take().expect("its output");
         let lines: Arc<Mutex<Vec<Value>>> = Arc::default();
-        let kept = Arc::clone(&lines);
+        let collected = Arc::clone(&lines);
         std::thread::spawn(move || {
-            for line in BufReader::new(out).lines().map_while(Result::ok) {
+            for line in BufReader::new(stdout).lines().map_while(Result::ok) {
                 let value = serde_json::from_str(&line);
                 let value = value.unwrap_or_else(|e| panic!("not JSON: {line:?}: {e}"));
-                kept.lock().expect("lines").push(value);
+                collected.lock().expect("lines").push(value);
             }
         });
         Self {
@@ -60,55 +61,62 @@
         }
     }
 
-    /// The log lines of one kind so far.
+    /// All log lines of one kind up to now.
     pub fn events(&self, kind: &str) -> Vec<Value> {
         let lines = self.lines.lock().expect("lines");
         let of_kind = lines.iter().filter(|l| l["event"] == kind);
         of_kind.cloned().collect()
     }
 
-    /// The log lines on one request, and when the process started and stopped, for a failure's message.
+    /// The log lines on one request and on the start and stop of the process, for failure messages.
     pub fn about(&self, id: &str) -> String {
         let lines = self.lines.lock().expect("lines");
-        let life = |l: &Value| l["event"] == "listening" || l["event"] == "stopping";
-        let said = lines.iter().filter(|l| l["request"] == id || life(l));
-        said.map(|l| format!("{l}\n")).collect()
+        let is_start_or_stop = |l: &Value| l["event"] == "listening" || l["event"] == "stopping";
+        let matching = lines
+            .iter()
+            .filter(|l| l["request"] == id || is_start_or_stop(l));
+        matching.map(|l| format!("{l}\n")).collect()
     }
 
-    /// The last log lines, for a failure's message.
+    /// The last log lines, for failure messages.
     pub fn tail(&self) -> String {
         let lines = self.lines.lock().expect("lines");
-        let last = lines.iter().skip(lines.len().saturating_sub(TAIL));
+        let last = lines.iter().skip(lines.len().saturating_sub(TAIL_LINES));
         last.map(|l| format!("{l}\n")).collect()
     }
 
-    /// Waits for a log line that passes a test.
-    pub async fn event(&self, kind: &str, test: impl Fn(&Value) -> bool) -> Value {
-        let found = async {
+    /// Waits for a log line of one kind that satisfies a predicate.
+    pub async fn wait_for_event(&self, kind: &str, predicate: impl Fn(&Value) -> bool) -> Value {
+        let search = async {
             loop {
-                if let Some(e) = self.events(kind).into_iter().find(|e| test(e)) {
+                if let Some(e) = self.events(kind).into_iter().find(|e| predicate(e)) {
                     return e;
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
-        let found = timeout(LIMIT, found).await;
-        found.unwrap_or_else(|_| panic!("no such line of {kind}: {:?}", self.events(kind)))
+        let found = timeout(TIMEOUT, search).await;
+        found.unwrap_or_else(|_| {
+            panic!(
+                "no matching log line of kind {kind}: {:?}",
+                self.events(kind)
+            )
+        })
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        let sent = Command::new("kill").args(["-s", name, &id]).status();
-        assert!(sent.expect("kill").success());
+        let status = Command::new("kill").args(["-s", name, &id]).status();
+        assert!(status.expect("kill").success());
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for its end; true if it ended well.
+    /// Waits until the process ends; returns whether it exited with success.
     pub fn wait(&mut self) -> bool {
         self.child.wait().is_ok_and(|s| s.success())
     }
@@ -121,95 +129,107 @@
     }
 }
 
-/// An entry and where it is reached.
+/// An entry and its addresses.
 pub struct Entry {
     pub process: Process,
+    /// Address for callers' requests.
     pub callers: SocketAddr,
+    /// Address of the readiness check.
     pub ready: SocketAddr,
 }
 
-/// A hosted platform.
+/// A hosted platform with its store and replicas.
 pub struct Platform {
     pub store: Arc<Store>,
-    pub at: SocketAddr,
+    /// Address of the store.
+    pub store_addr: SocketAddr,
     _served: JoinSet<()>,
     replicas: Vec<JoinSet<()>>,
 }
 
 impl Platform {
-    /// An empty platform with a configuration.
+    /// Starts a platform without replicas, with version 1 of the configuration.
     pub async fn start() -> Self {
         let store: Arc<Store> = Arc::default();
-        let (at, served) = store.start().await.expect("the store");
+        let (store_addr, served) = store.start().await.expect("the store");
         store.write("op", "config", &config(1));
         Self {
             store,
-            at,
+            store_addr,
             _served: served,
             replicas: Vec::new(),
         }
     }
 
-    /// Adds a replica to a service.
+    /// Starts a replica and lists it as ready under a service.
     pub async fn replica(&mut self, replica: &Arc<Replica>, service: &str) -> SocketAddr {
         let at = self.serve(replica).await;
         self.list(replica, service, at, "ready");
         at
     }
 
-    /// Starts a replica that isn't in the list yet.
+    /// Starts a replica without listing it.
     pub async fn serve(&mut self, replica: &Arc<Replica>) -> SocketAddr {
         let (at, served) = replica.start().await.expect("a replica");
         self.replicas.push(served);
         at
     }
 
-    /// Enters a replica in the list.
+    /// Writes a replica's row, with incarnation 1, to the list of targets.
     pub fn list(&self, replica: &Replica, service: &str, at: SocketAddr, state: &str) {
-        self.list_life(replica, service, at, state, 1);
+        self.list_incarnation(replica, service, at, state, 1);
     }
 
-    /// Enters a life of a replica in the list.
-    pub fn list_life(
+    /// Writes a replica's row, with the given incarnation, to the list of targets.
+    pub fn list_incarnation(
         &self,
         replica: &Replica,
         service: &str,
         at: SocketAddr,
         state: &str,
-        born: u64,
+        incarnation: u64,
     ) {
-        let entry = sample::entry(replica, service, at, state, born);
+        let entry = sample::entry(replica, service, at, state, incarnation);
         self.store.write("servers", &replica.id, &entry);
     }
 
-    /// Starts an entry and waits until it is ready and knows so many targets.
+    /// Starts an entry and waits until it is ready and has logged this number of targets.
     pub async fn entry(&self, name: &str, targets: usize) -> Entry {
-        self.entry_on(name, self.at, targets).await
+        self.entry_on(name, self.store_addr, targets).await
     }
 
-    /// The same on a store at an address.
+    /// Starts an entry that uses the store at an address, and waits until it is ready and has
+    /// logged this number of targets.
     pub async fn entry_on(&self, name: &str, store: SocketAddr, targets: usize) -> Entry {
         let entry = self.unready(name, store).await;
-        let all = async {
+        let is_ready = async {
             while entry.process.events("target").len() < targets {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
             while ready(&entry).await != 200 {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(LIMIT, all).await.expect("an entry that is ready");
+        timeout(TIMEOUT, is_ready)
+            .await
+            .expect("an entry that is ready");
         entry
     }
 
-    /// Starts an entry on a store at an address.
+    /// Starts an entry that uses the store at an address, without waiting until it is ready.
     pub async fn unready(&self, name: &str, store: SocketAddr) -> Entry {
         let mut lines = settings(name, store);
         lines.push("listen.front=127.0.0.1:0".to_owned());
         lines.push("listen.ready=127.0.0.2:0".to_owned());
         let process = Process::start(&lines);
-        let at = process.event("listening", |_| true).await;
-        let addr = |n: &str| at[n].as_str().expect("text").parse().expect("an address");
+        let listening = process.wait_for_event("listening", |_| true).await;
+        let addr = |n: &str| {
+            listening[n]
+                .as_str()
+                .expect("text")
+                .parse()
+                .expect("an address")
+        };
         Entry {
             callers: addr("callers"),
             ready: addr("ready"),
@@ -217,42 +237,42 @@
         }
     }
 
-    /// Waits until a process has entered itself among the members; returns where others reach it.
-    pub async fn member(&self, name: &str) -> SocketAddr {
-        let entered = async {
+    /// Waits until a process has written its member row; returns its address for peers.
+    pub async fn wait_for_member(&self, name: &str) -> SocketAddr {
+        let registration = async {
             loop {
                 if let Some(value) = self.store.read("members", name) {
                     let addr = value["addr"].as_str().expect("an address");
                     return addr.parse().expect("an address");
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(LIMIT, entered).await.expect("a member")
+        timeout(TIMEOUT, registration).await.expect("a member")
     }
 
-    /// Starts a sidecar of an engine.
+    /// Starts an engine's sidecar.
     pub fn sidecar(&self, name: &str, engine: SocketAddr) -> Process {
-        self.sidecar_on(name, self.at, engine)
+        self.sidecar_on(name, self.store_addr, engine)
     }
 
-    /// The same on a store at an address.
+    /// Starts an engine's sidecar that uses the store at an address.
     pub fn sidecar_on(&self, name: &str, store: SocketAddr, engine: SocketAddr) -> Process {
         let mut lines = settings(name, store);
         lines.push(format!("app={engine}"));
-        let first = self.store.read("members", name).is_none();
-        lines.push(format!("bootstrap={first}"));
+        let is_first_start = self.store.read("members", name).is_none();
+        lines.push(format!("bootstrap={is_first_start}"));
         lines.push("service=engines".to_owned());
         Process::start(&lines)
     }
 }
 
-/// A request to an entry, with the headers that callers send.
+/// Builds a request to an entry, with the headers that callers send.
 pub fn request(entry: &Entry, path: &str, id: &str) -> Call {
     request_to(entry.callers, path, id)
 }
 
-/// The same to an address.
+/// Builds a request to an address, with the headers that callers send.
 pub fn request_to(at: SocketAddr, path: &str, id: &str) -> Call {
     let mut call = match path.starts_with("/check/") {
         true => Call::get(at, path),
@@ -273,7 +293,7 @@
     call
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -281,14 +301,14 @@
     pub body: Bytes,
 }
 
-/// Sends a request and collects its answer; an answer that is cut short is an error.
-pub async fn ask(entry: &Entry, path: &str, id: &str) -> Result<Answer, CallError> {
-    ask_at(entry.callers, path, id).await
+/// Sends a request to an entry and collects its answer; a truncated answer is an error.
+pub async fn fetch(entry: &Entry, path: &str, id: &str) -> Result<Answer, CallError> {
+    fetch_from(entry.callers, path, id).await
 }
 
-/// The same at an address.
-pub async fn ask_at(at: SocketAddr, path: &str, id: &str) -> Result<Answer, CallError> {
-    let sent = async {
+/// Sends a request to an address and collects its answer; a truncated answer is an error.
+pub async fn fetch_from(at: SocketAddr, path: &str, id: &str) -> Result<Answer, CallError> {
+    let exchange = async {
         let response = request_to(at, path, id).open().await?;
         let status = response.status().as_u16();
         let headers = response.headers().clone();
@@ -299,15 +319,15 @@
             body,
         })
     };
-    timeout(LIMIT, sent).await.expect("an answer")
+    timeout(TIMEOUT, exchange).await.expect("an answer")
 }
 
-/// The status with which an entry says whether it takes new connections.
+/// Status of an entry's readiness check: 200 if it accepts new connections.
 pub async fn ready(entry: &Entry) -> u16 {
     ready_at(entry.ready).await
 }
 
-/// The same at an address.
+/// Status of the readiness check at an address, or 0 if the check fails.
 pub async fn ready_at(at: SocketAddr) -> u16 {
     match Call::get(at, "/api/ready").whole().await {
         Ok((status, _)) => status.as_u16(),
--- a/crates/daemon/tests/hosted/held.rs
+++ b/crates/daemon/tests/hosted/held.rs
@@ -12,7 +12,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
-use crate::fleet::{request, Entry, Platform, Process, LIMIT, MODEL};
+use crate::fleet::{request, Entry, Platform, Process, MODEL, TIMEOUT};
 
 /// Cache scope of the engine's parts.
 const SCOPE: &str = "lekha.1";
@@ -37,7 +37,7 @@
         engine.with_cache(fill);
         let at = platform.replica(&engine, "engines").await;
         let process = platform.sidecar("side-1", at);
-        let sidecar = platform.member("side-1").await;
+        let sidecar = platform.wait_for_member("side-1").await;
         Self {
             _platform: platform,
             engine,
@@ -70,7 +70,7 @@
                 }
             }
         };
-        let result = timeout(LIMIT, receive).await;
+        let result = timeout(TIMEOUT, receive).await;
         assert!(result.is_ok(), "last reported: {:?}", self.held.lock());
     }
 }
@@ -163,7 +163,9 @@
     platform.replica(&older, "engines").await;
     let sidecar = platform.sidecar("side-1", at);
     let entry = platform.entry("front-1", 2).await;
-    sidecar.event("members", |e| e["entries"] == 1).await;
+    sidecar
+        .wait_for_event("members", |e| e["entries"] == 1)
+        .await;
     // Part d4 is reported together with a1, so the entry has both once it counts d4 as held.
     let report = async {
         let mut n = 0;
@@ -178,7 +180,7 @@
             call.open().await.expect("an answer");
         }
     };
-    timeout(LIMIT, report)
+    timeout(TIMEOUT, report)
         .await
         .expect("the parts are reported");
     let served = async {
@@ -191,7 +193,7 @@
             assert_eq!(answer.status(), 200);
         }
     };
-    timeout(LIMIT, served)
+    timeout(TIMEOUT, served)
         .await
         .expect("a request at the engine with older weights");
     let fetched: Vec<_> = older
--- a/crates/daemon/tests/hosted/losses.rs
+++ b/crates/daemon/tests/hosted/losses.rs
@@ -1,4 +1,4 @@
-//! Datagrams between entries are lost while targets leave.
+//! Targets that leave while datagrams between entries are lost.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,37 +8,38 @@
 use standin::switch::{Path, Switch};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::fleet::{ask, Platform};
+use crate::fleet::{fetch, Platform};
 
-/// Entries; two of them read the list for the others.
+/// Number of entries; two of them read the list of targets for all.
 const ENTRIES: usize = 4;
-/// Time after which a target that has left gets nothing new.
-const LEFT: Duration = Duration::from_secs(2);
-/// Requests to each entry after that; each of two targets would get some.
-const ASKED: usize = 12;
+/// Time after which a target that has left gets no new request.
+const REROUTE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of requests to each entry after that time, enough for each of two targets to get some.
+const REQUESTS: usize = 12;
 
 struct Case {
-    /// How long before the target leaves the losses begin.
-    before: Duration,
-    /// Whether the target says that it leaves, or only takes its row away.
+    /// Time from the start of the losses until the target leaves.
+    loss_before: Duration,
+    /// Whether the target lists itself as draining, or only removes its row.
     draining: bool,
 }
 
-/// An entry for which others read the list goes on sending to a target that has left.
+/// An entry that gets the list from other entries misses their updates and goes on sending requests
+/// to a target that has left.
 #[tokio::test]
-async fn target_that_leaves_gets_nothing_new_while_datagrams_between_entries_are_lost() {
+async fn target_that_leaves_gets_no_new_request_while_datagrams_between_entries_are_lost() {
     let ms = Duration::from_millis;
     #[rustfmt::skip]
     let cases = [
-        Case { before: ms(0), draining: true },
-        Case { before: ms(300), draining: false },
-        Case { before: ms(700), draining: true },
-        Case { before: ms(1_100), draining: false },
+        Case { loss_before: ms(0), draining: true },
+        Case { loss_before: ms(300), draining: false },
+        Case { loss_before: ms(700), draining: true },
+        Case { loss_before: ms(1_100), draining: false },
     ];
-    join_all(cases.iter().map(run)).await;
+    join_all(cases.iter().map(check_case)).await;
 }
 
-async fn run(c: &Case) {
+async fn check_case(c: &Case) {
     let mut platform = Platform::start().await;
     let switch = Switch::new(0);
     platform.store.set_switch(Arc::clone(&switch));
@@ -50,32 +51,32 @@
     let names: Vec<_> = names.collect();
     let entries = join_all(names.iter().map(|n| platform.entry(n, 2))).await;
     for e in &entries {
-        let all = |m: &serde_json::Value| m["entries"] == ENTRIES - 1;
-        e.process.event("members", all).await;
+        let is_complete = |m: &serde_json::Value| m["entries"] == ENTRIES - 1;
+        e.process.wait_for_event("members", is_complete).await;
     }
-    // Readers are found within a few reads of the list.
-    sleep(LEFT).await;
+    // The entries settle on the ones that read the list within a few reads.
+    sleep(REROUTE_TIMEOUT).await;
     switch.set(Path {
         loss: 1.0,
         delay: Duration::ZERO,
     });
-    sleep(c.before).await;
+    sleep(c.loss_before).await;
     let left = Instant::now();
     match c.draining {
         true => platform.list(&replicas[1], "plain", leaves, "draining"),
         false => platform.store.remove("servers", "p2"),
     }
-    sleep_until(left + LEFT).await;
+    sleep_until(left + REROUTE_TIMEOUT).await;
     for (n, e) in entries.iter().enumerate() {
-        for tries in 0..ASKED {
-            let id = format!("left-{n}-{tries}");
-            let answer = ask(e, "/log/1", &id).await;
+        for attempt in 0..REQUESTS {
+            let id = format!("left-{n}-{attempt}");
+            let answer = fetch(e, "/log/1", &id).await;
             assert_eq!(answer.expect("an answer").status, 200);
-            let there = replicas[1].seen().iter().any(|s| s.id == id);
-            let (before, draining) = (c.before, c.draining);
+            let reached = replicas[1].seen().iter().any(|s| s.id == id);
+            let (loss_before, draining) = (c.loss_before, c.draining);
             assert!(
-                !there,
-                "entry {n} sends to a target that left {:?} before ({before:?}, {draining}):\n{}",
+                !reached,
+                "entry {n} sent a request to a target {:?} after it left ({loss_before:?}, {draining}):\n{}",
                 left.elapsed(),
                 e.process.tail()
             );
--- a/crates/daemon/tests/hosted/main.rs
+++ b/crates/daemon/tests/hosted/main.rs
@@ -1,4 +1,4 @@
-//! The programs on a hosted platform: real processes before replicas and a store that misbehave.
+//! Tests of the daemon's processes on a hosted platform whose replicas and store have faults.
 
 #![allow(unreachable_pub, reason = "modules of one test program")]
 
--- a/crates/daemon/tests/hosted/pool.rs
+++ b/crates/daemon/tests/hosted/pool.rs
@@ -9,7 +9,7 @@
 use standin::switch::Switch;
 use tokio::time::{sleep, timeout};
 
-use crate::fleet::{Entry, Platform, Process, LIMIT, MODEL};
+use crate::fleet::{Entry, Platform, Process, MODEL, TIMEOUT};
 
 /// Interval between two checks of an awaited condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -52,7 +52,7 @@
         let entry = platform.entry("front-1", 3).await;
         for s in &sidecars {
             let is_complete = |e: &Value| e["entries"] == 1 && e["sidecars"] == 2;
-            s.event("members", is_complete).await;
+            s.wait_for_event("members", is_complete).await;
         }
         Self {
             platform,
@@ -109,7 +109,7 @@
                 sleep(POLL_INTERVAL).await;
             }
         };
-        let result = timeout(LIMIT, all_have).await;
+        let result = timeout(TIMEOUT, all_have).await;
         assert!(
             result.is_ok(),
             "not all engines have version {version}: {:?}",
--- a/crates/daemon/tests/hosted/restore.rs
+++ b/crates/daemon/tests/hosted/restore.rs
@@ -9,7 +9,7 @@
 use standin::hosted::rows::{Copy, Fault, Named, Store};
 use tokio::time::{sleep, timeout};
 
-use crate::fleet::{ask, config, Entry, Platform, LIMIT, MODEL};
+use crate::fleet::{config, fetch, Entry, Platform, MODEL, TIMEOUT};
 use crate::store::fleet;
 
 /// Interval between two checks of an awaited condition.
@@ -41,9 +41,9 @@
 
 /// Waits until the callers' key is refused, then checks that it stays refused.
 async fn check_key_is_refused(entry: &Entry, name: &str) {
-    let result = timeout(LIMIT, async {
+    let result = timeout(TIMEOUT, async {
         for n in 0.. {
-            let answer = ask(entry, "/log/1", &format!("revoked-{n}")).await;
+            let answer = fetch(entry, "/log/1", &format!("revoked-{n}")).await;
             if answer.is_ok_and(|a| a.status == 401) {
                 return;
             }
@@ -57,7 +57,7 @@
         log()
     );
     for n in 0..20 {
-        let answer = ask(entry, "/log/1", &format!("after-{n}")).await;
+        let answer = fetch(entry, "/log/1", &format!("after-{n}")).await;
         let status = answer.expect("an answer").status;
         assert_eq!(status, 401, "{name}: the key is accepted again\n{}", log());
         sleep(POLL_INTERVAL).await;
@@ -89,7 +89,7 @@
     let configured = |v: u64| {
         entry
             .process
-            .event("configured", move |e| e["version"] == v)
+            .wait_for_event("configured", move |e| e["version"] == v)
     };
     configured(10).await;
     restore(store, &snapshot, mode).await;
@@ -144,7 +144,9 @@
         second.write("op", "config", &config(version));
     }
     let far = platform.unready("front-2", at).await;
-    far.process.event("configured", |e| e["version"] == 9).await;
+    far.process
+        .wait_for_event("configured", |e| e["version"] == 9)
+        .await;
     let peer = |e: &Entry| e.process.events("listening")[0]["peer"].clone();
     let (near_at, far_at) = (peer(&near), peer(&far));
     second.write(
@@ -157,8 +159,12 @@
         "front-2",
         &json!({"addr": far_at, "entry": true}),
     );
-    far.process.event("members", |e| e["entries"] == 1).await;
-    near.process.event("members", |e| e["entries"] == 1).await;
+    far.process
+        .wait_for_event("members", |e| e["entries"] == 1)
+        .await;
+    near.process
+        .wait_for_event("members", |e| e["entries"] == 1)
+        .await;
     second.set_fault(Fault::Busy);
     let snapshot = platform.store.copy();
     platform.store.restore(&snapshot);
@@ -185,15 +191,18 @@
     engine.load(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     let side = platform.sidecar("side-1", at);
-    side.event("members", |e| e["entries"] == 1).await;
-    let before = platform.member("front-1").await;
+    side.wait_for_event("members", |e| e["entries"] == 1).await;
+    let before = platform.wait_for_member("front-1").await;
     platform.store.restore(&snapshot);
     platform.list(&engine, "engines", at, "ready");
-    assert_eq!(platform.member("front-1").await, before);
-    platform.member("side-1").await;
+    assert_eq!(platform.wait_for_member("front-1").await, before);
+    platform.wait_for_member("side-1").await;
     let is_rewritten = |e: &serde_json::Value| e["table"] == "members" && e["written"] == 1;
-    first.process.event("reread", is_rewritten).await;
-    first.process.event("restored", |e| e["era"] == 2).await;
+    first.process.wait_for_event("reread", is_rewritten).await;
+    first
+        .process
+        .wait_for_event("restored", |e| e["era"] == 2)
+        .await;
     // The entry never dropped the sidecar from its members.
     let has_no_sidecar = |e: &serde_json::Value| e["sidecars"] == 0;
     let dropped = first
@@ -214,17 +223,17 @@
     let joined = Replica::new("p2", 0, Duration::ZERO);
     platform.replica(&joined, "plain").await;
     let is_ready = |e: &serde_json::Value| e["target"] == "p2" && e["state"] == "ready";
-    entry.process.event("target", is_ready).await;
+    entry.process.wait_for_event("target", is_ready).await;
     platform.store.remove("servers", "p1");
     let is_gone = |e: &serde_json::Value| e["target"] == "p1" && e["state"] == "gone";
-    entry.process.event("target", is_gone).await;
+    entry.process.wait_for_event("target", is_gone).await;
     let requests_before = left.seen().len();
     platform.store.restore(&snapshot);
-    entry.process.event("restored", |_| true).await;
+    entry.process.wait_for_event("restored", |_| true).await;
     let is_reread = |e: &serde_json::Value| e["source"] == "store" && e["missing"] == 1;
-    entry.process.event("listed", is_reread).await;
+    entry.process.wait_for_event("listed", is_reread).await;
     for n in 0..10 {
-        let answer = ask(&entry, "/log/1", &format!("restored-{n}")).await;
+        let answer = fetch(&entry, "/log/1", &format!("restored-{n}")).await;
         assert_eq!(answer.expect("an answer").status, 200);
         sleep(POLL_INTERVAL).await;
     }
@@ -237,7 +246,7 @@
     platform.list(&joined, "plain", addr, "ready");
     platform.store.remove("servers", "p1");
     sleep(Duration::from_millis(2_500)).await;
-    let answer = ask(&entry, "/log/1", "later").await;
+    let answer = fetch(&entry, "/log/1", "later").await;
     assert_eq!(answer.expect("an answer").status, 200);
 }
 
@@ -251,7 +260,9 @@
         platform.entry("front-2", 0).await,
     ];
     for e in &entries {
-        e.process.event("members", |e| e["entries"] == 1).await;
+        e.process
+            .wait_for_event("members", |e| e["entries"] == 1)
+            .await;
     }
     // Each entry reports every list of targets that it reads to the other entry.
     let plain = Replica::new("p1", 0, Duration::ZERO);
@@ -259,12 +270,16 @@
     platform.list(&plain, "plain", at, "ready");
     platform.store.write("op", "config", &config(2));
     for e in &entries {
-        e.process.event("target", |_| true).await;
-        e.process.event("configured", |e| e["version"] == 2).await;
+        e.process.wait_for_event("target", |_| true).await;
+        e.process
+            .wait_for_event("configured", |e| e["version"] == 2)
+            .await;
     }
     platform.store.write("op", "config", &config(3));
     for e in &entries {
-        e.process.event("configured", |e| e["version"] == 3).await;
+        e.process
+            .wait_for_event("configured", |e| e["version"] == 3)
+            .await;
         assert!(
             e.process.events("bad_era").is_empty(),
             "{}",
--- a/crates/daemon/tests/hosted/slots.rs
+++ b/crates/daemon/tests/hosted/slots.rs
@@ -9,7 +9,7 @@
 use standin::switch::{Path, Switch};
 use tokio::time::{sleep, timeout};
 
-use crate::fleet::{ask, Platform, Process, LIMIT, MODEL};
+use crate::fleet::{fetch, Platform, Process, MODEL, TIMEOUT};
 use crate::pool::EnginePool;
 
 /// Duration of a weight load.
@@ -79,7 +79,9 @@
     let sidecar = platform.sidecar("side-1", at);
     let announcement = json!({"model": MODEL, "version": 2});
     platform.store.write("op", "version/lekha", &announcement);
-    sidecar.event("ordered", |e| e["outcome"] == "begun").await;
+    sidecar
+        .wait_for_event("ordered", |e| e["outcome"] == "begun")
+        .await;
     let orders = engine.orders();
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!(orders[0]["meant"], "e1");
@@ -107,12 +109,12 @@
                 break;
             }
             let _loading = pool.loading_count();
-            let answer = ask(&pool.entry, "/probe/1", &format!("lost-{n}")).await;
+            let answer = fetch(&pool.entry, "/probe/1", &format!("lost-{n}")).await;
             refused += usize::from(!answer.is_ok_and(|a| a.status == 200));
         }
         refused
     };
-    let refused = timeout(LIMIT, rollout)
+    let refused = timeout(TIMEOUT, rollout)
         .await
         .expect("all engines load the version");
     let refusals = pool.entry.process.events("refused");
@@ -124,7 +126,7 @@
     let switch = Switch::new(seed);
     let mut pool = EnginePool::start_behind(&switch).await;
     switch.set(c.path);
-    let result = timeout(LIMIT, roll_out(&mut pool, c, fault, index)).await;
+    let result = timeout(TIMEOUT, roll_out(&mut pool, c, fault, index)).await;
     let context = || format!("{}, {fault:?} {index}: {:?}", c.name, pool.orders());
     let logs = || pool.sidecars.iter().map(Process::tail).collect::<String>();
     assert!(result.is_ok(), "no engine loads: {}\n{}", context(), logs());
--- a/crates/daemon/tests/hosted/soak/check.rs
+++ b/crates/daemon/tests/hosted/soak/check.rs
@@ -9,7 +9,7 @@
 
 use super::callers::Outcome;
 use super::world::{World, ENGINES, ENTRIES, EVENTS, REPLICAS, WIDER};
-use crate::fleet::{ask_at, ready_at, LIMIT, MODEL};
+use crate::fleet::{fetch_from, ready_at, MODEL, TIMEOUT};
 
 /// Longest time until all is served again. What was asked for at each of several crashes in a row is
 /// refused for 15 s at worst, and each of the four kinds may be.
@@ -37,7 +37,7 @@
                 sleep(AGAIN).await;
             }
         };
-        let loaded = timeout(LIMIT, loaded).await;
+        let loaded = timeout(TIMEOUT, loaded).await;
         assert!(loaded.is_ok(), "seed {seed}: engine {n} has old weights");
     }
 }
@@ -51,7 +51,7 @@
         for path in ["/log/1", "/check/1", "/probe/1", "/code/1"] {
             for tries in 0.. {
                 let id = format!("healed-{n}-{tries}-{path}");
-                let answer = ask_at(callers, path, &id).await;
+                let answer = fetch_from(callers, path, &id).await;
                 if ready_at(at).await == 200 && answer.is_ok_and(|a| a.status == 200) {
                     break;
                 }
@@ -78,7 +78,7 @@
         for tries in 0..ASKED {
             let id = format!("left-{n}-{tries}");
             // Served or not, it mustn't have been sent there.
-            let _ = ask_at(callers, "/log/1", &id).await;
+            let _ = fetch_from(callers, "/log/1", &id).await;
             let there = target.seen().iter().any(|s| s.id == id);
             let tail = || world.fronts[n].host.runs().process.tail();
             assert!(
--- a/crates/daemon/tests/hosted/soak/world.rs
+++ b/crates/daemon/tests/hosted/soak/world.rs
@@ -175,14 +175,14 @@
         let mut sides = Vec::new();
         for (n, engine) in replicas[..sidecars(seed)].iter().enumerate() {
             let name = format!("side-{n}");
-            let store = link(&mut links, platform.at).await;
+            let store = link(&mut links, platform.store_addr).await;
             let process = platform.sidecar_on(&name, store.addr(), engine.link.addr());
             sides.push(Host::new(name, store, process));
         }
         let mut fronts = Vec::new();
         for n in 0..ENTRIES {
             let name = format!("front-{n}");
-            let store = link(&mut links, platform.at).await;
+            let store = link(&mut links, platform.store_addr).await;
             let entry = platform.entry_on(&name, store.addr(), REPLICAS).await;
             let link = link(&mut links, entry.callers).await;
             let host = Host::new(name, store, entry);
@@ -259,7 +259,7 @@
         let (replica, at) = (&behind.replica, behind.link.addr());
         let born = replica.life() + 1;
         self.platform
-            .list_life(replica, behind.service, at, state, born);
+            .list_incarnation(replica, behind.service, at, state, born);
     }
 
     /// All links, the callers' included.
--- a/crates/daemon/tests/hosted/store.rs
+++ b/crates/daemon/tests/hosted/store.rs
@@ -9,7 +9,7 @@
 use standin::link::{Link, Trouble};
 use tokio::time::{sleep, timeout};
 
-use crate::fleet::{ask, config, ready, Entry, Platform, LIMIT};
+use crate::fleet::{config, fetch, ready, Entry, Platform, TIMEOUT};
 
 /// Starts a platform with a plain replica and an entry.
 pub async fn fleet() -> (Platform, Arc<Replica>, Entry) {
@@ -21,7 +21,7 @@
 }
 
 async fn status(entry: &Entry, path: &str, id: &str) -> u16 {
-    ask(entry, path, id).await.expect("an answer").status
+    fetch(entry, path, id).await.expect("an answer").status
 }
 
 #[tokio::test]
@@ -32,14 +32,14 @@
     let plain = Replica::new("p1", 0, Duration::ZERO);
     platform.replica(&plain, "plain").await;
     platform.store.set_fault(Fault::Busy);
-    let entry = platform.unready("front-1", platform.at).await;
+    let entry = platform.unready("front-1", platform.store_addr).await;
     assert_eq!(ready(&entry).await, 503);
-    let answer = ask(&entry, "/log/1", "early").await.expect("an answer");
+    let answer = fetch(&entry, "/log/1", "early").await.expect("an answer");
     assert_eq!(answer.status, 503);
     assert!(answer.headers.contains_key("retry-after"));
     platform.store.set_fault(Fault::None);
-    entry.process.event("configured", |_| true).await;
-    entry.process.event("target", |_| true).await;
+    entry.process.wait_for_event("configured", |_| true).await;
+    entry.process.wait_for_event("target", |_| true).await;
     assert_eq!(status(&entry, "/log/1", "later").await, 200);
 }
 
@@ -55,14 +55,14 @@
     platform.store.write("op", "config", &without);
     entry
         .process
-        .event("configured", |e| e["version"] == 5)
+        .wait_for_event("configured", |e| e["version"] == 5)
         .await;
     assert_eq!(status(&entry, "/check/1", "dropped").await, 404);
     platform.store.write("op", "config", &config(4));
     platform.store.write_raw("op", "config", b"{\"version\":9");
     entry
         .process
-        .event("bad_row", |e| e["key"] == "config")
+        .wait_for_event("bad_row", |e| e["key"] == "config")
         .await;
     assert_eq!(status(&entry, "/check/1", "still").await, 404);
     assert_eq!(status(&entry, "/log/1", "others").await, 200);
@@ -76,7 +76,7 @@
     platform.store.set_fault(Fault::Busy);
     entry
         .process
-        .event("lost", |e| e["dependency"] == "store")
+        .wait_for_event("lost", |e| e["dependency"] == "store")
         .await;
     let mut revoked_config = config(2);
     revoked_config["tenants"][0]["api_keys"] = json!(["another"]);
@@ -85,7 +85,7 @@
     platform.store.set_fault(Fault::None);
     entry
         .process
-        .event("configured", |e| e["version"] == 2)
+        .wait_for_event("configured", |e| e["version"] == 2)
         .await;
     assert_eq!(status(&entry, "/log/1", "revoked").await, 401);
 }
@@ -99,8 +99,10 @@
     let (at, _served) = second.start().await.expect("a store");
     second.write("op", "config", &config(1));
     let far = platform.unready("front-2", at).await;
-    far.process.event("configured", |e| e["version"] == 1).await;
-    let peer = near.process.event("listening", |_| true).await["peer"].clone();
+    far.process
+        .wait_for_event("configured", |e| e["version"] == 1)
+        .await;
+    let peer = near.process.wait_for_event("listening", |_| true).await["peer"].clone();
     second.write("members", "front-1", &json!({"addr": peer, "entry": true}));
     // The process discovers its peer before the store rejects it.
     let discovery = async {
@@ -108,7 +110,7 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LIMIT, discovery).await.expect("the list is read");
+    timeout(TIMEOUT, discovery).await.expect("the list is read");
     sleep(Duration::from_millis(100)).await;
     second.set_fault(Fault::Busy);
     let mut revoked_config = config(2_000);
@@ -119,7 +121,7 @@
         platform.store.write("op", "config", &revoked_config);
     }
     far.process
-        .event("configured", |e| {
+        .wait_for_event("configured", |e| {
             e["version"] == 2_000 && e["source"] == "peer"
         })
         .await;
@@ -137,7 +139,7 @@
     platform.store.set_fault(Fault::None);
     entry
         .process
-        .event("regained", |e| e["dependency"] == "store")
+        .wait_for_event("regained", |e| e["dependency"] == "store")
         .await;
     for n in 0..5 {
         assert_eq!(status(&entry, "/log/1", &format!("kept-{n}")).await, 200);
@@ -145,7 +147,7 @@
     }
     entry
         .process
-        .event("target", |e| e["state"] == "gone")
+        .wait_for_event("target", |e| e["state"] == "gone")
         .await;
     assert_eq!(status(&entry, "/log/1", "gone").await, 503);
 }
@@ -165,7 +167,10 @@
         "state": "resting"});
     platform.store.write("servers", "x3", &unknown_state);
     for key in ["x1", "x2", "x3"] {
-        entry.process.event("bad_row", |e| e["key"] == key).await;
+        entry
+            .process
+            .wait_for_event("bad_row", |e| e["key"] == key)
+            .await;
     }
     for n in 0..5 {
         assert_eq!(status(&entry, "/log/1", &format!("odd-{n}")).await, 200);
@@ -179,12 +184,15 @@
     let (mut platform, plain, entry) = fleet().await;
     let stays = Replica::new("p2", 0, Duration::ZERO);
     platform.replica(&stays, "plain").await;
-    entry.process.event("target", |e| e["target"] == "p2").await;
+    entry
+        .process
+        .wait_for_event("target", |e| e["target"] == "p2")
+        .await;
     let at = "127.0.0.1:9".parse().expect("an address");
     platform.list(&plain, "plain", at, "draining");
     entry
         .process
-        .event("target", |e| e["state"] == "draining")
+        .wait_for_event("target", |e| e["state"] == "draining")
         .await;
     let before = plain.seen().len();
     for n in 0..6 {
@@ -200,12 +208,12 @@
     let mut platform = Platform::start().await;
     let first = Replica::new("p1", 0, Duration::ZERO);
     platform.replica(&first, "plain").await;
-    let (link, _tasks) = Link::start(platform.at).await.expect("a link");
+    let (link, _tasks) = Link::start(platform.store_addr).await.expect("a link");
     let _other = platform.entry("front-1", 1).await;
     let rejected = platform.entry_on("front-2", link.addr(), 1).await;
     rejected
         .process
-        .event("members", |m| m["entries"] == 1)
+        .wait_for_event("members", |m| m["entries"] == 1)
         .await;
     link.set(Trouble::Refuse);
     link.reset();
@@ -213,8 +221,10 @@
     platform.replica(&second, "plain").await;
     platform.store.remove("servers", "p1");
     let is_gone = |t: &serde_json::Value| t["target"] == "p1" && t["state"] == "gone";
-    rejected.process.event("target", is_gone).await;
-    let served = ask(&rejected, "/log/1", "log-1").await.expect("an answer");
+    rejected.process.wait_for_event("target", is_gone).await;
+    let served = fetch(&rejected, "/log/1", "log-1")
+        .await
+        .expect("an answer");
     assert_eq!(served.status, 200);
     assert!(second.seen().iter().any(|s| s.id == "log-1" && s.ran));
 }
@@ -228,23 +238,23 @@
     let stays = Replica::new("p2", 0, Duration::ZERO);
     platform.replica(&leaves, "plain").await;
     platform.replica(&stays, "plain").await;
-    let (link, _tasks) = Link::start(platform.at).await.expect("a link");
+    let (link, _tasks) = Link::start(platform.store_addr).await.expect("a link");
     let _other = platform.entry("front-1", 2).await;
     let rejected = platform.entry_on("front-2", link.addr(), 2).await;
     rejected
         .process
-        .event("members", |m| m["entries"] == 1)
+        .wait_for_event("members", |m| m["entries"] == 1)
         .await;
     link.set(Trouble::Refuse);
     link.reset();
     rejected
         .process
-        .event("lost", |e| e["dependency"] == "list")
+        .wait_for_event("lost", |e| e["dependency"] == "list")
         .await;
     let left = Instant::now();
     platform.store.remove("servers", "p1");
     let is_gone = |t: &serde_json::Value| t["target"] == "p1" && t["state"] == "gone";
-    rejected.process.event("target", is_gone).await;
+    rejected.process.wait_for_event("target", is_gone).await;
     assert!(left.elapsed() < REROUTE_TIMEOUT, "{:?}", left.elapsed());
     for n in 0..6 {
         assert_eq!(
@@ -266,27 +276,27 @@
     for t in &targets {
         platform.replica(t, "plain").await;
     }
-    let (link, _tasks) = Link::start(platform.at).await.expect("a link");
+    let (link, _tasks) = Link::start(platform.store_addr).await.expect("a link");
     let other = platform.entry("front-1", targets.len()).await;
     let rejected = platform
         .entry_on("front-2", link.addr(), targets.len())
         .await;
     rejected
         .process
-        .event("members", |m| m["entries"] == 1)
+        .wait_for_event("members", |m| m["entries"] == 1)
         .await;
     link.set(Trouble::Silent);
     rejected
         .process
-        .event("lost", |e| e["dependency"] == "list")
+        .wait_for_event("lost", |e| e["dependency"] == "list")
         .await;
     let mut slowest = Duration::ZERO;
     for t in &targets[1..] {
         platform.store.remove("servers", &t.id);
         let is_gone = |e: &serde_json::Value| e["target"] == *t.id && e["state"] == "gone";
-        other.process.event("target", is_gone).await;
+        other.process.wait_for_event("target", is_gone).await;
         let listed_by_peer = Instant::now();
-        rejected.process.event("target", is_gone).await;
+        rejected.process.wait_for_event("target", is_gone).await;
         slowest = slowest.max(listed_by_peer.elapsed());
     }
     // The rest of the two seconds after the peer's pause, a connection and its answer.
@@ -303,8 +313,8 @@
     platform
         .store
         .set_fault(Fault::Slow(Duration::from_millis(20)));
-    let entry = platform.unready("front-1", platform.at).await;
-    let answer = ask(&entry, "/log/1", "log-1").await.expect("an answer");
+    let entry = platform.unready("front-1", platform.store_addr).await;
+    let answer = fetch(&entry, "/log/1", "log-1").await.expect("an answer");
     assert_eq!(answer.status, 200);
 }
 
@@ -318,25 +328,28 @@
     let [leaves, stays] = ["p1", "p2"].map(|id| Replica::new(id, 0, Duration::ZERO));
     platform.replica(&leaves, "plain").await;
     platform.replica(&stays, "plain").await;
-    let (link, _tasks) = Link::start(platform.at).await.expect("a link");
+    let (link, _tasks) = Link::start(platform.store_addr).await.expect("a link");
     let mut entries = Vec::new();
     for n in 0..3 {
         let store = if n == disconnected {
             link.addr()
         } else {
-            platform.at
+            platform.store_addr
         };
         let entry = platform.entry_on(&format!("front-{n}"), store, 2).await;
         entries.push(entry);
     }
     let entry = &entries[disconnected];
-    entry.process.event("members", |m| m["entries"] == 2).await;
+    entry
+        .process
+        .wait_for_event("members", |m| m["entries"] == 2)
+        .await;
     let is_list = |e: &serde_json::Value| e["dependency"] == "list";
     link.set(Trouble::Refuse);
     link.reset();
-    entry.process.event("lost", is_list).await;
+    entry.process.wait_for_event("lost", is_list).await;
     link.set(Trouble::None);
-    entry.process.event("regained", is_list).await;
+    entry.process.wait_for_event("regained", is_list).await;
     platform.store.remove("servers", "p1");
     let left = Instant::now();
     let mut n = 0;
--- a/crates/daemon/tests/hosted/weights.rs
+++ b/crates/daemon/tests/hosted/weights.rs
@@ -7,7 +7,7 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-use crate::fleet::{ask, Platform, LIMIT, MODEL};
+use crate::fleet::{fetch, Platform, MODEL, TIMEOUT};
 use crate::pool::EnginePool;
 
 #[tokio::test]
@@ -25,7 +25,9 @@
         "version/lekha",
         &json!({"model": MODEL, "version": 2}),
     );
-    sidecar.event("ordered", |e| e["outcome"] == "begun").await;
+    sidecar
+        .wait_for_event("ordered", |e| e["outcome"] == "begun")
+        .await;
     assert_eq!(engine.version(MODEL), 2);
     let orders = engine.orders();
     assert_eq!(orders.len(), 1, "{orders:?}");
@@ -38,7 +40,7 @@
         let mut n = 0;
         loop {
             n += 1;
-            let answer = ask(&entry, "/probe/1", &format!("new-{n}")).await;
+            let answer = fetch(&entry, "/probe/1", &format!("new-{n}")).await;
             let last_request = engine.seen().pop();
             if let (Ok(a), Some(received)) = (answer, last_request) {
                 if a.status == 200 && received.headers["expect-version"] == "2" {
@@ -48,7 +50,7 @@
             sleep(Duration::from_millis(50)).await;
         }
     };
-    let received = timeout(LIMIT, new_version_request)
+    let received = timeout(TIMEOUT, new_version_request)
         .await
         .expect("a request on the new weights");
     assert_eq!(received.headers["cache-salt"], "lekha.2");
@@ -66,7 +68,9 @@
         let sidecar = platform.sidecar("side-1", at);
         let announcement = json!({"model": MODEL, "version": version});
         platform.store.write("op", "version/lekha", &announcement);
-        sidecar.event("ordered", |e| e["outcome"] == "begun").await;
+        sidecar
+            .wait_for_event("ordered", |e| e["outcome"] == "begun")
+            .await;
     }
     let fences: Vec<_> = engine
         .orders()
@@ -88,12 +92,12 @@
         while !pool.all_have(2) {
             max_loading = pool.loading_count().max(max_loading);
             n += 1;
-            let answer = ask(&pool.entry, "/probe/1", &format!("roll-{n}")).await;
+            let answer = fetch(&pool.entry, "/probe/1", &format!("roll-{n}")).await;
             refused += usize::from(!answer.is_ok_and(|a| a.status == 200));
         }
         (max_loading, refused, n)
     };
-    let (max_loading, refused, n) = timeout(LIMIT, rollout)
+    let (max_loading, refused, n) = timeout(TIMEOUT, rollout)
         .await
         .expect("all engines load the version");
     let orders = pool.orders();
@@ -136,7 +140,7 @@
             }
             max_loading
         };
-        let max_loading = timeout(LIMIT, rollout)
+        let max_loading = timeout(TIMEOUT, rollout)
             .await
             .expect("all engines load the version");
         assert_eq!(
@@ -159,13 +163,17 @@
     let at = platform.replica(&engine, "engines").await;
     let entry = platform.entry("front-1", 1).await;
     let sidecar = platform.sidecar("side-1", at);
-    sidecar.event("members", |e| e["entries"] == 1).await;
+    sidecar
+        .wait_for_event("members", |e| e["entries"] == 1)
+        .await;
     let announcement = json!({"model": MODEL, "version": 2});
     platform.store.write("op", "version/lekha", &announcement);
-    sidecar.event("ordered", |e| e["outcome"] == "begun").await;
+    sidecar
+        .wait_for_event("ordered", |e| e["outcome"] == "begun")
+        .await;
     // The sidecar's next update reports the load to the entry.
     sleep(Duration::from_millis(250)).await;
-    let answer = timeout(LIMIT, ask(&entry, "/probe/1", "patient")).await;
+    let answer = timeout(TIMEOUT, fetch(&entry, "/probe/1", "patient")).await;
     let answer = answer.expect("in time").expect("an answer");
     assert_eq!(answer.status, 200, "{}", entry.process.about("patient"));
     assert_eq!(engine.version(MODEL), 2, "served after the load");
@@ -184,7 +192,7 @@
     platform.store.write("op", "version/lekha", &announcement);
     let entry = platform.entry("front-1", 1).await;
     engine.load(MODEL, 2);
-    let answer = timeout(LIMIT, ask(&entry, "/probe/1", "newer")).await;
+    let answer = timeout(TIMEOUT, fetch(&entry, "/probe/1", "newer")).await;
     let answer = answer.expect("in time").expect("an answer");
     assert_eq!(answer.status, 200, "{}", entry.process.about("newer"));
 }
@@ -210,11 +218,11 @@
         let is_late = |e: &Value| e["up_ms"].as_u64().is_some_and(|ms| ms > 2_600);
         while !entry.process.events("answered").iter().any(is_late) {
             n += 1;
-            let answer = ask(&entry, "/probe/1", &format!("wait-{n}")).await;
+            let answer = fetch(&entry, "/probe/1", &format!("wait-{n}")).await;
             assert!(answer.is_ok_and(|a| a.status == 200));
         }
     };
-    timeout(LIMIT, outdated)
+    timeout(TIMEOUT, outdated)
         .await
         .expect("the old weights are outdated");
     newer.set_fault(Fault::Error);
@@ -222,14 +230,16 @@
         let mut n = 0;
         while entry.process.events("left_out").is_empty() {
             n += 1;
-            let _failed = ask(&entry, "/probe/1", &format!("fail-{n}")).await;
+            let _failed = fetch(&entry, "/probe/1", &format!("fail-{n}")).await;
         }
     };
-    timeout(LIMIT, ejection)
+    timeout(TIMEOUT, ejection)
         .await
         .expect("the engine is ejected");
     newer.set_fault(Fault::None);
-    let answer = ask(&entry, "/probe/1", "served").await.expect("an answer");
+    let answer = fetch(&entry, "/probe/1", "served")
+        .await
+        .expect("an answer");
     let refusals = entry.process.events("refused");
     assert_eq!(answer.status, 200, "{refusals:?}");
     assert!(newer.seen().iter().any(|s| s.id == "served"));
