--- a/crates/daemon/tests/hosted/losses.rs
+++ b/crates/daemon/tests/hosted/losses.rs
@@ -54,7 +54,7 @@
         let is_complete = |m: &serde_json::Value| m["entries"] == ENTRIES - 1;
         e.process.wait_for_event("members", is_complete).await;
     }
-    // The entries settle on the ones that read the list within a few reads.
+    // Within a few reads the entries agree on which of them read the list.
     sleep(REROUTE_TIMEOUT).await;
     switch.set(Path {
         loss: 1.0,
--- a/crates/daemon/tests/hosted/soak/callers.rs
+++ b/crates/daemon/tests/hosted/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that ask one request after the other on connections that they keep.
+//! Callers that send one request after the other on keep-alive connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,74 +13,84 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-use super::world::{World, ENTRIES};
+use super::cluster::{Cluster, ENTRIES};
 use crate::fleet;
 
-/// How long a caller waits for an answer: its deadline, the longest trouble of its link, a pause of
-/// the entry, and some room. One that takes longer has been forgotten.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Time limit for an answer: the request's deadline, the longest fault of the link, a pause of the
+/// entry, and a reserve. A request without an answer by then counts as never answered.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
-    /// The request that the answer says it belongs to.
+    /// Id of the request that the answer names in its headers.
     pub id: Option<String>,
-    /// Whether a replica has signed it.
+    /// Whether the answer has a replica's signature.
     pub signed: bool,
     pub body: Bytes,
 }
 
-/// A caller's request and what came of it.
+/// A caller's request and its outcome.
 #[derive(Debug)]
 pub struct Outcome {
     pub id: String,
     pub path: &'static str,
-    /// Nothing for a connection that broke.
+    /// The answer, unless the connection broke or the request timed out.
     pub answer: Option<Answer>,
-    /// Whether nothing came for longer than anything may take.
-    pub forgotten: bool,
-    /// What its entry logged on it, if it was forgotten.
+    /// Whether there was no answer within `ANSWER_TIMEOUT`.
+    pub timed_out: bool,
+    /// The entry's log lines on the request, if it timed out.
     pub log: String,
 }
 
-/// Asks until the end.
-pub async fn ask(world: Arc<World>, caller: u64, seed: u64, end: Instant) -> Vec<Outcome> {
+/// Sends requests until `end` and returns their outcomes.
+pub async fn send_requests(
+    cluster: Arc<Cluster>,
+    caller: u64,
+    seed: u64,
+    end: Instant,
+) -> Vec<Outcome> {
     let mut rng = StdRng::seed_from_u64(seed * 1_000 + caller);
     let mut kept: Vec<Option<SendRequest<Full<Bytes>>>> = (0..ENTRIES).map(|_| None).collect();
     let mut outcomes = Vec::new();
     while Instant::now() < end {
         let path = ["/code/1", "/probe/1", "/log/1", "/check/1"][rng.random_range(0..4)];
         let id = format!("{caller}-{}", outcomes.len());
-        let front = rng.random_range(0..ENTRIES);
-        let asked = timeout(PATIENCE, once(&world, front, &mut kept[front], path, &id)).await;
-        if !matches!(asked, Ok(Some(_))) {
-            kept[front] = None;
+        let entry = rng.random_range(0..ENTRIES);
+        let result = timeout(
+            ANSWER_TIMEOUT,
+            send_once(&cluster, entry, &mut kept[entry], path, &id),
+        )
+        .await;
+        if !matches!(result, Ok(Some(_))) {
+            kept[entry] = None;
         }
-        let log = match &asked {
-            Err(_) => world.fronts[front].host.runs().process.about(&id),
+        let log = match &result {
+            Err(_) => cluster.entries[entry].host.daemon().process.about(&id),
             Ok(_) => String::new(),
         };
         outcomes.push(Outcome {
             id,
             path,
-            forgotten: asked.is_err(),
+            timed_out: result.is_err(),
             log,
-            answer: asked.ok().flatten(),
+            answer: result.ok().flatten(),
         });
         sleep(Duration::from_millis(rng.random_range(0..20))).await;
     }
     outcomes
 }
 
-async fn once(
-    world: &World,
-    front: usize,
+/// Sends a request on the kept connection or a new one; returns nothing if the connection breaks.
+async fn send_once(
+    cluster: &Cluster,
+    entry: usize,
     kept: &mut Option<SendRequest<Full<Bytes>>>,
     path: &str,
     id: &str,
 ) -> Option<Answer> {
-    let link = &world.fronts[front].link;
+    let link = &cluster.entries[entry].link;
     let mut send = match kept.take().filter(SendRequest::is_ready) {
         Some(s) => s,
         None => {
--- a/crates/daemon/tests/hosted/soak/check.rs
+++ b/crates/daemon/tests/hosted/soak/check.rs
@@ -1,4 +1,4 @@
-//! What must hold in a run, from what callers got and what replicas saw.
+//! Checks of a soak run, based on the answers that callers got and the requests that replicas got.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,175 +8,195 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 use super::callers::Outcome;
-use super::world::{World, ENGINES, ENTRIES, EVENTS, REPLICAS, WIDER};
+use super::cluster::{Cluster, ENGINES, ENTRIES, EVENTS, FIRST_EXTENDED_SEED, REPLICAS};
 use crate::fleet::{fetch_from, ready_at, MODEL, TIMEOUT};
 
-/// Longest time until all is served again. What was asked for at each of several crashes in a row is
-/// refused for 15 s at worst, and each of the four kinds may be.
-const HEAL: Duration = Duration::from_secs(40);
-/// Time after which a target that has left gets nothing new.
-const LEFT: Duration = Duration::from_secs(2);
-/// Time after the last fault from which on that holds.
-const TOUCH: Duration = Duration::from_secs(3);
-/// Milliseconds that orders of two holders are apart.
-const LEASE: u64 = 3_000;
-/// Requests to each entry after that; each of two targets would get some.
-const ASKED: usize = 12;
-/// Pause between two tries of what has to work again.
-const AGAIN: Duration = Duration::from_millis(50);
+/// Time limit for the recovery of all entries. A request that ran at several crashes in a row is
+/// refused for up to 15 s, and that may apply to each of the four kinds of requests.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
+/// Time after which a target that has left gets no new request.
+const REROUTE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after the last fault from which on `REROUTE_TIMEOUT` must be kept.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Minimum interval, in milliseconds, between orders of two holders.
+const LEASE_MS: u64 = 3_000;
+/// Number of requests to each entry after a target has left, enough for each of two targets to get
+/// some.
+const REQUESTS: usize = 12;
+/// Interval between two checks of an awaited condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Every entry serves again, and every engine has the newest weights.
-pub async fn recovered(seed: u64, world: &World) {
-    // All are asked at once, as by callers: what one entry finds out lets the others serve again.
-    join_all((0..ENTRIES).map(|n| serves(seed, world, n))).await;
-    let newest = *world.version.lock().expect("a version");
+/// Checks that every entry serves again and that every engine has the newest weights.
+pub async fn check_recovery(seed: u64, cluster: &Cluster) {
+    // All entries get requests at once, as from callers: an answer that one entry gets can clear a
+    // request at the others.
+    join_all((0..ENTRIES).map(|n| check_entry_serves(seed, cluster, n))).await;
+    let newest = *cluster.version.lock().expect("a version");
     for n in 0..ENGINES {
-        let engine = &world.replicas[n].replica;
+        let engine = &cluster.replicas[n].replica;
         let loaded = async {
             while engine.version(MODEL) < newest {
-                sleep(AGAIN).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
         let loaded = timeout(TIMEOUT, loaded).await;
-        assert!(loaded.is_ok(), "seed {seed}: engine {n} has old weights");
+        assert!(
+            loaded.is_ok(),
+            "seed {seed}: engine {n} has outdated weights"
+        );
     }
 }
 
-async fn serves(seed: u64, world: &World, n: usize) {
+async fn check_entry_serves(seed: u64, cluster: &Cluster, n: usize) {
     let (callers, at) = {
-        let entry = world.fronts[n].host.runs();
+        let entry = cluster.entries[n].host.daemon();
         (entry.callers, entry.ready)
     };
-    let served = async {
+    let recovery = async {
         for path in ["/log/1", "/check/1", "/probe/1", "/code/1"] {
-            for tries in 0.. {
-                let id = format!("healed-{n}-{tries}-{path}");
+            for attempt in 0.. {
+                let id = format!("healed-{n}-{attempt}-{path}");
                 let answer = fetch_from(callers, path, &id).await;
                 if ready_at(at).await == 200 && answer.is_ok_and(|a| a.status == 200) {
                     break;
                 }
-                sleep(AGAIN).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
     };
-    let healed = timeout(HEAL, served).await;
-    let tail = || world.fronts[n].host.runs().process.tail();
+    let result = timeout(RECOVERY_TIMEOUT, recovery).await;
+    let log = || cluster.entries[n].host.daemon().process.tail();
     assert!(
-        healed.is_ok(),
+        result.is_ok(),
         "seed {seed}: entry {n} doesn't serve again:\n{}",
-        tail()
+        log()
     );
 }
 
-/// A target takes its row away soon after the faults have ended; in time nothing new reaches it.
-pub async fn left(seed: u64, world: &World, healed: Instant) {
-    let target = &world.replicas[REPLICAS - 1].replica;
-    world.platform.store.remove("servers", &target.id);
-    sleep_until((Instant::now() + LEFT).max(healed + TOUCH)).await;
+/// Removes a target's row soon after the last fault and checks that the target gets no new request
+/// after the time allowed.
+pub async fn check_departed_target(seed: u64, cluster: &Cluster, faults_cleared: Instant) {
+    let target = &cluster.replicas[REPLICAS - 1].replica;
+    cluster.platform.store.remove("servers", &target.id);
+    sleep_until((Instant::now() + REROUTE_TIMEOUT).max(faults_cleared + SETTLE_TIME)).await;
     for n in 0..ENTRIES {
-        let callers = world.fronts[n].host.runs().callers;
-        for tries in 0..ASKED {
-            let id = format!("left-{n}-{tries}");
-            // Served or not, it mustn't have been sent there.
+        let callers = cluster.entries[n].host.daemon().callers;
+        for attempt in 0..REQUESTS {
+            let id = format!("left-{n}-{attempt}");
+            // The request may fail, but it must not reach the target.
             let _ = fetch_from(callers, "/log/1", &id).await;
-            let there = target.seen().iter().any(|s| s.id == id);
-            let tail = || world.fronts[n].host.runs().process.tail();
+            let reached = target.seen().iter().any(|s| s.id == id);
+            let log = || cluster.entries[n].host.daemon().process.tail();
             assert!(
-                !there,
-                "seed {seed}: entry {n} sends to who has left:\n{}",
-                tail()
+                !reached,
+                "seed {seed}: entry {n} sent a request to a target that has left:\n{}",
+                log()
             );
         }
     }
 }
 
-/// The promises to callers, engines and the platform.
-pub fn promises(seed: u64, world: &World, outcomes: &[Outcome]) {
-    let runs = runs(world);
+/// Checks all answers, the orders to all engines, and that no process has ended by itself.
+pub fn check_promises(seed: u64, cluster: &Cluster, outcomes: &[Outcome]) {
+    let runs = count_runs(cluster);
     for o in outcomes {
         let ran = runs.get(&o.id).copied().unwrap_or_default();
-        answer(o, ran, &format!("seed {seed}: {o:?} ran {ran} times"));
+        check_answer(o, ran, &format!("seed {seed}: {o:?} ran {ran} times"));
     }
-    for (n, behind) in world.replicas[..ENGINES].iter().enumerate() {
-        match seed < WIDER {
-            true => orders(seed, n, &behind.replica.orders()),
-            false => passed_on(seed, n, &behind.replica.orders()),
+    for (n, engine) in cluster.replicas[..ENGINES].iter().enumerate() {
+        match seed < FIRST_EXTENDED_SEED {
+            true => check_single_holder(seed, n, &engine.replica.orders()),
+            false => check_changing_holders(seed, n, &engine.replica.orders()),
         }
     }
-    for (n, front) in world.fronts.iter().enumerate() {
-        let ended = front.host.ended();
+    for (n, entry) in cluster.entries.iter().enumerate() {
+        let ended = entry.host.ended();
         assert!(!ended, "seed {seed}: entry {n} has ended by itself");
     }
-    for (n, side) in world.sides.iter().enumerate() {
+    for (n, sidecar) in cluster.sidecars.iter().enumerate() {
         assert!(
-            !side.ended(),
+            !sidecar.ended(),
             "seed {seed}: sidecar {n} has ended by itself"
         );
     }
 }
 
-/// Times that each request ran.
-fn runs(world: &World) -> HashMap<String, usize> {
+/// Number of times that each request ran.
+fn count_runs(cluster: &Cluster) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
-    let seen = world.replicas.iter().flat_map(|r| r.replica.seen());
+    let seen = cluster.replicas.iter().flat_map(|r| r.replica.seen());
     for s in seen.filter(|s| s.ran) {
         *runs.entry(s.id).or_default() += 1;
     }
     runs
 }
 
-fn answer(o: &Outcome, ran: usize, told: &str) {
-    assert!(!o.forgotten, "never answered: {told}\n{}", o.log);
-    // Routes here allow two runs.
-    let most = if matches!(o.path, "/log/1" | "/code/1") {
+/// Checks that a request ran no more often than allowed and that its answer is correct.
+fn check_answer(o: &Outcome, ran: usize, context: &str) {
+    assert!(!o.timed_out, "never answered: {context}\n{}", o.log);
+    // Requests that may be repeated run at most twice on these routes.
+    let max_runs = if matches!(o.path, "/log/1" | "/code/1") {
         1
     } else {
         2
     };
-    assert!(ran <= most, "ran too often: {told}");
+    assert!(ran <= max_runs, "ran too often: {context}");
     let Some(a) = &o.answer else {
         return;
     };
     match a.status {
         200 => {
             let events = (1..=EVENTS).map(|n| format!("id: {n}\ndata: token {n}\n\n"));
-            let whole = match o.path {
+            let complete = match o.path {
                 "/code/1" | "/probe/1" => a.body == events.collect::<String>(),
                 "/log/1" => a.body == "echo body",
                 _ => a.body == "echo ",
             };
-            let own = a.id.as_deref() == Some(&o.id);
-            let good = whole && own && a.signed && ran >= 1;
-            assert!(good, "not the replica's answer: {told}");
+            let matches_request = a.id.as_deref() == Some(&o.id);
+            let correct = complete && matches_request && a.signed && ran >= 1;
+            assert!(correct, "not the replica's answer: {context}");
         }
-        408 | 421 | 429 | 503 => assert_eq!(ran, 0, "called not run: {told}"),
-        401 | 403 | 404 => panic!("denied what is allowed: {told}"),
+        408 | 421 | 429 | 503 => assert_eq!(ran, 0, "ran, but was answered as not run: {context}"),
+        401 | 403 | 404 => panic!("an allowed request was denied: {context}"),
         _ => {}
     }
 }
 
-/// Orders of two holders are a lease apart, with rising tokens.
-fn passed_on(seed: u64, engine: usize, orders: &[Value]) {
+/// Checks that orders of different holders are at least a lease apart and have rising tokens.
+fn check_changing_holders(seed: u64, engine: usize, orders: &[Value]) {
     for pair in orders.windows(2) {
         let context = format!("seed {seed}: engine {engine}: {pair:?}");
         let number = |i: usize, name: &str| pair[i][name].as_u64().expect("a number");
         let (before, after) = (number(0, "fence"), number(1, "fence"));
-        assert!(before <= after, "a token fell: {context}");
+        assert!(before <= after, "the fencing token fell: {context}");
         if pair[0]["holder"] != pair[1]["holder"] {
-            assert!(before < after, "one token of two holders: {context}");
-            let apart = number(1, "at_ms") - number(0, "at_ms");
-            assert!(apart >= LEASE, "two holders within a lease: {context}");
+            assert!(
+                before < after,
+                "two holders have the same fencing token: {context}"
+            );
+            let interval = number(1, "at_ms") - number(0, "at_ms");
+            assert!(
+                interval >= LEASE_MS,
+                "orders of two holders within a lease: {context}"
+            );
         }
     }
 }
 
-/// One holder orders an engine, with tokens that never fall.
-fn orders(seed: u64, engine: usize, orders: &[Value]) {
+/// Checks that a single holder orders the engine, with tokens that never fall.
+fn check_single_holder(seed: u64, engine: usize, orders: &[Value]) {
     let holder = |o: &Value| o["holder"].as_str().map(str::to_owned);
     let fence = |o: &Value| o["fence"].as_u64();
     for pair in orders.windows(2) {
-        let told = format!("seed {seed}: engine {engine}: {pair:?}");
-        assert_eq!(holder(&pair[0]), holder(&pair[1]), "two holders: {told}");
-        assert!(fence(&pair[0]) <= fence(&pair[1]), "a token fell: {told}");
+        let context = format!("seed {seed}: engine {engine}: {pair:?}");
+        assert_eq!(
+            holder(&pair[0]),
+            holder(&pair[1]),
+            "orders of two holders: {context}"
+        );
+        assert!(
+            fence(&pair[0]) <= fence(&pair[1]),
+            "the fencing token fell: {context}"
+        );
     }
 }
--- /dev/null
+++ b/crates/daemon/tests/hosted/soak/cluster.rs
@@ -0,0 +1,304 @@
+//! The processes, replicas and links of a soak run.
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::Duration;
+
+use serde_json::json;
+use standin::hosted::replica::{Fault, Replica};
+use standin::hosted::rows;
+use standin::link::{Link, Trouble};
+use standin::switch::{Path, Switch};
+use tokio::task::JoinSet;
+use tokio::time::{sleep, Instant};
+
+use crate::fleet::{config, Entry, Platform, Process, MODEL};
+
+/// Number of entries.
+pub const ENTRIES: usize = 3;
+/// Number of engines, which come first among the replicas.
+pub const ENGINES: usize = 2;
+/// First of the seeds that also draw restores of the store, and clusters in which some or all
+/// engines have no sidecar.
+pub const FIRST_EXTENDED_SEED: u64 = 1_000;
+/// Number of replicas; those that aren't engines belong to the plain service.
+pub const REPLICAS: usize = 4;
+/// Number of events in a complete stream.
+pub const EVENTS: u64 = 12;
+/// Time limit for the end of a process after a signal: its grace period and the time for which it
+/// may be paused.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(12);
+/// Interval between two checks whether a process has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
+
+/// A replica and the link through which it is reached.
+pub struct LinkedReplica {
+    pub replica: Arc<Replica>,
+    pub link: Arc<Link>,
+    service: &'static str,
+}
+
+/// A host with its link to the store and the entry or sidecar that runs on it.
+pub struct Host<T> {
+    pub name: String,
+    pub store: Arc<Link>,
+    daemon: Mutex<T>,
+    /// Whether the process is being ended or replaced.
+    is_ending: AtomicBool,
+}
+
+/// An entry or a sidecar, which runs on a host.
+pub trait Daemon {
+    /// The daemon's process.
+    fn process(&mut self) -> &mut Process;
+}
+
+impl Daemon for Process {
+    fn process(&mut self) -> &mut Process {
+        self
+    }
+}
+
+impl Daemon for Entry {
+    fn process(&mut self) -> &mut Process {
+        &mut self.process
+    }
+}
+
+impl<T: Daemon> Host<T> {
+    fn new(name: String, store: Arc<Link>, daemon: T) -> Self {
+        Self {
+            name,
+            store,
+            daemon: Mutex::new(daemon),
+            is_ending: AtomicBool::new(false),
+        }
+    }
+
+    /// The daemon that runs on the host.
+    pub fn daemon(&self) -> MutexGuard<'_, T> {
+        self.daemon.lock().expect("a process")
+    }
+
+    /// Whether the host's process has ended.
+    pub fn ended(&self) -> bool {
+        self.daemon().process().ended()
+    }
+
+    /// Signals the host's process, unless that has ended.
+    pub fn signal(&self, name: &str) {
+        let mut daemon = self.daemon();
+        if !daemon.process().ended() {
+            daemon.process().signal(name);
+        }
+    }
+
+    /// Ends the host's process by a signal and waits until it has ended. Returns false at once if
+    /// the process is being ended already.
+    async fn end(&self, signal: &str) -> bool {
+        if self.is_ending.swap(true, Ordering::Relaxed) {
+            return false;
+        }
+        self.signal(signal);
+        let started = Instant::now();
+        while !self.ended() {
+            assert!(
+                started.elapsed() < EXIT_TIMEOUT,
+                "{} doesn't end after {signal}",
+                self.name
+            );
+            sleep(POLL_INTERVAL).await;
+        }
+        let success = self.daemon().process().wait();
+        assert!(
+            success || signal == "KILL",
+            "{} exited with a failure",
+            self.name
+        );
+        true
+    }
+
+    /// Replaces the daemon whose process has ended by a new one.
+    fn replace(&self, daemon: T) {
+        *self.daemon() = daemon;
+        self.is_ending.store(false, Ordering::Relaxed);
+    }
+}
+
+/// An entry's host and the link through which callers reach the entry.
+pub struct LinkedEntry {
+    pub host: Host<Entry>,
+    pub link: Arc<Link>,
+}
+
+/// All processes, replicas and links of a run.
+pub struct Cluster {
+    pub platform: Platform,
+    pub replicas: Vec<LinkedReplica>,
+    pub entries: Vec<LinkedEntry>,
+    pub sidecars: Vec<Host<Process>>,
+    /// Latest announced version of the configuration and of the weights.
+    pub version: Mutex<u64>,
+    /// Carries datagrams and connections between entries and sidecars.
+    pub switch: Arc<Switch>,
+    _links: Mutex<Vec<JoinSet<()>>>,
+}
+
+/// Number of engines with a sidecar.
+fn sidecar_count(seed: u64) -> usize {
+    match seed < FIRST_EXTENDED_SEED {
+        true => ENGINES,
+        false => (seed % (ENGINES as u64 + 1)) as usize,
+    }
+}
+
+/// Opens a link that is kept until the end of the run.
+async fn open_link(tasks: &mut Vec<JoinSet<()>>, to: SocketAddr) -> Arc<Link> {
+    let (link, link_tasks) = Link::start(to).await.expect("a link");
+    tasks.push(link_tasks);
+    link
+}
+
+impl Cluster {
+    /// Starts the processes and replicas of a seed's run.
+    pub async fn start(seed: u64) -> Arc<Self> {
+        let mut platform = Platform::start().await;
+        let switch = Switch::new(seed);
+        platform.store.set_switch(Arc::clone(&switch));
+        let mut links = Vec::new();
+        let mut replicas = Vec::new();
+        for n in 0..REPLICAS {
+            let service = if n < ENGINES { "engines" } else { "plain" };
+            let replica = Replica::new(&format!("r{n}"), EVENTS, EVENT_INTERVAL);
+            replica.load(MODEL, 1);
+            let at = platform.serve(&replica).await;
+            let link = open_link(&mut links, at).await;
+            platform.list(&replica, service, link.addr(), "ready");
+            replicas.push(LinkedReplica {
+                replica,
+                link,
+                service,
+            });
+        }
+        let mut sidecars = Vec::new();
+        for (n, engine) in replicas[..sidecar_count(seed)].iter().enumerate() {
+            let name = format!("side-{n}");
+            let store = open_link(&mut links, platform.store_addr).await;
+            let process = platform.sidecar_on(&name, store.addr(), engine.link.addr());
+            sidecars.push(Host::new(name, store, process));
+        }
+        let mut entries = Vec::new();
+        for n in 0..ENTRIES {
+            let name = format!("front-{n}");
+            let store = open_link(&mut links, platform.store_addr).await;
+            let entry = platform.entry_on(&name, store.addr(), REPLICAS).await;
+            let link = open_link(&mut links, entry.callers).await;
+            let host = Host::new(name, store, entry);
+            entries.push(LinkedEntry { host, link });
+        }
+        Arc::new(Self {
+            platform,
+            replicas,
+            entries,
+            sidecars,
+            version: Mutex::new(1),
+            switch,
+            _links: Mutex::new(links),
+        })
+    }
+
+    /// Ends an entry by a signal and then starts another entry on its host.
+    pub async fn replace_entry(&self, n: usize, signal: &str) {
+        let replaced = &self.entries[n];
+        if !replaced.host.end(signal).await {
+            return;
+        }
+        let store = replaced.host.store.addr();
+        let entry = self.platform.unready(&replaced.host.name, store).await;
+        replaced.link.lead(entry.callers);
+        replaced.host.replace(entry);
+    }
+
+    /// Ends a sidecar by a signal and then starts another sidecar on its host.
+    pub async fn replace_sidecar(&self, n: usize, signal: &str) {
+        let sidecar = &self.sidecars[n];
+        if !sidecar.end(signal).await {
+            return;
+        }
+        let engine = self.replicas[n].link.addr();
+        let process = self
+            .platform
+            .sidecar_on(&sidecar.name, sidecar.store.addr(), engine);
+        sidecar.replace(process);
+    }
+
+    /// Ends a replica's incarnation and starts the next one at the same address.
+    pub fn restart_replica(&self, n: usize) {
+        let linked = &self.replicas[n];
+        linked.replica.restart();
+        linked.link.reset();
+        self.list(linked, "ready");
+    }
+
+    /// Announces newer weights and a newer configuration.
+    pub fn announce_version(&self) {
+        let mut version = self.version.lock().expect("a version");
+        *version += 1;
+        let announcement = json!({"model": MODEL, "version": *version});
+        self.platform.store.write("op", "config", &config(*version));
+        self.platform
+            .store
+            .write("op", "version/lekha", &announcement);
+    }
+
+    /// Restores the store from a snapshot and then, after a delay, writes the rows of the operator
+    /// and of the replicas again.
+    pub async fn restore(&self, snapshot: &rows::Copy, delay: Duration) {
+        self.platform.store.restore(snapshot);
+        sleep(delay).await;
+        let version = *self.version.lock().expect("a version");
+        let announcement = json!({"model": MODEL, "version": version});
+        let store = &self.platform.store;
+        store.write("op", "config", &config(version));
+        store.write("op", "version/lekha", &announcement);
+        for linked in &self.replicas {
+            self.list(linked, "ready");
+        }
+    }
+
+    /// Writes the row of a replica's current incarnation to the list of targets.
+    fn list(&self, replica: &LinkedReplica, state: &str) {
+        let (inner, at) = (&replica.replica, replica.link.addr());
+        let incarnation = inner.life() + 1;
+        self.platform
+            .list_incarnation(inner, replica.service, at, state, incarnation);
+    }
+
+    /// All links, including those of the callers.
+    pub fn links(&self) -> Vec<Arc<Link>> {
+        let replicas = self.replicas.iter().map(|r| &r.link);
+        let entries = self.entries.iter().flat_map(|e| [&e.link, &e.host.store]);
+        let sidecars = self.sidecars.iter().map(|s| &s.store);
+        replicas.chain(entries).chain(sidecars).cloned().collect()
+    }
+
+    /// Removes all faults and resumes paused processes.
+    pub fn clear_faults(&self) {
+        self.platform.store.set_fault(rows::Fault::None);
+        self.links().iter().for_each(|l| l.set(Trouble::None));
+        self.switch.set(Path::GOOD);
+        for linked in &self.replicas {
+            linked.replica.set_fault(Fault::None);
+            self.list(linked, "ready");
+        }
+        for entry in &self.entries {
+            entry.host.signal("CONT");
+        }
+        for sidecar in &self.sidecars {
+            sidecar.signal("CONT");
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/tests/hosted/soak/faults.rs
@@ -0,0 +1,158 @@
+//! Fault injection for a soak run.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use rand::rngs::StdRng;
+use rand::seq::IndexedRandom;
+use rand::{Rng, SeedableRng};
+use standin::hosted::replica::Fault;
+use standin::hosted::rows;
+use standin::link::Trouble;
+use standin::switch::Path;
+use tokio::task::JoinSet;
+use tokio::time::{sleep, Instant};
+
+use super::cluster::{Cluster, ENTRIES, FIRST_EXTENDED_SEED, REPLICAS};
+
+/// Faults that replicas may get.
+const REPLICA_FAULTS: [Fault; 11] = [
+    Fault::Full,
+    Fault::Vague,
+    Fault::Error,
+    Fault::Lost,
+    Fault::Hang,
+    Fault::Unsigned,
+    Fault::Encoded,
+    Fault::Crossed,
+    Fault::Cut,
+    Fault::Short,
+    Fault::None,
+];
+/// Faults that links may get.
+const LINK_FAULTS: [Trouble; 6] = [
+    Trouble::Slow(Duration::from_millis(30)),
+    Trouble::Slow(Duration::from_millis(200)),
+    Trouble::CutUp,
+    Trouble::CutDown,
+    Trouble::Silent,
+    Trouble::Refuse,
+];
+
+/// Shares of the datagrams that may be lost.
+const LOSS_RATES: [f64; 4] = [0.1, 0.3, 0.6, 1.0];
+/// Seed mask that gives the restores a random sequence of their own.
+const RESTORE_MASK: u64 = 1 << 62;
+/// Seed mask that gives the datagram faults a random sequence of their own.
+const DATAGRAM_MASK: u64 = 1 << 63;
+
+/// Injects faults until `end`. Most of them last for a while and overlap with later ones.
+pub async fn inject(cluster: Arc<Cluster>, seed: u64, end: Instant) {
+    let mut rng = StdRng::seed_from_u64(seed);
+    let mut tasks = JoinSet::new();
+    while Instant::now() < end {
+        inject_one(&cluster, &mut rng, &mut tasks);
+        sleep(Duration::from_millis(rng.random_range(10..180))).await;
+    }
+    tasks.join_all().await;
+}
+
+/// Restores the store from snapshots at random times until `end`, sometimes twice in a row. It has
+/// a random sequence of its own.
+pub async fn restore_store(cluster: Arc<Cluster>, seed: u64, end: Instant) {
+    if seed < FIRST_EXTENDED_SEED {
+        return;
+    }
+    let mut rng = StdRng::seed_from_u64(seed ^ RESTORE_MASK);
+    let mut snapshot = cluster.platform.store.copy();
+    while Instant::now() < end {
+        sleep(Duration::from_millis(rng.random_range(200..1_500))).await;
+        match rng.random_range(0..3) {
+            0 => snapshot = cluster.platform.store.copy(),
+            1 => cluster.platform.store.restore(&snapshot),
+            _ => {}
+        }
+        let delay = Duration::from_millis(rng.random_range(0..1_500));
+        cluster.restore(&snapshot, delay).await;
+    }
+}
+
+/// Loses, delays and reorders datagrams between processes at random times until `end`. It has a
+/// random sequence of its own, so that a seed's other faults stay the same.
+pub async fn disturb_datagrams(cluster: Arc<Cluster>, seed: u64, end: Instant) {
+    let mut rng = StdRng::seed_from_u64(seed ^ DATAGRAM_MASK);
+    while Instant::now() < end {
+        let conditions = Path {
+            loss: *LOSS_RATES.choose(&mut rng).expect("a loss"),
+            delay: Duration::from_millis(rng.random_range(0..200)),
+        };
+        cluster.switch.set(conditions);
+        sleep(Duration::from_millis(rng.random_range(50..900))).await;
+        cluster.switch.set(Path::GOOD);
+        sleep(Duration::from_millis(rng.random_range(50..900))).await;
+    }
+}
+
+/// Injects one fault at random. `tasks` collects the tasks that end lasting faults.
+fn inject_one(cluster: &Arc<Cluster>, rng: &mut StdRng, tasks: &mut JoinSet<()>) {
+    let duration = Duration::from_millis(rng.random_range(50..900));
+    match rng.random_range(0..20) {
+        0..=4 => {
+            let replica = &cluster.replicas[rng.random_range(0..REPLICAS)].replica;
+            replica.set_fault(*REPLICA_FAULTS.choose(rng).expect("a fault"));
+        }
+        5..=8 => {
+            let link = Arc::clone(cluster.links().choose(rng).expect("a link"));
+            link.set(*LINK_FAULTS.choose(rng).expect("a fault"));
+            tasks.spawn(async move {
+                sleep(duration).await;
+                link.set(Trouble::None);
+            });
+        }
+        9..=10 => cluster.links().choose(rng).expect("a link").reset(),
+        11 => {
+            let faults = [rows::Fault::Busy, rows::Fault::Silent, rows::Fault::None];
+            cluster
+                .platform
+                .store
+                .set_fault(*faults.choose(rng).expect("a fault"));
+        }
+        12 => cluster.platform.store.forget(),
+        13 => cluster.announce_version(),
+        14 => cluster.restart_replica(rng.random_range(0..REPLICAS)),
+        15..=16 => {
+            let n = rng.random_range(0..ENTRIES + cluster.sidecars.len());
+            signal(cluster, n, "STOP");
+            let cluster = Arc::clone(cluster);
+            tasks.spawn(async move {
+                sleep(duration).await;
+                signal(&cluster, n, "CONT");
+            });
+        }
+        17 if !cluster.sidecars.is_empty() => {
+            let n = rng.random_range(0..cluster.sidecars.len());
+            let signal = draw_end_signal(rng);
+            let cluster = Arc::clone(cluster);
+            tasks.spawn(async move { cluster.replace_sidecar(n, signal).await });
+        }
+        _ => {
+            let n = rng.random_range(0..ENTRIES);
+            let signal = draw_end_signal(rng);
+            let cluster = Arc::clone(cluster);
+            tasks.spawn(async move { cluster.replace_entry(n, signal).await });
+        }
+    }
+}
+
+/// Draws the signal that ends a process.
+fn draw_end_signal(rng: &mut StdRng) -> &'static str {
+    ["KILL", "TERM"].choose(rng).expect("a signal")
+}
+
+/// Signals the entry with this index or, for indices beyond the entries, a sidecar.
+fn signal(cluster: &Cluster, n: usize, name: &str) {
+    match n.checked_sub(ENTRIES) {
+        None => cluster.entries[n].host.signal(name),
+        Some(sidecar) => cluster.sidecars[sidecar].signal(name),
+    }
+}
