--- a/crates/daemon/tests/hosted/callers.rs
+++ b/crates/daemon/tests/hosted/callers.rs
@@ -167,7 +167,7 @@
     let whole = timeout(TIMEOUT, stream.into_body().collect()).await;
     let whole = whole.expect("an end").expect("a whole stream").to_bytes();
     assert!(whole.ends_with(b"id: 100\ndata: token 100\n\n"));
-    assert!(entry.process.wait());
+    assert!(entry.process.wait_for_end());
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/hosted/delegates.rs
+++ b/crates/daemon/tests/hosted/delegates.rs
@@ -186,7 +186,7 @@
                 let name = format!("side-{}", fleet.engines[i].id);
                 let at = fleet.engines[i].addr().expect("an address");
                 fleet.sidecars[i].signal("KILL");
-                fleet.sidecars[i].wait();
+                fleet.sidecars[i].wait_for_end();
                 fleet.sidecars[i] = fleet.platform.sidecar(&name, at);
             }
         }
@@ -200,7 +200,7 @@
         Fault::EntriesKilled => {
             for i in 0..2 {
                 fleet.entries[i].process.signal("KILL");
-                fleet.entries[i].process.wait();
+                fleet.entries[i].process.wait_for_end();
                 let name = format!("front-{}", i + 1);
                 fleet.entries[i] = fleet.platform.entry(&name, 3).await;
             }
--- a/crates/daemon/tests/hosted/fleet.rs
+++ b/crates/daemon/tests/hosted/fleet.rs
@@ -69,7 +69,7 @@
     }
 
     /// The log lines on one request and on the start and stop of the process, for failure messages.
-    pub fn about(&self, id: &str) -> String {
+    pub fn log_of_request(&self, id: &str) -> String {
         let lines = self.lines.lock().expect("lines");
         let is_start_or_stop = |l: &Value| l["event"] == "listening" || l["event"] == "stopping";
         let matching = lines
@@ -79,7 +79,7 @@
     }
 
     /// The last log lines, for failure messages.
-    pub fn tail(&self) -> String {
+    pub fn log_tail(&self) -> String {
         let lines = self.lines.lock().expect("lines");
         let last = lines.iter().skip(lines.len().saturating_sub(TAIL_LINES));
         last.map(|l| format!("{l}\n")).collect()
@@ -112,12 +112,12 @@
     }
 
     /// Whether the process has ended.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
     /// Waits until the process ends; returns whether it exited with success.
-    pub fn wait(&mut self) -> bool {
+    pub fn wait_for_end(&mut self) -> bool {
         self.child.wait().is_ok_and(|s| s.success())
     }
 }
@@ -163,13 +163,13 @@
 
     /// Starts a replica and lists it as ready under a service.
     pub async fn replica(&mut self, replica: &Arc<Replica>, service: &str) -> SocketAddr {
-        let at = self.serve(replica).await;
+        let at = self.start_replica(replica).await;
         self.list(replica, service, at, "ready");
         at
     }
 
     /// Starts a replica without listing it.
-    pub async fn serve(&mut self, replica: &Arc<Replica>) -> SocketAddr {
+    pub async fn start_replica(&mut self, replica: &Arc<Replica>) -> SocketAddr {
         let (at, served) = replica.start().await.expect("a replica");
         self.replicas.push(served);
         at
@@ -201,7 +201,7 @@
     /// Starts an entry that uses the store at an address, and waits until it is ready and has
     /// logged this number of targets.
     pub async fn entry_on(&self, name: &str, store: SocketAddr, targets: usize) -> Entry {
-        let entry = self.unready(name, store).await;
+        let entry = self.start_entry(name, store).await;
         let is_ready = async {
             while entry.process.events("target").len() < targets {
                 sleep(POLL_INTERVAL).await;
@@ -217,7 +217,7 @@
     }
 
     /// Starts an entry that uses the store at an address, without waiting until it is ready.
-    pub async fn unready(&self, name: &str, store: SocketAddr) -> Entry {
+    pub async fn start_entry(&self, name: &str, store: SocketAddr) -> Entry {
         let mut lines = settings(name, store);
         lines.push("listen.front=127.0.0.1:0".to_owned());
         lines.push("listen.ready=127.0.0.2:0".to_owned());
--- a/crates/daemon/tests/hosted/losses.rs
+++ b/crates/daemon/tests/hosted/losses.rs
@@ -78,7 +78,7 @@
                 !reached,
                 "entry {n} sent a request to a target {:?} after it left ({loss_before:?}, {draining}):\n{}",
                 left.elapsed(),
-                e.process.tail()
+                e.process.log_tail()
             );
         }
     }
--- a/crates/daemon/tests/hosted/pool.rs
+++ b/crates/daemon/tests/hosted/pool.rs
@@ -66,7 +66,7 @@
     /// Kills a sidecar and restarts it.
     pub fn restart_sidecar(&mut self, index: usize) {
         self.sidecars[index].signal("KILL");
-        self.sidecars[index].wait();
+        self.sidecars[index].wait_for_end();
         self.sidecars[index] = self.start_sidecar(index);
     }
 
--- a/crates/daemon/tests/hosted/restore.rs
+++ b/crates/daemon/tests/hosted/restore.rs
@@ -50,7 +50,7 @@
             sleep(POLL_INTERVAL).await;
         }
     });
-    let log = || entry.process.tail();
+    let log = || entry.process.log_tail();
     assert!(
         result.await.is_ok(),
         "{name}: the key is still accepted\n{}",
@@ -143,7 +143,7 @@
     for version in 1..=9 {
         second.write("op", "config", &config(version));
     }
-    let far = platform.unready("front-2", at).await;
+    let far = platform.start_entry("front-2", at).await;
     far.process
         .wait_for_event("configured", |e| e["version"] == 9)
         .await;
@@ -283,7 +283,7 @@
         assert!(
             e.process.events("bad_era").is_empty(),
             "{}",
-            e.process.tail()
+            e.process.log_tail()
         );
     }
 }
--- a/crates/daemon/tests/hosted/slots.rs
+++ b/crates/daemon/tests/hosted/slots.rs
@@ -128,7 +128,12 @@
     switch.set(c.path);
     let result = timeout(TIMEOUT, roll_out(&mut pool, c, fault, index)).await;
     let context = || format!("{}, {fault:?} {index}: {:?}", c.name, pool.orders());
-    let logs = || pool.sidecars.iter().map(Process::tail).collect::<String>();
+    let logs = || {
+        pool.sidecars
+            .iter()
+            .map(Process::log_tail)
+            .collect::<String>()
+    };
     assert!(result.is_ok(), "no engine loads: {}\n{}", context(), logs());
     pool.wait_for_version(if c.second_after.is_some() { 3 } else { 2 })
         .await;
--- a/crates/daemon/tests/hosted/soak/callers.rs
+++ b/crates/daemon/tests/hosted/soak/callers.rs
@@ -67,7 +67,11 @@
             kept[entry] = None;
         }
         let log = match &result {
-            Err(_) => cluster.entries[entry].host.daemon().process.about(&id),
+            Err(_) => cluster.entries[entry]
+                .host
+                .daemon()
+                .process
+                .log_of_request(&id),
             Ok(_) => String::new(),
         };
         outcomes.push(Outcome {
--- a/crates/daemon/tests/hosted/soak/check.rs
+++ b/crates/daemon/tests/hosted/soak/check.rs
@@ -65,7 +65,7 @@
         }
     };
     let result = timeout(RECOVERY_TIMEOUT, recovery).await;
-    let log = || cluster.entries[n].host.daemon().process.tail();
+    let log = || cluster.entries[n].host.daemon().process.log_tail();
     assert!(
         result.is_ok(),
         "seed {seed}: entry {n} doesn't serve again:\n{}",
@@ -86,7 +86,7 @@
             // The request may fail, but it must not reach the target.
             let _ = fetch_from(callers, "/log/1", &id).await;
             let reached = target.seen().iter().any(|s| s.id == id);
-            let log = || cluster.entries[n].host.daemon().process.tail();
+            let log = || cluster.entries[n].host.daemon().process.log_tail();
             assert!(
                 !reached,
                 "seed {seed}: entry {n} sent a request to a target that has left:\n{}",
@@ -110,12 +110,12 @@
         }
     }
     for (n, entry) in cluster.entries.iter().enumerate() {
-        let ended = entry.host.ended();
+        let ended = entry.host.has_ended();
         assert!(!ended, "seed {seed}: entry {n} has ended by itself");
     }
     for (n, sidecar) in cluster.sidecars.iter().enumerate() {
         assert!(
-            !sidecar.ended(),
+            !sidecar.has_ended(),
             "seed {seed}: sidecar {n} has ended by itself"
         );
     }
--- a/crates/daemon/tests/hosted/soak/cluster.rs
+++ b/crates/daemon/tests/hosted/soak/cluster.rs
@@ -84,14 +84,14 @@
     }
 
     /// Whether the host's process has ended.
-    pub fn ended(&self) -> bool {
-        self.daemon().process().ended()
+    pub fn has_ended(&self) -> bool {
+        self.daemon().process().has_ended()
     }
 
     /// Signals the host's process, unless that has ended.
     pub fn signal(&self, name: &str) {
         let mut daemon = self.daemon();
-        if !daemon.process().ended() {
+        if !daemon.process().has_ended() {
             daemon.process().signal(name);
         }
     }
@@ -104,7 +104,7 @@
         }
         self.signal(signal);
         let started = Instant::now();
-        while !self.ended() {
+        while !self.has_ended() {
             assert!(
                 started.elapsed() < EXIT_TIMEOUT,
                 "{} doesn't end after {signal}",
@@ -112,7 +112,7 @@
             );
             sleep(POLL_INTERVAL).await;
         }
-        let success = self.daemon().process().wait();
+        let success = self.daemon().process().wait_for_end();
         assert!(
             success || signal == "KILL",
             "{} exited with a failure",
@@ -174,7 +174,7 @@
             let service = if n < ENGINES { "engines" } else { "plain" };
             let replica = Replica::new(&format!("r{n}"), EVENTS, EVENT_INTERVAL);
             replica.load(MODEL, 1);
-            let at = platform.serve(&replica).await;
+            let at = platform.start_replica(&replica).await;
             let link = open_link(&mut links, at).await;
             platform.list(&replica, service, link.addr(), "ready");
             replicas.push(LinkedReplica {
@@ -217,7 +217,7 @@
             return;
         }
         let store = replaced.host.store.addr();
-        let entry = self.platform.unready(&replaced.host.name, store).await;
+        let entry = self.platform.start_entry(&replaced.host.name, store).await;
         replaced.link.lead(entry.callers);
         replaced.host.replace(entry);
     }
--- a/crates/daemon/tests/hosted/store.rs
+++ b/crates/daemon/tests/hosted/store.rs
@@ -32,7 +32,7 @@
     let plain = Replica::new("p1", 0, Duration::ZERO);
     platform.replica(&plain, "plain").await;
     platform.store.set_fault(Fault::Busy);
-    let entry = platform.unready("front-1", platform.store_addr).await;
+    let entry = platform.start_entry("front-1", platform.store_addr).await;
     assert_eq!(ready(&entry).await, 503);
     let answer = fetch(&entry, "/log/1", "early").await.expect("an answer");
     assert_eq!(answer.status, 503);
@@ -98,7 +98,7 @@
     let second = Arc::new(Store::default());
     let (at, _served) = second.start().await.expect("a store");
     second.write("op", "config", &config(1));
-    let far = platform.unready("front-2", at).await;
+    let far = platform.start_entry("front-2", at).await;
     far.process
         .wait_for_event("configured", |e| e["version"] == 1)
         .await;
@@ -313,7 +313,7 @@
     platform
         .store
         .set_fault(Fault::Slow(Duration::from_millis(20)));
-    let entry = platform.unready("front-1", platform.store_addr).await;
+    let entry = platform.start_entry("front-1", platform.store_addr).await;
     let answer = fetch(&entry, "/log/1", "log-1").await.expect("an answer");
     assert_eq!(answer.status, 200);
 }
@@ -373,7 +373,7 @@
 #[tokio::test]
 async fn target_that_leaves_soon_after_the_store_is_back_gets_no_new_request() {
     // A target removes its row soon after the store is back. The entry takes the row for expired in
-    // the outage and sends records there for 2.2 s or until its next read of the list.
+    // the outage and sends records there for 2.2 s and beyond, until its next read of the list.
     let cases = (0..3).map(check_target_that_leaves_after_an_outage);
     futures::future::join_all(cases).await;
 }
--- a/crates/daemon/tests/hosted/weights.rs
+++ b/crates/daemon/tests/hosted/weights.rs
@@ -175,7 +175,12 @@
     sleep(Duration::from_millis(250)).await;
     let answer = timeout(TIMEOUT, fetch(&entry, "/probe/1", "patient")).await;
     let answer = answer.expect("in time").expect("an answer");
-    assert_eq!(answer.status, 200, "{}", entry.process.about("patient"));
+    assert_eq!(
+        answer.status,
+        200,
+        "{}",
+        entry.process.log_of_request("patient")
+    );
     assert_eq!(engine.version(MODEL), 2, "served after the load");
     let attempts = engine.seen().iter().filter(|s| s.id == "patient").count();
     assert_eq!(attempts, 1, "sent once, when the engine accepts requests");
@@ -194,7 +199,12 @@
     engine.load(MODEL, 2);
     let answer = timeout(TIMEOUT, fetch(&entry, "/probe/1", "newer")).await;
     let answer = answer.expect("in time").expect("an answer");
-    assert_eq!(answer.status, 200, "{}", entry.process.about("newer"));
+    assert_eq!(
+        answer.status,
+        200,
+        "{}",
+        entry.process.log_of_request("newer")
+    );
 }
 
 #[tokio::test]
