--- a/crates/daemon/tests/alive.rs
+++ b/crates/daemon/tests/alive.rs
@@ -7,7 +7,9 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use common::{any, completion, quick, wait_for, words, Caller, Child, Fleet, Program, QUICKSTART};
+use common::{
+    any_port, completion, quick, wait_for, words, Caller, Child, Fleet, Program, QUICKSTART,
+};
 use standin::engine::{Faults, Settings};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpSocket;
@@ -63,7 +65,7 @@
         let text = answer.text();
         assert_eq!((answer.status, answer.clean), (200, true), "{text}");
         if case.stream {
-            assert!(answer.whole(), "{text}");
+            assert!(answer.is_complete_stream(), "{text}");
             assert_eq!(answer.words(), words(case.what, TOKENS));
         }
         let ran = engine.ran();
@@ -101,7 +103,12 @@
         closed.push(n);
     }
     let answer = stream.end();
-    assert!(answer.whole(), "{} {}", answer.status, answer.text());
+    assert!(
+        answer.is_complete_stream(),
+        "{} {}",
+        answer.status,
+        answer.text()
+    );
     assert_eq!(answer.words(), words(prompt, TOKENS));
 }
 
@@ -116,7 +123,7 @@
         let sidecar = Child::sidecar(&url, &seed, engine.at, "lekha-llm", "model");
         (engine, sidecar)
     });
-    wait_for("all members to be seen", || fleet.live(0) == 4);
+    wait_for("all members to be seen", || fleet.live_members(0) == 4);
     let body = completion("asked for once", TOKENS, false);
     let caller = fleet.caller(0);
     let answer = caller.begin("POST", "/v1/completions", &[], &body);
@@ -151,7 +158,7 @@
 
 async fn serve_one(at: mpsc::Sender<SocketAddr>) -> io::Result<()> {
     let socket = TcpSocket::new_v4()?;
-    socket.bind(any())?;
+    socket.bind(any_port())?;
     let listener = socket.listen(1)?;
     let _ = at.send(listener.local_addr()?);
     let mut buf = [0; 4_096];
@@ -173,7 +180,7 @@
     let mut fleet = Fleet::start(1, 0, &quick());
     let (url, seed) = (fleet.url(), fleet.seed());
     let sidecar = Child::sidecar(&url, &seed, full_target(), "ledger", "plain");
-    fleet.spares.push(sidecar);
+    fleet.extra_sidecars.push(sidecar);
     fleet.wait_members();
     let write =
         "then = { pool = \"fieldops\", class = \"call\", deadline = \"10s\", idempotent = false }";
--- a/crates/daemon/tests/cache.rs
+++ b/crates/daemon/tests/cache.rs
@@ -32,12 +32,12 @@
     let prompt = long(1);
     let body = completion(&prompt, 4, true);
     let answer = fleet.caller(0).post("/v1/completions", &body);
-    assert!(answer.whole(), "{}", answer.text());
+    assert!(answer.is_complete_stream(), "{}", answer.text());
     wait_for("the blocks to be claimed", || {
         fleet.offer(0, one(&prompt)).matched > 0
     });
 
-    fleet.revive(0, &quick());
+    fleet.restart_engine(0, &quick());
     let life = fleet.replicas[0].engine.incarnation();
     let mut offer = fleet.offer(0, one(&prompt));
     wait_for("the new life to be seen", || {
@@ -47,7 +47,7 @@
     assert_eq!(offer.matched, 0, "blocks of the dead life are claimed");
 
     let answer = fleet.caller(0).post("/v1/completions", &body);
-    assert!(answer.whole(), "{}", answer.text());
+    assert!(answer.is_complete_stream(), "{}", answer.text());
     assert_eq!(answer.words(), words(&prompt, 4));
     assert_eq!(fleet.replicas[0].engine.ran()[0].cached, 0);
 }
@@ -108,7 +108,7 @@
     let caller = fleet.caller(0);
     let first = caller.begin("POST", "/v1/completions", &[], &body);
     first.wait_for("choices");
-    let at = fleet.runner();
+    let at = fleet.running_replica();
     wait_for("the blocks to be claimed", || {
         fleet.offer(at, one(&prompt)).matched > 0
     });
@@ -118,12 +118,17 @@
 
     wait_for("the weights to be loaded", || {
         let answer = caller.post("/v1/completions", &completion(&prompt, 3, true));
-        assert!(answer.whole(), "{} {}", answer.status, answer.text());
+        assert!(
+            answer.is_complete_stream(),
+            "{} {}",
+            answer.status,
+            answer.text()
+        );
         assert_eq!(answer.words(), words(&prompt, 3));
         engine.get("/load").json()["weights"] == "2"
     });
     let first = first.end();
-    assert!(first.whole(), "{}", first.text());
+    assert!(first.is_complete_stream(), "{}", first.text());
     assert_eq!(first.words(), words(&prompt, 150));
     wait_for("the older weights' blocks to be given up", || {
         fleet.offer(at, one(&prompt)).matched == 0
@@ -147,7 +152,7 @@
     let texts: Vec<String> = (10..30).map(long).collect();
     let send = |text: &str| {
         let answer = caller.post("/v1/completions", &completion(text, 2, true));
-        assert!(answer.whole(), "{}", answer.text());
+        assert!(answer.is_complete_stream(), "{}", answer.text());
         assert_eq!(answer.words(), words(text, 2));
     };
     texts.iter().for_each(|t| send(t));
--- a/crates/daemon/tests/caller.rs
+++ b/crates/daemon/tests/caller.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use common::{completion, quick, wait_for, words, Fleet, KEY};
+use common::{completion, quick, wait_for, words, Fleet, API_KEY};
 use standin::engine::Settings;
 
 const CALLERS: usize = 16;
@@ -30,7 +30,10 @@
             assert_eq!(answer.header("x-request-id"), Some("the-same"));
             let expected = words(&prompt, tokens);
             match stream {
-                true => assert_eq!((answer.whole(), answer.words()), (true, expected)),
+                true => assert_eq!(
+                    (answer.is_complete_stream(), answer.words()),
+                    (true, expected)
+                ),
                 false => {
                     let text = answer.json()["choices"][0]["text"].clone();
                     assert_eq!(text.as_str(), Some(expected.concat().as_str()));
@@ -77,7 +80,12 @@
             let prompt = format!("stayer {n} round {round}");
             let body = completion(&prompt, 8, true);
             let answer = fleet.caller(0).post("/v1/completions", &body);
-            assert!(answer.whole(), "{} {}", answer.status, answer.text());
+            assert!(
+                answer.is_complete_stream(),
+                "{} {}",
+                answer.status,
+                answer.text()
+            );
             assert_eq!(answer.words(), words(&prompt, 8));
         }
     };
@@ -98,9 +106,10 @@
 /// Sends a request, reads the first bytes of its answer and closes the connection.
 fn abandon(fleet: &Fleet, body: &str) {
     let mut tcp = TcpStream::connect(fleet.entries[0].address("callers")).expect("connect");
-    tcp.set_read_timeout(Some(common::LIMIT)).expect("timeout");
+    tcp.set_read_timeout(Some(common::TIMEOUT))
+        .expect("timeout");
     let head = format!(
-        "POST /v1/completions HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {KEY}\r\n\
+        "POST /v1/completions HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {API_KEY}\r\n\
          content-length: {}\r\n\r\n",
         body.len()
     );
--- a/crates/daemon/tests/common/caller.rs
+++ b/crates/daemon/tests/common/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: blocking HTTP that keeps apart a clean end and a broken one.
+//! A blocking HTTP client that distinguishes a clean end of an answer from a broken one.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -11,52 +11,50 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-use super::LIMIT;
+use super::TIMEOUT;
 
-/// Calls one address with one key.
+/// Sends requests to one address with one API key.
 #[derive(Clone, Debug)]
 pub struct Caller {
     to: SocketAddr,
     key: String,
 }
 
-/// What came back.
+/// An answer, or the part of it that arrived.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// HTTP status; 0 if no answer came at all.
+    /// HTTP status; 0 if no answer arrived.
     pub status: u16,
-    /// Headers.
     pub headers: Vec<(String, String)>,
-    /// Body, as far as it came.
+    /// The part of the body that arrived.
     pub body: Vec<u8>,
-    /// Whether the answer ended as it should.
+    /// Whether the HTTP transfer ended cleanly.
     pub clean: bool,
 }
 
-/// An answer on its way.
+/// An answer that is still arriving.
 pub struct Pending {
     thread: JoinHandle<Answer>,
-    pieces: mpsc::Receiver<Bytes>,
+    chunks: mpsc::Receiver<Bytes>,
 }
 
 impl Caller {
-    /// A caller.
     pub fn new(to: SocketAddr, key: &str) -> Self {
         let key = key.to_owned();
         Self { to, key }
     }
 
-    /// `GET`.
+    /// Sends a `GET` request and waits for the end of its answer.
     pub fn get(&self, path: &str) -> Answer {
         self.send("GET", path, &[], "")
     }
 
-    /// `PUT`.
+    /// Sends a `PUT` request and waits for the end of its answer.
     pub fn put(&self, path: &str, body: &str) -> Answer {
         self.send("PUT", path, &[], body)
     }
 
-    /// `POST`.
+    /// Sends a `POST` request and waits for the end of its answer.
     pub fn post(&self, path: &str, body: &str) -> Answer {
         self.send("POST", path, &[], body)
     }
@@ -66,7 +64,7 @@
         self.begin(method, path, headers, body).end()
     }
 
-    /// Sends a request.
+    /// Sends a request and returns without waiting for its answer.
     pub fn begin(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Pending {
         let mut req = hyper::Request::builder()
             .method(method)
@@ -77,25 +75,25 @@
             req = req.header(*name, *value);
         }
         let req = req.body(Full::from(body.to_owned())).expect("request");
-        let (tx, pieces) = mpsc::channel();
+        let (tx, chunks) = mpsc::channel();
         let to = self.to;
         let thread = std::thread::spawn(move || call(to, req, &tx));
-        Pending { thread, pieces }
+        Pending { thread, chunks }
     }
 }
 
 impl Pending {
-    /// Waits for a piece of the body that holds a text.
+    /// Waits for the next chunk of the body that contains a text.
     pub fn wait_for(&self, text: &str) {
         loop {
-            let piece = self.pieces.recv_timeout(LIMIT).expect("a piece in time");
-            if String::from_utf8_lossy(&piece).contains(text) {
+            let chunk = self.chunks.recv_timeout(TIMEOUT).expect("a chunk in time");
+            if String::from_utf8_lossy(&chunk).contains(text) {
                 return;
             }
         }
     }
 
-    /// Waits for the end.
+    /// Waits for the end of the answer.
     pub fn end(self) -> Answer {
         self.thread.join().expect("caller")
     }
@@ -107,12 +105,12 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as JSON; null if it is none.
+    /// The body as JSON; null if it isn't valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// A header.
+    /// Value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -120,7 +118,7 @@
             .map(|(_, v)| v.as_str())
     }
 
-    /// The code of an error body.
+    /// The code in an error body; empty if there is none.
     pub fn code(&self) -> String {
         self.json()["error"]["code"]
             .as_str()
@@ -137,8 +135,8 @@
         events.filter_map(word).collect()
     }
 
-    /// Whether a stream came to its own end, cleanly.
-    pub fn whole(&self) -> bool {
+    /// Whether a stream has its last event and ended cleanly.
+    pub fn is_complete_stream(&self) -> bool {
         self.clean && self.text().ends_with("data: [DONE]\n\n")
     }
 }
@@ -151,7 +149,7 @@
     run.block_on(async {
         let mut answer = Answer::default();
         let call = stream(to, req, tx, &mut answer);
-        let done = tokio::time::timeout(LIMIT, call).await;
+        let done = tokio::time::timeout(TIMEOUT, call).await;
         answer.clean = matches!(done, Ok(Ok(())));
         answer
     })
--- a/crates/daemon/tests/common/child.rs
+++ b/crates/daemon/tests/common/child.rs
@@ -1,4 +1,4 @@
-//! The real binary as a child process.
+//! The real binary, run as a child process.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 
 use serde_json::Value;
 
-use super::OPERATOR;
+use super::OPERATOR_KEY;
 
-/// A fleet key for tests.
+/// The fleet key that all processes of a test share.
 pub const FLEET_KEY: &str = "00000000000000000000000000000000000000000000000000000000000000aa";
 
-/// One process; it is killed when dropped.
+/// A process that is killed when dropped.
 pub struct Child {
     child: std::process::Child,
     ready: Value,
@@ -19,7 +19,7 @@
 }
 
 impl Child {
-    /// A sidecar before a target.
+    /// Starts a sidecar of a target.
     pub fn sidecar(
         platform: &str,
         seeds: &str,
@@ -45,7 +45,7 @@
         ])
     }
 
-    /// An entry.
+    /// Starts an entry.
     pub fn entry(platform: &str, seeds: &str) -> Self {
         Self::run(&[
             "entry",
@@ -58,68 +58,70 @@
         ])
     }
 
-    /// Any process of ours, once it listens.
+    /// Starts a process with these arguments and waits until it listens.
     pub fn run(args: &[&str]) -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_clementinestepd"))
             .args(args)
             .env("CLEMENTINESTEP_KEY", FLEET_KEY)
-            .env("CLEMENTINESTEP_OPERATOR_KEY", OPERATOR)
+            .env("CLEMENTINESTEP_OPERATOR_KEY", OPERATOR_KEY)
             .env("CLEMENTINESTEP_LOG_LEVEL", "warn")
             .stdout(Stdio::piped())
             .spawn()
             .expect("start of the daemon");
-        let out = child.stdout.take().expect("its output");
+        let out = child.stdout.take().expect("the daemon's output");
         let mut line = String::new();
         BufReader::new(out)
             .read_line(&mut line)
-            .expect("its ready line");
+            .expect("the daemon's ready line");
         let ready = serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line:?}: {e}"));
         let args = args.iter().map(ToString::to_string).collect();
         Self { child, ready, args }
     }
 
-    /// One of the addresses it listens on: callers, peer, admin or gossip.
+    /// One of the addresses on which the process listens: callers, peer, admin or gossip.
     pub fn address(&self, name: &str) -> SocketAddr {
-        let text = self.ready[name].as_str().expect("such an address");
+        let text = self.ready[name]
+            .as_str()
+            .expect("the daemon has this address");
         text.parse().expect("an address")
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     pub fn signal(&self, name: &str) {
         signal(&self.child, name);
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Tells it to stop.
+    /// Sends the signal for a graceful stop.
     pub fn stop(&self) {
         self.signal("TERM");
     }
 
-    /// Waits for its end; true if it ended well.
+    /// Waits until the process exits; returns whether it exited successfully.
     pub fn wait(&mut self) -> bool {
         self.child.wait().is_ok_and(|s| s.success())
     }
 
-    /// Whether it runs.
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process is running.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Kills it and starts it anew with the same settings and more of them.
-    pub fn restart(&mut self, more: &[&str]) {
+    /// Kills the process and starts it again with the same arguments and further ones.
+    pub fn restart(&mut self, extra_args: &[&str]) {
         self.kill();
         let mut args: Vec<&str> = self.args.iter().map(String::as_str).collect();
-        args.extend(more);
+        args.extend(extra_args);
         *self = Self::run(&args);
     }
 }
--- a/crates/daemon/tests/common/cut.rs
+++ b/crates/daemon/tests/common/cut.rs
@@ -1,4 +1,5 @@
-//! Something between two processes that breaks or silences a connection after a certain frame.
+//! A proxy between two processes that closes or silences a connection after a given number of
+//! frames.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,78 +15,85 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use tokio_util::sync::CancellationToken;
 
-/// Longest wait for the answer to a datagram.
-const ANSWER: Duration = Duration::from_secs(1);
+/// Timeout for the answer to a datagram.
+const DATAGRAM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whose frames are counted.
+/// The process whose frames are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The entry's.
+    /// The entry, which opens the connection.
     Entry,
-    /// The sidecar's.
+    /// The sidecar, which accepts the connection.
     Sidecar,
 }
 
-/// What becomes of the connection.
+/// What happens to the connection that is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
-    /// It is closed.
+pub enum CutMode {
+    /// The connection is closed.
     Break,
-    /// It stays open and carries nothing more.
+    /// The connection stays open, but no further frames are forwarded.
     Silent,
 }
 
+/// The next cut, after a number of frames of one side.
 #[derive(Clone, Copy, Debug)]
-struct Next {
+struct NextCut {
     side: Side,
-    left: usize,
-    how: How,
+    frames_left: usize,
+    mode: CutMode,
 }
 
-/// The next cut, shared by all places where it may come.
+/// The next cut, shared by all proxies whose connections may reach it.
 #[derive(Debug, Default)]
-pub struct Plan {
-    next: Mutex<Option<Next>>,
-    all: Mutex<CancellationToken>,
+pub struct CutPlan {
+    next: Mutex<Option<NextCut>>,
+    /// Cancelled to close all open connections.
+    open: Mutex<CancellationToken>,
 }
 
-impl Plan {
-    /// Closes all connections and cuts the one on which one more than so many frames come.
-    pub fn set(&self, side: Side, left: usize, how: How) {
-        lock(&self.all).cancel();
-        *lock(&self.all) = CancellationToken::new();
-        *lock(&self.next) = Some(Next { side, left, how });
+impl CutPlan {
+    /// Closes all connections; then cuts the one on which the side's frame after `frames_left`
+    /// frames arrives.
+    pub fn set(&self, side: Side, frames_left: usize, mode: CutMode) {
+        lock(&self.open).cancel();
+        *lock(&self.open) = CancellationToken::new();
+        *lock(&self.next) = Some(NextCut {
+            side,
+            frames_left,
+            mode,
+        });
     }
 
-    /// Whether the cut is still to come.
+    /// Whether the cut hasn't happened yet.
     pub fn pending(&self) -> bool {
         lock(&self.next).is_some()
     }
 
-    /// Counts a frame; says how its connection is cut, if it is.
-    fn count(&self, side: Side) -> Option<How> {
+    /// Counts a frame; returns the kind of the cut if its connection is cut now.
+    fn count(&self, side: Side) -> Option<CutMode> {
         let mut next = lock(&self.next);
         let n = next.as_mut().filter(|n| n.side == side)?;
-        match n.left.checked_sub(1) {
-            Some(left) => {
-                n.left = left;
+        match n.frames_left.checked_sub(1) {
+            Some(frames_left) => {
+                n.frames_left = frames_left;
                 None
             }
-            None => next.take().map(|n| n.how),
+            None => next.take().map(|n| n.mode),
         }
     }
 }
 
-/// The place where connections to one process are cut.
-pub struct Cut {
+/// A proxy for one process; it cuts connections as planned and forwards datagrams.
+pub struct CutProxy {
     pub at: SocketAddr,
     to: Arc<Mutex<Option<SocketAddr>>>,
     _run: Runtime,
 }
 
-impl Cut {
-    /// Starts one that leads nowhere yet.
-    pub fn start(plan: &Arc<Plan>) -> Self {
+impl CutProxy {
+    /// Starts a proxy that has no destination yet.
+    pub fn start(plan: &Arc<CutPlan>) -> Self {
         let run = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
@@ -94,17 +102,18 @@
         let (tcp, udp) = run.block_on(bind());
         let at = tcp.local_addr().expect("address");
         let to = Arc::new(Mutex::new(None));
-        run.spawn(connections(tcp, Arc::clone(&to), Arc::clone(plan)));
-        run.spawn(datagrams(Arc::new(udp), Arc::clone(&to)));
+        run.spawn(forward_connections(tcp, Arc::clone(&to), Arc::clone(plan)));
+        run.spawn(forward_datagrams(Arc::new(udp), Arc::clone(&to)));
         Self { at, to, _run: run }
     }
 
-    /// Where it leads.
-    pub fn lead(&self, to: SocketAddr) {
+    /// Sets the destination.
+    pub fn redirect(&self, to: SocketAddr) {
         *lock(&self.to) = Some(to);
     }
 }
 
+/// Binds a TCP and a UDP socket to the same port.
 async fn bind() -> (TcpListener, UdpSocket) {
     loop {
         let tcp = TcpListener::bind("127.0.0.1:0").await.expect("port");
@@ -115,19 +124,21 @@
     }
 }
 
-type To = Arc<Mutex<Option<SocketAddr>>>;
+/// The process to which a proxy forwards; none until it is set.
+type Destination = Arc<Mutex<Option<SocketAddr>>>;
 
-async fn datagrams(udp: Arc<UdpSocket>, to: To) {
+/// Forwards datagrams, and the answer to each.
+async fn forward_datagrams(udp: Arc<UdpSocket>, to: Destination) {
     let mut buf = vec![0; 65_536];
     while let Ok((n, from)) = udp.recv_from(&mut buf).await {
         let Some(to) = *lock(&to) else { continue };
-        let (question, udp) = (buf[..n].to_vec(), Arc::clone(&udp));
+        let (request, udp) = (buf[..n].to_vec(), Arc::clone(&udp));
         tokio::spawn(async move {
             let own = UdpSocket::bind("127.0.0.1:0").await?;
-            own.send_to(&question, to).await?;
+            own.send_to(&request, to).await?;
             let mut answer = vec![0; 65_536];
-            let got = tokio::time::timeout(ANSWER, own.recv(&mut answer)).await;
-            if let Ok(Ok(n)) = got {
+            let received = tokio::time::timeout(DATAGRAM_TIMEOUT, own.recv(&mut answer)).await;
+            if let Ok(Ok(n)) = received {
                 udp.send_to(&answer[..n], from).await?;
             }
             io::Result::Ok(())
@@ -135,42 +146,43 @@
     }
 }
 
-async fn connections(tcp: TcpListener, to: To, plan: Arc<Plan>) {
-    while let Ok((near, _)) = tcp.accept().await {
+/// Accepts connections and forwards their frames until they are cut.
+async fn forward_connections(tcp: TcpListener, to: Destination, plan: Arc<CutPlan>) {
+    while let Ok((entry, _)) = tcp.accept().await {
         let Some(to) = *lock(&to) else { continue };
-        let closed = lock(&plan.all).child_token();
+        let closed = lock(&plan.open).child_token();
         let plan = Arc::clone(&plan);
         tokio::spawn(async move {
-            let far = TcpStream::connect(to).await?;
-            near.set_nodelay(true)?;
-            far.set_nodelay(true)?;
-            let (near_in, near_out) = near.into_split();
-            let (far_in, far_out) = far.into_split();
+            let sidecar = TcpStream::connect(to).await?;
+            entry.set_nodelay(true)?;
+            sidecar.set_nodelay(true)?;
+            let (entry_in, entry_out) = entry.into_split();
+            let (sidecar_in, sidecar_out) = sidecar.into_split();
             let silent = AtomicBool::new(false);
-            let pump = |side| Pump {
+            let forwarder = |side| Forwarder {
                 side,
                 plan: &plan,
                 silent: &silent,
             };
             tokio::select! {
                 () = closed.cancelled() => {}
-                _ = pump(Side::Entry).run(near_in, far_out) => {}
-                _ = pump(Side::Sidecar).run(far_in, near_out) => {}
+                _ = forwarder(Side::Entry).run(entry_in, sidecar_out) => {}
+                _ = forwarder(Side::Sidecar).run(sidecar_in, entry_out) => {}
             }
             io::Result::Ok(())
         });
     }
 }
 
-/// Carries one side's frames.
-struct Pump<'a> {
+/// Forwards one side's frames.
+struct Forwarder<'a> {
     side: Side,
-    plan: &'a Plan,
+    plan: &'a CutPlan,
     silent: &'a AtomicBool,
 }
 
-impl Pump<'_> {
-    /// Ends when the connection is to be closed.
+impl Forwarder<'_> {
+    /// Forwards frames; returns when the connection must be closed.
     async fn run(self, from: OwnedReadHalf, to: OwnedWriteHalf) -> io::Result<()> {
         let codec = || {
             LengthDelimitedCodec::builder()
@@ -186,8 +198,8 @@
             }
             match self.plan.count(self.side) {
                 None => to.send(frame).await?,
-                Some(How::Break) => return Ok(()),
-                Some(How::Silent) => self.silent.store(true, Ordering::Relaxed),
+                Some(CutMode::Break) => return Ok(()),
+                Some(CutMode::Silent) => self.silent.store(true, Ordering::Relaxed),
             }
         }
         Ok(())
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,12 +1,13 @@
-//! A small fleet for process tests: stand-ins in this process, the real binary as children.
+//! A small fleet for process tests: stand-ins in the test process, the real binary as child
+//! processes.
 //!
-//! Waiting is for events, with a limit so generous that only a fault reaches it.
+//! Tests wait for events; the timeout is so long that only a fault exceeds it.
 
 #![allow(
     dead_code,
     unused_imports,
     unreachable_pub,
-    reason = "each test file uses its own part"
+    reason = "each test file uses a part of this module"
 )]
 
 pub mod caller;
@@ -30,45 +31,46 @@
 
 pub use caller::Caller;
 pub use child::Child;
-pub use cut::{Cut, How, Plan, Side};
+pub use cut::{CutMode, CutPlan, CutProxy, Side};
 pub use probe::{probe, Prompt};
 pub use program::Program;
 
-/// Longest wait for anything.
-pub const LIMIT: Duration = Duration::from_secs(30);
-/// A caller's key in the sample configuration.
-pub const KEY: &str = "sample-key-one";
-/// The operators' key.
-pub const OPERATOR: &str = "sample-operator-key";
+/// Timeout of each wait for an event or an answer.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
+/// API key of the first team in the sample configuration.
+pub const API_KEY: &str = "sample-key-one";
+/// API key of operators.
+pub const OPERATOR_KEY: &str = "sample-operator-key";
 /// The configuration of most tests.
 pub const QUICKSTART: &str = include_str!("../../../../examples/quickstart.toml");
 
 /// A stand-in on a runtime of its own, so that it can be killed with all its connections.
 pub struct StandIn {
     run: Option<tokio::runtime::Runtime>,
-    /// Keeps the port while nobody listens: a connection of another test that got it by chance
-    /// would keep the stand-in from coming back at its address.
+    /// Reserves the port while the stand-in is down: a connection of another test that got the same
+    /// port by chance would prevent the stand-in from restarting at its address.
     _port: TcpSocket,
+    /// The address at which the stand-in listens.
     pub at: SocketAddr,
 }
 
 impl StandIn {
-    /// Starts one at an address; port 0 for any.
+    /// Starts a stand-in at an address; port 0 selects any free port.
     pub fn start(at: SocketAddr, router: Router) -> Self {
-        Self::gated(at, router, Arc::default())
+        Self::start_freezable(at, router, Arc::default())
     }
 
-    /// Starts one whose open connections can be frozen.
-    pub fn gated(at: SocketAddr, router: Router, gate: Arc<Gate>) -> Self {
+    /// Starts a stand-in whose open connections can be frozen.
+    pub fn start_freezable(at: SocketAddr, router: Router, freeze_switch: Arc<Gate>) -> Self {
         let run = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
             .build()
             .expect("runtime");
-        let port = take_port(at);
+        let port = reserve_port(at);
         let at = port.local_addr().expect("address");
         let (at, server) = run
-            .block_on(standin::listen_gated(at, router, gate))
+            .block_on(standin::listen_gated(at, router, freeze_switch))
             .expect("listen");
         run.spawn(server);
         Self {
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Ends it at once; its connections break.
+    /// Stops the stand-in at once and breaks its connections.
     pub fn kill(&mut self) {
         if let Some(run) = self.run.take() {
             run.shutdown_timeout(Duration::from_secs(5));
@@ -92,55 +94,56 @@
     }
 }
 
-/// Takes a port, once it is free. A process that another test is starting holds copies of all sockets
-/// until its program runs, so that a listener which has just been closed goes on listening for a moment.
-fn take_port(at: SocketAddr) -> TcpSocket {
-    let mut taken = None;
+/// Binds a socket to a port, once the port is free. A process that another test is starting holds
+/// copies of all sockets until its program runs, so a port may stay in use for a moment after its
+/// listener was closed.
+fn reserve_port(at: SocketAddr) -> TcpSocket {
+    let mut bound = None;
     wait_for("a free port", || {
         let port = TcpSocket::new_v4().expect("socket");
         port.set_reuseaddr(true).expect("reuse");
         match port.bind(at) {
-            Ok(()) => taken = Some(port),
+            Ok(()) => bound = Some(port),
             Err(e) => assert_eq!(e.kind(), ErrorKind::AddrInUse, "{at}: {e}"),
         }
-        taken.is_some()
+        bound.is_some()
     });
-    taken.expect("waited for")
+    bound.expect("waited for")
 }
 
-/// Any free port.
-pub fn any() -> SocketAddr {
+/// The loopback address with any free port.
+pub fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().expect("constant")
 }
 
 /// A model engine with its sidecar.
 pub struct Replica {
     pub engine: Arc<Engine>,
-    /// The engine's earlier lives.
-    pub past: Vec<Arc<Engine>>,
+    /// The engines that ran at the same address before a restart.
+    pub earlier_engines: Vec<Arc<Engine>>,
     pub standin: StandIn,
     pub sidecar: Child,
 }
 
 impl Replica {
-    /// Ids of the requests that it ran in any of its lives.
+    /// Ids of the requests that the engine ran, including those before its restarts.
     pub fn requests(&self) -> impl Iterator<Item = String> + '_ {
-        let lives = self.past.iter().chain([&self.engine]);
-        lives.flat_map(|e| e.ran()).map(|r| r.request)
+        let all = self.earlier_engines.iter().chain([&self.engine]);
+        all.flat_map(|e| e.ran()).map(|r| r.request)
     }
 }
 
-/// A fleet of the quickstart configuration.
+/// A fleet with the quickstart configuration.
 pub struct Fleet {
     pub platform: Arc<Platform>,
     pub platform_at: StandIn,
     pub service: Arc<Service>,
     pub service_at: StandIn,
     pub fieldops: Child,
-    /// More sidecars before the same service.
-    pub spares: Vec<Child>,
+    /// Further sidecars of plain services.
+    pub extra_sidecars: Vec<Child>,
     pub replicas: Vec<Replica>,
-    pub cuts: Vec<Cut>,
+    pub proxies: Vec<CutProxy>,
     pub entries: Vec<Child>,
 }
 
@@ -156,12 +159,12 @@
 }
 
 impl Fleet {
-    /// Starts so many entries and engines and puts the quickstart configuration in force.
+    /// Starts entries and engines and puts the quickstart configuration in force.
     pub fn start(entries: usize, engines: usize, set: &Settings) -> Self {
         let platform = Platform::new();
-        let platform_at = StandIn::start(any(), platform.router());
+        let platform_at = StandIn::start(any_port(), platform.router());
         let service = Service::new(Duration::from_millis(1));
-        let service_at = StandIn::start(any(), service.router());
+        let service_at = StandIn::start(any_port(), service.router());
         let url = format!("http://{}", platform_at.at);
         let fieldops = Child::sidecar(&url, "", service_at.at, "fieldops", "plain");
         let mut fleet = Self {
@@ -170,9 +173,9 @@
             service,
             service_at,
             fieldops,
-            spares: Vec::new(),
+            extra_sidecars: Vec::new(),
             replicas: Vec::new(),
-            cuts: Vec::new(),
+            proxies: Vec::new(),
             entries: Vec::new(),
         };
         for _ in 0..engines {
@@ -191,7 +194,7 @@
         format!("http://{}", self.platform_at.at)
     }
 
-    /// A membership address to start from.
+    /// The membership address through which processes join the fleet.
     pub fn seed(&self) -> String {
         self.fieldops.address("gossip").to_string()
     }
@@ -203,84 +206,84 @@
         self.add_target(engine, router);
     }
 
-    /// Adds an engine whose sidecar others reach through something that cuts connections.
-    pub fn add_cut(&mut self, set: &Settings, plan: &Arc<Plan>) {
+    /// Adds an engine whose sidecar is reached through a proxy that can cut connections.
+    pub fn add_replica_behind_proxy(&mut self, set: &Settings, plan: &Arc<CutPlan>) {
         let engine = Engine::new(set.clone());
-        let standin = StandIn::gated(any(), engine.router(), engine.gate());
-        let cut = Cut::start(plan);
+        let standin = StandIn::start_freezable(any_port(), engine.router(), engine.gate());
+        let proxy = CutProxy::start(plan);
         let target = format!("http://{}", standin.at);
         #[rustfmt::skip]
         let sidecar = Child::run(&[
             "sidecar", "--platform", &self.url(), "--seeds", &self.seed(), "--target", &target,
-            "--pool", "lekha-llm", "--peer-announce", &cut.at.to_string(),
+            "--pool", "lekha-llm", "--peer-announce", &proxy.at.to_string(),
         ]);
-        cut.lead(sidecar.address("peer"));
-        self.cuts.push(cut);
+        proxy.redirect(sidecar.address("peer"));
+        self.proxies.push(proxy);
         self.replicas.push(Replica {
             engine,
-            past: Vec::new(),
+            earlier_engines: Vec::new(),
             standin,
             sidecar,
         });
         self.wait_members();
     }
 
-    /// Adds an engine behind an interface that may differ from its own, and its sidecar.
+    /// Adds an engine with a router that may differ from the engine's own, and its sidecar.
     pub fn add_target(&mut self, engine: Arc<Engine>, router: Router) {
-        let standin = StandIn::gated(any(), router, engine.gate());
+        let standin = StandIn::start_freezable(any_port(), router, engine.gate());
         let (url, seed) = (self.url(), self.seed());
         let sidecar = Child::sidecar(&url, &seed, standin.at, "lekha-llm", "model");
         self.replicas.push(Replica {
             engine,
-            past: Vec::new(),
+            earlier_engines: Vec::new(),
             standin,
             sidecar,
         });
     }
 
-    /// Kills an engine with all its connections and brings it back at the same address, in a new
-    /// life and with an empty cache.
-    pub fn revive(&mut self, replica: usize, set: &Settings) {
+    /// Kills an engine with all its connections and restarts it at the same address, as a new
+    /// incarnation with an empty cache.
+    pub fn restart_engine(&mut self, replica: usize, set: &Settings) {
         let r = &mut self.replicas[replica];
         r.standin.kill();
-        let past = std::mem::replace(&mut r.engine, Engine::new(set.clone()));
-        r.past.push(past);
-        r.standin = StandIn::gated(r.standin.at, r.engine.router(), r.engine.gate());
+        let earlier = std::mem::replace(&mut r.engine, Engine::new(set.clone()));
+        r.earlier_engines.push(earlier);
+        r.standin = StandIn::start_freezable(r.standin.at, r.engine.router(), r.engine.gate());
     }
 
-    /// What a replica's sidecar would tell an entry.
+    /// The offer with which a replica's sidecar answers a probe for a prompt.
     pub fn offer(&self, replica: usize, prompt: Prompt<'_>) -> wire::Offer {
         probe(self.replicas[replica].sidecar.address("peer"), prompt)
     }
 
-    /// The replica that runs a request at this moment, once one does.
-    pub fn runner(&self) -> usize {
+    /// Waits until a replica runs a request, and returns its index.
+    pub fn running_replica(&self) -> usize {
         let running = || self.replicas.iter().position(|r| r.engine.running() > 0);
         wait_for("a replica to run the request", || running().is_some());
         running().expect("it was there")
     }
 
-    /// Adds a sidecar before the plain service, and waits until the entries know it.
-    pub fn add_spare(&mut self) {
-        let spare = Child::sidecar(
+    /// Adds another sidecar of the plain service, and waits until the entries list it.
+    pub fn add_service_sidecar(&mut self) {
+        let sidecar = Child::sidecar(
             &self.url(),
             &self.seed(),
             self.service_at.at,
             "fieldops",
             "plain",
         );
-        self.spares.push(spare);
+        self.extra_sidecars.push(sidecar);
         self.wait_members();
     }
 
     /// Kills the plain service with all its connections and starts it again; its log is kept.
-    pub fn revive_service(&mut self) {
+    pub fn restart_service(&mut self) {
         self.service_at.kill();
         self.service_at = StandIn::start(self.service_at.at, self.service.router());
     }
 
-    /// How often the service ran a record.
-    pub fn times(&self, body: &str) -> usize {
+    /// Number of times that the service ran a record.
+    pub fn run_count(&self, body: &str) -> usize {
         self.service.bodies().iter().filter(|b| *b == body).count()
     }
 
@@ -290,33 +293,35 @@
         self.entries.push(entry);
     }
 
-    /// A caller of an entry.
+    /// A caller that sends to an entry's port for callers.
     pub fn caller(&self, entry: usize) -> Caller {
-        Caller::new(self.entries[entry].address("callers"), KEY)
+        Caller::new(self.entries[entry].address("callers"), API_KEY)
     }
 
-    /// An operator at an entry.
+    /// An operator that sends to an entry's admin port.
     pub fn operator(&self, entry: usize) -> Caller {
-        Caller::new(self.entries[entry].address("admin"), OPERATOR)
+        Caller::new(self.entries[entry].address("admin"), OPERATOR_KEY)
     }
 
-    /// Waits until every entry sees all processes.
+    /// Waits until every entry lists all processes as live members.
     pub fn wait_members(&self) {
-        let all = 1 + self.spares.len() + self.replicas.len() + self.entries.len();
+        let all = 1 + self.extra_sidecars.len() + self.replicas.len() + self.entries.len();
         for n in 0..self.entries.len() {
-            wait_for("all members to be seen", || self.live(n) == all);
+            wait_for("every entry to list all members", || {
+                self.live_members(n) == all
+            });
         }
     }
 
-    /// Live members as an entry sees them.
-    pub fn live(&self, entry: usize) -> usize {
+    /// Number of members that an entry lists as alive or suspect.
+    pub fn live_members(&self, entry: usize) -> usize {
         let status = self.operator(entry).get("/admin/status").json();
         let members = status["members"].as_array().cloned().unwrap_or_default();
         let live = |m: &&Value| m["state"] == "alive" || m["state"] == "suspect";
         members.iter().filter(live).count()
     }
 
-    /// Puts a configuration in force at all entries; gives its version.
+    /// Puts a configuration in force at all entries and returns its version.
     pub fn apply(&self, text: &str) -> u64 {
         let operation = format!("{:032x}", rand::random::<u128>());
         let body = serde_json::json!({"text": text, "operation": operation, "author": "test"});
@@ -331,7 +336,7 @@
         version
     }
 
-    /// Waits until an entry has a version or a later one in force.
+    /// Waits until an entry has this version or a later one in force.
     pub fn wait_version(&self, entry: usize, version: u64) {
         let operator = self.operator(entry);
         wait_for("the version to be in force", || {
@@ -341,22 +346,22 @@
     }
 }
 
-/// Waits until something holds.
-pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + LIMIT;
-    while !holds() {
-        assert!(Instant::now() < until, "waited in vain for {what}");
+/// Waits until a condition holds; panics after the timeout.
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < until, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A completion request.
+/// The body of a completion request.
 pub fn completion(prompt: &str, tokens: usize, stream: bool) -> String {
     serde_json::json!({"model": "lekha", "prompt": prompt, "max_tokens": tokens, "stream": stream})
         .to_string()
 }
 
-/// The words that an engine answers.
+/// The words that an engine answers to a prompt.
 pub fn words(prompt: &str, tokens: usize) -> Vec<String> {
     (0..tokens)
         .map(|i| standin::engine::word(prompt, i))
--- a/crates/daemon/tests/common/probe.rs
+++ b/crates/daemon/tests/common/probe.rs
@@ -1,4 +1,4 @@
-//! Asks a sidecar what an entry would ask it: what of a prompt does its engine hold?
+//! Sends a sidecar the probe of an entry: how many blocks of a prompt does its engine hold?
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -9,12 +9,12 @@
 
 use super::child::FLEET_KEY;
 
-/// Pause before a probe is sent again: datagrams may be lost.
-const AGAIN: Duration = Duration::from_millis(300);
-/// Most probes that are sent.
-const TRIES: usize = 30;
+/// Time without an offer after which the probe is sent again, since datagrams may be lost.
+const RESEND_INTERVAL: Duration = Duration::from_millis(300);
+/// Number of probes after which the wait for an offer fails.
+const MAX_PROBES: usize = 30;
 
-/// Whose prompt it is and for which weights.
+/// A prompt, the cache scope of its team, and the weights for which it is cached.
 #[derive(Clone, Copy, Debug)]
 pub struct Prompt<'a> {
     pub scope: &'a str,
@@ -31,7 +31,7 @@
         blocks: m.blocks,
         hash: m.hash.0,
     });
-    let question = Probe {
+    let probe_message = Probe {
         id: rand::random(),
         class: 1,
         marks: points.collect(),
@@ -40,10 +40,11 @@
         team: prompt.scope.to_owned(),
     };
     let udp = UdpSocket::bind("127.0.0.1:0").expect("socket");
-    udp.set_read_timeout(Some(AGAIN)).expect("timeout");
-    let bytes = Packet::seal(question, &keys).expect("packet");
+    udp.set_read_timeout(Some(RESEND_INTERVAL))
+        .expect("timeout");
+    let bytes = Packet::seal(probe_message, &keys).expect("packet");
     let mut buf = vec![0; PACKET_MAX];
-    for _ in 0..TRIES {
+    for _ in 0..MAX_PROBES {
         udp.send_to(&bytes, to).expect("probe");
         let Ok((n, _)) = udp.recv_from(&mut buf) else {
             continue;
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use common::caller::{Answer, Pending};
 use common::child::FLEET_KEY;
-use common::{quick, wait_for, Child, Fleet, OPERATOR, QUICKSTART};
+use common::{quick, wait_for, Child, Fleet, OPERATOR_KEY, QUICKSTART};
 use fleet::{Action, Digest, Event, Keyring, Member, MemberState, PullScope, Role, TableRow};
 use model::{Incarnation, MemberId, Micros, Version};
 use serde_json::{json, Value};
@@ -149,7 +149,7 @@
     for entry in 0..3 {
         wait_for("all members to have it", || {
             assert_eq!(shown(&fleet, entry).0, last);
-            lagging(&fleet, entry, last) == 0 && fleet.live(entry) == 4
+            lagging(&fleet, entry, last) == 0 && fleet.live_members(entry) == 4
         });
     }
 }
@@ -259,7 +259,9 @@
     };
     let ghost = Ghost::join(fleet.fieldops.address("gossip"), row);
     for entry in 0..2 {
-        wait_for("the old member to be seen", || fleet.live(entry) == 4);
+        wait_for("the old member to be seen", || {
+            fleet.live_members(entry) == 4
+        });
     }
     let told = ghost.told.load(Ordering::Relaxed);
     wait_for("it to have told of the old text", || {
@@ -341,6 +343,6 @@
     let longest = took.last().copied().unwrap_or(Duration::ZERO);
     println!("in force in 6 processes after {took:?}, the longest {longest:?}");
     let other = common::Caller::new(fleet.entries[0].address("admin"), "no operator");
-    assert_ne!(OPERATOR, "no operator");
+    assert_ne!(OPERATOR_KEY, "no operator");
     assert_eq!(other.get("/admin/configuration").status, 401);
 }
--- a/crates/daemon/tests/frames.rs
+++ b/crates/daemon/tests/frames.rs
@@ -8,7 +8,9 @@
 
 use bytes::Bytes;
 use common::child::FLEET_KEY;
-use common::{completion, probe, quick, wait_for, words, Caller, Child, Fleet, Prompt, KEY, LIMIT};
+use common::{
+    completion, probe, quick, wait_for, words, Caller, Child, Fleet, Prompt, API_KEY, TIMEOUT,
+};
 use wire::{Ack, Head, Key, Keys, Offer, Packet, Probe, PACKET_MAX};
 
 fn ours() -> Keys {
@@ -37,14 +39,14 @@
         .caller(0)
         .post("/v1/completions", &completion(&prompt, 6, true));
     assert!(
-        answer.whole(),
+        answer.is_complete_stream(),
         "{prompt}: {} {}",
         answer.status,
         answer.text()
     );
     assert_eq!(answer.words(), words(&prompt, 6), "{prompt}");
     assert!(
-        fleet.entries[0].runs() && fleet.replicas[0].sidecar.runs(),
+        fleet.entries[0].is_running() && fleet.replicas[0].sidecar.is_running(),
         "{prompt}"
     );
 }
@@ -58,7 +60,7 @@
 /// The same; it may also leave its own half of the connection open.
 fn converse(to: SocketAddr, bytes: &[u8], end: bool) -> Vec<u8> {
     let mut tcp = TcpStream::connect(to).expect("connect");
-    tcp.set_read_timeout(Some(LIMIT)).expect("timeout");
+    tcp.set_read_timeout(Some(TIMEOUT)).expect("timeout");
     // The other side may close before it has read everything.
     let _ = tcp.write_all(bytes);
     if end {
@@ -126,7 +128,7 @@
             // Late confirmations are usual and harmless.
             tx.send(Ack { next: 1 }).await.expect("send");
             tx.send(Head::default()).await.expect("send");
-            let end = tokio::time::timeout(LIMIT, rx.next())
+            let end = tokio::time::timeout(TIMEOUT, rx.next())
                 .await
                 .expect("an end");
             assert!(end.is_err(), "{end:?}");
@@ -273,7 +275,7 @@
             wait_for(what, || counted(child, name) > before);
         }
     }
-    let members = fleet.live(0);
+    let members = fleet.live_members(0);
     // A member that was there once and told of itself is replayed.
     let udp = UdpSocket::bind("127.0.0.1:0").expect("socket");
     let recorded = recorded(&udp, fleet.fieldops.address("gossip"), &key);
@@ -286,7 +288,7 @@
     }
     serves(&mut fleet, "replayed datagrams");
     wait_for("a member that isn't there to be forgotten", || {
-        fleet.live(0) == members
+        fleet.live_members(0) == members
     });
 }
 
@@ -327,7 +329,7 @@
     let mut fleet = Fleet::start(1, 1, &quick());
     let to = fleet.entries[0].address("callers");
     let head =
-        format!("POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer {KEY}\r\n");
+        format!("POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer {API_KEY}\r\n");
     let cases = [
         ("no HTTP", b"\x16\x03\x01\x00\x00\r\n\r\n".to_vec(), ""),
         (
@@ -394,7 +396,7 @@
     let mut fleet = Fleet::start(1, 1, &quick());
     let long = format!(
         "PUT /admin/configuration HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {}\r\ncontent-length: 400000000\r\n\r\n",
-        common::OPERATOR
+        common::OPERATOR_KEY
     );
     let cases = [
         ("no HTTP", b"\x16\x03\x01\x00\x00\r\n\r\n".to_vec()),
@@ -414,7 +416,7 @@
         }
     }
     let version = fleet.operator(0).get("/admin/configuration").json()["version"].clone();
-    for key in ["", "sample-operator-ke", KEY] {
+    for key in ["", "sample-operator-ke", API_KEY] {
         let stranger = Caller::new(fleet.entries[0].address("admin"), key);
         for (method, path) in [
             ("PUT", "/admin/configuration"),
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -72,7 +72,12 @@
     let answer = fleet
         .caller(n % 2)
         .post("/v1/completions", &completion(&prompt, 4, true));
-    assert!(answer.whole(), "{n}: {} {}", answer.status, answer.text());
+    assert!(
+        answer.is_complete_stream(),
+        "{n}: {} {}",
+        answer.status,
+        answer.text()
+    );
     assert_eq!(answer.words(), words(&prompt, 4), "{n}");
 }
 
@@ -93,7 +98,7 @@
     let body = completion("a long answer", 600, true);
     let long = fleet.caller(0).begin("POST", "/v1/completions", &[], &body);
     long.wait_for("data:");
-    let leaving = fleet.runner();
+    let leaving = fleet.running_replica();
     announce(&fleet, &format!("host-{leaving}"));
     fleet.replicas[leaving].sidecar.stop();
     let peer = fleet.replicas[leaving].sidecar.address("peer");
@@ -110,7 +115,7 @@
     assert!(engine.ran().is_empty(), "{:?}", engine.ran());
     assert_eq!(fleet.replicas[1 - leaving].engine.ran().len(), MANY);
     let answer = long.end();
-    assert!(answer.whole(), "{}", answer.text());
+    assert!(answer.is_complete_stream(), "{}", answer.text());
     assert_eq!(answer.words(), words("a long answer", 600));
     assert!(fleet.replicas[leaving].sidecar.wait(), "it ends well");
 }
--- a/crates/daemon/tests/not_run.rs
+++ b/crates/daemon/tests/not_run.rs
@@ -44,7 +44,7 @@
     let cases = [
         Strike { what: "queue full", strike: |_| {}, refuses: true },
         Strike { what: "engine killed", strike: |f| f.replicas[0].standin.kill(), refuses: true },
-        Strike { what: "engine killed and back", strike: |f| f.revive(0, &engine()), refuses: true },
+        Strike { what: "engine killed and back", strike: |f| f.restart_engine(0, &engine()), refuses: true },
         Strike { what: "sidecar drains", strike: |f| f.replicas[0].sidecar.stop(), refuses: true },
         Strike { what: "sidecar killed", strike: |f| f.replicas[0].sidecar.kill(), refuses: true },
         Strike { what: "sidecar frozen", strike: |f| {
@@ -54,7 +54,7 @@
             f.replicas[0].sidecar.signal("CONT");
             f.fieldops.signal("CONT");
         }, refuses: true },
-        Strike { what: "service killed and back", strike: Fleet::revive_service, refuses: false },
+        Strike { what: "service killed and back", strike: Fleet::restart_service, refuses: false },
         Strike { what: "service's sidecar killed", strike: |f| f.fieldops.kill(), refuses: false },
         Strike { what: "service's sidecar drains", strike: |f| f.fieldops.stop(), refuses: false },
         Strike { what: "platform down", strike: |f| f.platform.misbehave(platform_faults(true, 0)), refuses: true },
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -12,17 +12,17 @@
 use standin::platform;
 use standin::service;
 
-const KEY: &str = "idempotency-key";
+const KEY_HEADER: &str = "idempotency-key";
 
 /// Entries and two sidecars before one service, no engines.
 fn fleet(entries: usize) -> Fleet {
     let mut fleet = Fleet::start(entries, 0, &common::quick());
-    fleet.add_spare();
+    fleet.add_service_sidecar();
     fleet
 }
 
 fn write(caller: &Caller, key: &str, body: &str) -> Answer {
-    caller.send("POST", "/records/vote", &[(KEY, key)], body)
+    caller.send("POST", "/records/vote", &[(KEY_HEADER, key)], body)
 }
 
 /// What a caller may be told of a record: it is written, or it was attempted before.
@@ -48,7 +48,7 @@
             std::thread::spawn(move || write(&caller, &key, &body))
         };
         let both = [send(0), send(1)].map(|t| t.join().expect("caller"));
-        assert_eq!(fleet.times(&body), 1, "{n}");
+        assert_eq!(fleet.run_count(&body), 1, "{n}");
         both.iter().for_each(|a| assert_known(a, &body));
         let written: Vec<_> = both.iter().filter(|a| a.status == 201).collect();
         assert!(!written.is_empty(), "nobody was told of {body}");
@@ -65,7 +65,7 @@
     assert_eq!(write(&caller, "one key", "first").status, 201);
     let other = write(&caller, "one key", "second");
     assert_eq!(
-        (other.status, fleet.times("second")),
+        (other.status, fleet.run_count("second")),
         (409, 0),
         "{}",
         other.text()
@@ -73,7 +73,7 @@
     assert_eq!(other.code(), "already_attempted");
     let again = write(&caller, "one key", "first");
     assert_eq!(
-        (again.status, fleet.times("first")),
+        (again.status, fleet.run_count("first")),
         (201, 1),
         "{}",
         again.text()
@@ -92,28 +92,28 @@
             ..platform::Faults::default()
         });
         let deadline = ("x-deadline-ms", "1200");
-        let headers = [(KEY, "paused"), deadline];
+        let headers = [(KEY_HEADER, "paused"), deadline];
         let (first, second) = (fleet.caller(0), fleet.caller(1));
         let pending = first.begin("POST", "/records/vote", &headers, "vote");
         // Before, in and after the platform's answer, whichever the step hits.
         std::thread::sleep(Duration::from_millis(40 * step));
         fleet.fieldops.signal("STOP");
-        fleet.spares[0].signal("STOP");
+        fleet.extra_sidecars[0].signal("STOP");
         let mut answers = vec![pending.end()];
         let (wakes, sleeps) = match step % 2 {
-            0 => (&fleet.fieldops, &fleet.spares[0]),
-            _ => (&fleet.spares[0], &fleet.fieldops),
+            0 => (&fleet.fieldops, &fleet.extra_sidecars[0]),
+            _ => (&fleet.extra_sidecars[0], &fleet.fieldops),
         };
         wakes.signal("CONT");
         answers.push(second.send("POST", "/records/vote", &headers, "vote"));
         sleeps.signal("CONT");
-        answers.push(first.send("POST", "/records/vote", &[(KEY, "paused")], "vote"));
+        answers.push(first.send("POST", "/records/vote", &[(KEY_HEADER, "paused")], "vote"));
         // A planned stop ends after all that a sidecar has taken.
         fleet.fieldops.stop();
-        fleet.spares[0].stop();
-        assert!(fleet.fieldops.wait() && fleet.spares[0].wait());
+        fleet.extra_sidecars[0].stop();
+        assert!(fleet.fieldops.wait() && fleet.extra_sidecars[0].wait());
 
-        let times = fleet.times("vote");
+        let times = fleet.run_count("vote");
         let told: Vec<_> = answers
             .iter()
             .map(|a| (a.status, a.code(), a.header("x-outcome").map(str::to_owned)))
@@ -142,9 +142,9 @@
     });
     let answer = write(&fleet.caller(0), "lost", "vote");
     assert_eq!(answer.status, 201, "{}", answer.text());
-    assert_eq!(fleet.times("vote"), 1);
+    assert_eq!(fleet.run_count("vote"), 1);
     let again = write(&fleet.caller(0), "lost", "vote");
-    assert_eq!((again.status, fleet.times("vote")), (201, 1));
+    assert_eq!((again.status, fleet.run_count("vote")), (201, 1));
 }
 
 /// The claim's write takes effect, its answer is lost, and then the platform is away, so that
@@ -159,7 +159,12 @@
         ..platform::Faults::default()
     });
     let caller = fleet.caller(0);
-    let pending = caller.begin("POST", "/records/vote", &[(KEY, "unsettled")], "vote");
+    let pending = caller.begin(
+        "POST",
+        "/records/vote",
+        &[(KEY_HEADER, "unsettled")],
+        "vote",
+    );
     wait_for("the claim's write", || {
         fleet.platform.counts().writes > before
     });
@@ -168,11 +173,11 @@
         ..platform::Faults::default()
     });
     assert_refused(&pending.end());
-    assert_eq!(fleet.times("vote"), 0);
+    assert_eq!(fleet.run_count("vote"), 0);
     fleet.platform.misbehave(platform::Faults::default());
     let again = write(&caller, "unsettled", "vote");
     assert_eq!(again.status, 409, "{}", again.text());
-    assert_eq!(fleet.times("vote"), 0);
+    assert_eq!(fleet.run_count("vote"), 0);
 }
 
 /// The service dies after it ran a record and before it answered. Nobody knows how far it came:
@@ -186,8 +191,8 @@
     });
     let pending = fleet
         .caller(0)
-        .begin("POST", "/records/vote", &[(KEY, "dead")], "vote");
-    wait_for("the record to be run", || fleet.times("vote") == 1);
+        .begin("POST", "/records/vote", &[(KEY_HEADER, "dead")], "vote");
+    wait_for("the record to be run", || fleet.run_count("vote") == 1);
     fleet.service_at.kill();
     let answer = pending.end();
     assert_eq!(answer.status, 502, "{}", answer.text());
@@ -201,7 +206,7 @@
     });
     assert_eq!(again.code(), "already_attempted", "{}", again.text());
     assert_eq!(again.header("x-outcome"), Some("unknown"));
-    assert_eq!(fleet.times("vote"), 1);
+    assert_eq!(fleet.run_count("vote"), 1);
 }
 
 /// The platform is down, so that no claim can be had. The record is refused at once and truly not
@@ -214,11 +219,11 @@
         ..platform::Faults::default()
     });
     assert_refused(&write(&fleet.caller(0), "down", "vote"));
-    assert_eq!(fleet.times("vote"), 0);
+    assert_eq!(fleet.run_count("vote"), 0);
     fleet.platform.misbehave(platform::Faults::default());
     let answer = write(&fleet.caller(0), "down", "vote");
     assert_eq!(
-        (answer.status, fleet.times("vote")),
+        (answer.status, fleet.run_count("vote")),
         (201, 1),
         "{}",
         answer.text()
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -63,7 +63,7 @@
     let caller = fleet.caller(0);
     let answer = caller.post("/v1/completions", &completion(prompt, 8, true));
     assert!(
-        answer.whole(),
+        answer.is_complete_stream(),
         "{prompt}: {} {}",
         answer.status,
         answer.text()
@@ -124,7 +124,7 @@
     wait_for("both to want it", || {
         holders(&fleet, permit).matches("who").count() == 2
     });
-    assert!(long.end().whole(), "the long answer");
+    assert!(long.end().is_complete_stream(), "the long answer");
     wait_for("both to be through", || {
         let (_, row) = fleet.platform.row(&lease).expect("a row");
         holders(&fleet, &lease) == "[]" && row.contains("\"fence\":2,")
@@ -170,7 +170,7 @@
     wait_loaded(engine, "3");
     first.signal("CONT");
     // Had it anything to order, it would do so before it follows the next change.
-    wait_for("the first to be back", || fleet.live(0) == 4);
+    wait_for("the first to be back", || fleet.live_members(0) == 4);
     fleet.apply(&weights("4", fencing));
     wait_loaded(engine, "4");
     let orders = carried(&engine.orders());
--- a/crates/daemon/tests/outage.rs
+++ b/crates/daemon/tests/outage.rs
@@ -34,7 +34,7 @@
         .caller(n % 2)
         .post("/v1/completions", &completion(&prompt, 6, true));
     assert!(
-        answer.whole(),
+        answer.is_complete_stream(),
         "{prompt}: {} {}",
         answer.status,
         answer.text()
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -14,7 +14,7 @@
             .caller(entry)
             .post("/v1/completions", &completion(&prompt, 20, true));
         assert_eq!(answer.status, 200, "{}", answer.text());
-        assert!(answer.whole(), "{}", answer.text());
+        assert!(answer.is_complete_stream(), "{}", answer.text());
         assert_eq!(answer.words(), words(&prompt, 20));
     }
 }
@@ -33,7 +33,7 @@
 #[test]
 fn unusable_requests_are_refused_as_not_run() {
     let fleet = Fleet::start(1, 1, &quick());
-    let good = common::KEY;
+    let good = common::API_KEY;
     #[rustfmt::skip]
     let cases = [
         Refused { what: "unknown key", method: "POST", path: "/v1/completions", key: "x", body: "{}", status: 401, code: "unknown_team" },
--- a/crates/daemon/tests/poison.rs
+++ b/crates/daemon/tests/poison.rs
@@ -27,7 +27,7 @@
         }
         for n in 0..entries {
             let all = 1 + entries + engines;
-            wait_for("all engines to be seen", || p.fleet.live(n) == all);
+            wait_for("all engines to be seen", || p.fleet.live_members(n) == all);
         }
         p
     }
@@ -42,7 +42,11 @@
 
     /// Engines that have died.
     fn dead(&mut self) -> usize {
-        let runs: Vec<_> = self.engines.iter_mut().map(|(e, _)| e.runs()).collect();
+        let runs: Vec<_> = self
+            .engines
+            .iter_mut()
+            .map(|(e, _)| e.is_running())
+            .collect();
         runs.iter().filter(|r| !**r).count()
     }
 
@@ -86,7 +90,7 @@
     assert_eq!(p.dead(), 2);
     for (prompt, stream) in streams {
         let answer = stream.end();
-        assert!(answer.whole(), "{prompt}: {}", answer.text());
+        assert!(answer.is_complete_stream(), "{prompt}: {}", answer.text());
         assert_eq!(answer.words(), words(&prompt, TOKENS));
     }
     assert_eq!(p.dead(), 2);
@@ -128,7 +132,7 @@
     let prompt = "an honest request";
     let body = completion(prompt, 3, true);
     let answer = p.fleet.caller(1).post("/v1/completions", &body);
-    assert!(answer.whole(), "{}", answer.text());
+    assert!(answer.is_complete_stream(), "{}", answer.text());
     assert_eq!(answer.words(), words(prompt, 3));
 }
 
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -15,7 +15,12 @@
     let prompt = format!("first after the restart of {entry}");
     let answer = ready.post("/v1/completions", &completion(&prompt, 8, true));
     let took = start.elapsed();
-    assert!(answer.whole(), "{} {}", answer.status, answer.text());
+    assert!(
+        answer.is_complete_stream(),
+        "{} {}",
+        answer.status,
+        answer.text()
+    );
     assert_eq!(answer.words(), words(&prompt, 8));
     took
 }
@@ -95,7 +100,7 @@
     let prompt = "after the restart of the sidecar";
     let mut answer = caller.post("/v1/completions", &completion(prompt, 8, true));
     wait_for("the engine to be found again", || {
-        if !answer.whole() {
+        if !answer.is_complete_stream() {
             assert_eq!(
                 answer.header("x-outcome"),
                 Some("not-run"),
@@ -104,7 +109,7 @@
             );
             answer = caller.post("/v1/completions", &completion(prompt, 8, true));
         }
-        answer.whole()
+        answer.is_complete_stream()
     });
     println!("one sidecar: first answer after {:?}", start.elapsed());
     assert_eq!(answer.words(), words(prompt, 8));
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 use common::caller::Answer;
-use common::{any, completion, quick, wait_for, words, Caller, Child, Fleet, StandIn, KEY};
+use common::{
+    any_port, completion, quick, wait_for, words, Caller, Child, Fleet, StandIn, API_KEY,
+};
 use standin::engine::Settings;
 use standin::service::Service;
 
@@ -82,7 +84,7 @@
     fn pick(&self, turn: usize) -> Caller {
         let up = self.ready.lock().expect("balancer");
         assert!(!up.is_empty(), "no entry is ready");
-        Caller::new(up[turn % up.len()], KEY)
+        Caller::new(up[turn % up.len()], API_KEY)
     }
 }
 
@@ -146,7 +148,10 @@
         let (good, answer) = match turn % 3 {
             0 => {
                 let a = to.post("/v1/completions", &completion(&name, TOKENS, true));
-                (a.whole() && a.words() == words(&name, TOKENS), a)
+                (
+                    a.is_complete_stream() && a.words() == words(&name, TOKENS),
+                    a,
+                )
             }
             1 => {
                 let a = to.get("/quota/north");
@@ -194,11 +199,11 @@
     let late: Vec<_> = (0..4).map(|i| ask("late", i, TOKENS)).collect();
     for (prompt, tokens, pending) in early.into_iter().chain(late) {
         let answer = pending.end();
-        assert!(answer.whole(), "{prompt}: {}", told(&answer));
+        assert!(answer.is_complete_stream(), "{prompt}: {}", told(&answer));
         assert_eq!(answer.words(), words(&prompt, tokens), "{prompt}");
     }
     assert!(fleet.entries[1].wait(), "it ends well");
-    wait_for("the others to know", || fleet.live(0) == 3);
+    wait_for("the others to know", || fleet.live_members(0) == 3);
 }
 
 /// A sidecar is replaced while requests run at its engine and others wait for their turn there.
@@ -234,7 +239,7 @@
     fleet.replicas[stopping].sidecar.stop();
     for (prompt, pending) in asked {
         let answer = pending.end();
-        assert!(answer.whole(), "{prompt}: {}", told(&answer));
+        assert!(answer.is_complete_stream(), "{prompt}: {}", told(&answer));
         assert_eq!(answer.words(), words(&prompt, TOKENS), "{prompt}");
     }
     assert!(fleet.replicas[stopping].sidecar.wait(), "it ends well");
@@ -256,15 +261,17 @@
 fn plain_sidecar_finishes_each_record_once() {
     let mut fleet = Fleet::start(1, 0, &quick());
     let services = [0, 1].map(|_| Service::new(Duration::from_millis(400)));
-    let at = [0, 1].map(|i: usize| StandIn::start(any(), services[i].router()));
+    let at = [0, 1].map(|i: usize| StandIn::start(any_port(), services[i].router()));
     let (url, seed) = (fleet.url(), fleet.seed());
     let mut sidecars = [0, 1].map(|i: usize| narrow(&url, &seed, at[i].at, "fieldops", "plain"));
     let seeds = sidecars[1].address("gossip").to_string();
-    wait_for("the new ones to be seen", || fleet.live(0) == 4);
+    wait_for("the new ones to be seen", || fleet.live_members(0) == 4);
     fleet.fieldops.stop();
     assert!(fleet.fieldops.wait(), "an idle sidecar ends well");
     fleet.entries.push(entry(&url, &seeds));
-    wait_for("the second entry to know all", || fleet.live(1) == 4);
+    wait_for("the second entry to know all", || {
+        fleet.live_members(1) == 4
+    });
     fleet.wait_version(1, 1);
     let ask = |i: usize| {
         let key = format!("record {i}");
@@ -319,7 +326,7 @@
     first.stop();
     assert!(first.wait(), "an idle entry ends well");
     for n in 0..2 {
-        wait_for("its end to be seen", || fleet.live(n) == 5);
+        wait_for("its end to be seen", || fleet.live_members(n) == 5);
         fleet.wait_version(n, 1);
     }
     let balancer = Balancer::default();
@@ -366,12 +373,12 @@
 /// Stops a process once its successor is seen everywhere, and waits for its end.
 fn replace(fleet: &Fleet, mut old: Child, load: &Load) {
     for n in 0..fleet.entries.len() {
-        wait_for("the successor to be seen", || fleet.live(n) >= 6);
+        wait_for("the successor to be seen", || fleet.live_members(n) >= 6);
     }
     old.stop();
     load.more(6);
     assert!(old.wait(), "it ends well");
     for n in 0..fleet.entries.len() {
-        wait_for("its end to be seen", || fleet.live(n) == 5);
+        wait_for("its end to be seen", || fleet.live_members(n) == 5);
     }
 }
--- a/crates/daemon/tests/stream.rs
+++ b/crates/daemon/tests/stream.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use common::caller::{Answer, Pending};
-use common::{completion, quick, wait_for, words, Fleet, How, Plan, Side};
+use common::{completion, quick, wait_for, words, CutMode, CutPlan, Fleet, Side};
 use standin::engine::{Engine, Faults, Settings};
 use viz::{Body, Request, Response};
 
@@ -29,12 +29,17 @@
     for _ in 0..10 {
         stream.wait_for("choices");
     }
-    let at = fleet.runner();
+    let at = fleet.running_replica();
     (stream, at)
 }
 
 fn assert_whole(answer: &Answer, prompt: &str, tokens: usize) {
-    assert!(answer.whole(), "{} {}", answer.status, answer.text());
+    assert!(
+        answer.is_complete_stream(),
+        "{} {}",
+        answer.status,
+        answer.text()
+    );
     assert_eq!(answer.words(), words(prompt, tokens));
 }
 
@@ -63,7 +68,12 @@
         let (stream, at) = begin(&fleet, &prompt);
         (case.strike)(&mut fleet, at);
         let answer = stream.end();
-        assert!(answer.whole(), "{}: {}", case.what, answer.text());
+        assert!(
+            answer.is_complete_stream(),
+            "{}: {}",
+            case.what,
+            answer.text()
+        );
         assert_eq!(answer.words(), words(&prompt, TOKENS), "{}", case.what);
         let others = fleet.replicas.iter().enumerate().filter(|(i, _)| *i != at);
         let resumed = others.flat_map(|(_, r)| r.engine.ran());
@@ -93,7 +103,7 @@
     while sent.elapsed() < Duration::from_millis(500) {
         stream.wait_for("choices");
     }
-    let at = fleet.runner();
+    let at = fleet.running_replica();
     fleet.replicas[at].standin.kill();
     assert_whole(&stream.end(), &prompt, TOKENS);
 }
@@ -166,7 +176,7 @@
     assert_eq!(got[..], words(&prompt, TOKENS)[..got.len()]);
 }
 
-/// How an engine's answer ends too early although its transfer ends as it should.
+/// CutMode an engine's answer ends too early although its transfer ends as it should.
 struct Ending {
     what: &'static str,
     body: &'static str,
@@ -205,7 +215,12 @@
             let prompt = format!("{} {n}", case.what);
             let body = completion(&prompt, 5, true);
             let answer = fleet.caller(0).post("/v1/completions", &body);
-            assert!(answer.whole(), "{}: {}", case.what, answer.text());
+            assert!(
+                answer.is_complete_stream(),
+                "{}: {}",
+                case.what,
+                answer.text()
+            );
             assert_eq!(answer.words(), words(&prompt, 5), "{}", case.what);
             hits.load(Ordering::Relaxed) > 0
         });
@@ -238,10 +253,10 @@
 #[test]
 fn cut_after_each_frame_loses_and_doubles_nothing() {
     let cuts = [
-        (Side::Sidecar, How::Break),
-        (Side::Entry, How::Break),
-        (Side::Sidecar, How::Silent),
-        (Side::Entry, How::Silent),
+        (Side::Sidecar, CutMode::Break),
+        (Side::Entry, CutMode::Break),
+        (Side::Sidecar, CutMode::Silent),
+        (Side::Entry, CutMode::Silent),
     ];
     std::thread::scope(|s| {
         for lane in 0..LANES {
@@ -250,22 +265,22 @@
     });
 }
 
-fn cut_lane(lane: usize, cuts: &[(Side, How)]) {
-    let plan = Arc::new(Plan::default());
+fn cut_lane(lane: usize, cuts: &[(Side, CutMode)]) {
+    let plan = Arc::new(CutPlan::default());
     let mut fleet = Fleet::start(1, 0, &quick());
     for _ in 0..2 {
-        fleet.add_cut(&quick(), &plan);
+        fleet.add_replica_behind_proxy(&quick(), &plan);
     }
-    for &(side, how) in cuts {
+    for &(side, mode) in cuts {
         let mut after = lane;
         loop {
-            plan.set(side, after, how);
-            let what = format!("{side:?} {how:?} {after}");
+            plan.set(side, after, mode);
+            let what = format!("{side:?} {mode:?} {after}");
             let body = completion(&what, FEW, true);
             // Without an id of the caller's own: what is kept for such a one is kept longer.
             let answer = fleet.caller(0).post("/v1/completions", &body);
             assert!(
-                answer.whole(),
+                answer.is_complete_stream(),
                 "{what}: {} {}",
                 answer.status,
                 answer.text()
@@ -282,7 +297,7 @@
         }
         // The handshake and the request; the sidecar adds the words and the end.
         let least = if side == Side::Sidecar { FEW } else { 2 };
-        assert!(after >= least, "{side:?} {how:?}: only {after} frames");
+        assert!(after >= least, "{side:?} {mode:?}: only {after} frames");
     }
 }
 
--- a/crates/daemon/tests/trace.rs
+++ b/crates/daemon/tests/trace.rs
@@ -37,7 +37,7 @@
     let entry = [&["entry"][..], &settings, &[&at_entry]].concat();
     fleet.entries.push(Child::run(&entry));
     let engine = Engine::new(quick());
-    let standin = StandIn::start(common::any(), engine.router());
+    let standin = StandIn::start(common::any_port(), engine.router());
     let target = format!("http://{}", standin.at);
     let more = ["--target", &target, "--pool", "lekha-llm"];
     let sidecar = [&["sidecar"][..], &settings, &[&at_sidecar], &more].concat();
@@ -45,7 +45,7 @@
         engine,
         standin,
         sidecar: Child::run(&sidecar),
-        past: Vec::new(),
+        earlier_engines: Vec::new(),
     });
     fleet.wait_members();
     fleet.wait_version(1, 1);
@@ -55,7 +55,7 @@
     let headers = [("traceparent", context.as_str())];
     let caller = fleet.caller(1);
     let answer = caller.send("POST", "/v1/completions", &headers, &body);
-    assert!(answer.whole(), "{}", answer.text());
+    assert!(answer.is_complete_stream(), "{}", answer.text());
     wait_for("the spans", || {
         spans(&at_entry).contains_key("entry") && spans(&at_sidecar).contains_key("target")
     });
