--- a/crates/daemon/tests/poison.rs
+++ b/crates/daemon/tests/poison.rs
@@ -1,38 +1,41 @@
-//! A request that crashes its targets stops after two crashes, whoever sends it again.
+//! A request that crashes its targets is stopped after two crashes, whichever caller or entry sends
+//! it again.
 
 mod common;
 
 use common::caller::{Answer, Pending};
 use common::{completion, quick, wait_for, words, Child, Fleet, Program, QUICKSTART};
 
-/// The text at which the engines' processes die.
+/// A prompt that contains this text kills the process of the engine that runs it.
 const POISON: &str = "DEADLY";
-/// Tokens of a stream that lasts about two seconds.
+/// Length of the long streams; at 10 ms per token, each lasts about two seconds.
 const TOKENS: usize = 200;
 
-/// A fleet whose engines are processes of their own.
-struct Processes {
+/// A fleet whose engines run as separate processes, so that a crash ends one engine only.
+struct EngineProcesses {
     fleet: Fleet,
     engines: Vec<(Program, Child)>,
 }
 
-impl Processes {
+impl EngineProcesses {
     fn start(entries: usize, engines: usize) -> Self {
         let mut p = Self {
             fleet: Fleet::start(entries, 0, &quick()),
             engines: Vec::new(),
         };
         for _ in 0..engines {
-            p.add();
+            p.add_engine();
         }
         for n in 0..entries {
             let all = 1 + entries + engines;
-            wait_for("all engines to be seen", || p.fleet.live_members(n) == all);
+            wait_for("every entry to list all engines", || {
+                p.fleet.live_members(n) == all
+            });
         }
         p
     }
 
-    fn add(&mut self) {
+    fn add_engine(&mut self) {
         let args = ["--weights", "1", "--poison", POISON, "--decode-us", "10000"];
         let engine = Program::start("engine", &args);
         let (url, seed) = (self.fleet.url(), self.fleet.seed());
@@ -40,8 +43,8 @@
         self.engines.push((engine, sidecar));
     }
 
-    /// Engines that have died.
-    fn dead(&mut self) -> usize {
+    /// Number of engines whose process has ended.
+    fn dead_engines(&mut self) -> usize {
         let runs: Vec<_> = self
             .engines
             .iter_mut()
@@ -50,8 +53,9 @@
         runs.iter().filter(|r| !**r).count()
     }
 
-    /// Streams through the first entry until each engine has some, so that each crash strikes one.
-    fn streams(&self) -> Vec<(String, Pending)> {
+    /// Starts streams through the first entry, enough that every engine runs at least one of them
+    /// and each crash interrupts a stream.
+    fn start_streams(&self) -> Vec<(String, Pending)> {
         (0..6)
             .map(|n| {
                 let prompt = format!("an honest request {n}");
@@ -64,69 +68,85 @@
             .collect()
     }
 
-    fn poison(&self, entry: usize, stream: bool) -> Answer {
+    fn send_poison(&self, entry: usize, stream: bool) -> Answer {
         let body = completion(&format!("{POISON} question"), 5, stream);
         self.fleet.caller(entry).post("/v1/completions", &body)
     }
 }
 
-fn assert_final(answer: &Answer) {
+/// Asserts that the request is quarantined and that the caller isn't invited to retry.
+fn assert_quarantined(answer: &Answer) {
     assert_eq!(answer.status, 422, "{}", answer.text());
     assert_eq!(answer.code(), "quarantined");
     assert!(
         answer.header("retry-after").is_none(),
-        "no use in coming back"
+        "a retry is pointless, so no retry-after"
     );
 }
 
-/// Guards against a request that is retried until it has crashed the whole pool.
+/// Guards against retrying a request on one engine after the other until it has crashed the whole
+/// pool, and against losing the streams that ran on the crashed engines.
 #[test]
-fn second_crash_is_the_last_and_other_streams_survive() {
-    let mut p = Processes::start(2, 4);
-    let streams = p.streams();
-    let answer = p.poison(0, false);
-    assert_final(&answer);
+fn request_is_stopped_after_two_crashes_and_other_streams_survive() {
+    let mut p = EngineProcesses::start(2, 4);
+    let streams = p.start_streams();
+    let answer = p.send_poison(0, false);
+    assert_quarantined(&answer);
     assert_eq!(answer.header("x-outcome"), Some("unknown"));
-    assert_eq!(p.dead(), 2);
+    assert_eq!(p.dead_engines(), 2);
     for (prompt, stream) in streams {
         let answer = stream.end();
         assert!(answer.is_complete_stream(), "{prompt}: {}", answer.text());
         assert_eq!(answer.words(), words(&prompt, TOKENS));
     }
-    assert_eq!(p.dead(), 2);
+    assert_eq!(p.dead_engines(), 2);
 }
 
-/// Guards against counting crashes for each attempt of a caller alone.
+/// Guards against counting crashes per call: a caller that repeats a request which isn't idempotent
+/// would then crash one engine with each repetition.
 #[test]
-fn crashes_add_up_over_callers_attempts() {
-    let mut p = Processes::start(3, 4);
-    let once = QUICKSTART.replace(
+fn crashes_are_counted_across_repeated_calls() {
+    let mut p = EngineProcesses::start(3, 4);
+    let not_idempotent = QUICKSTART.replace(
         "then = { pool = \"lekha-llm\", deadline = \"60s\" }",
         "then = { pool = \"lekha-llm\", deadline = \"60s\", idempotent = false }",
     );
-    assert_ne!(once, QUICKSTART);
-    p.fleet.apply(&once);
-    let first = p.poison(0, true);
+    assert_ne!(not_idempotent, QUICKSTART);
+    p.fleet.apply(&not_idempotent);
+    let first = p.send_poison(0, true);
     assert_eq!((first.status, first.code().as_str()), (502, "target_lost"));
-    assert_eq!((first.header("x-outcome"), p.dead()), (Some("unknown"), 1));
-    let second = p.poison(1, true);
-    assert_final(&second);
-    assert_eq!((second.header("x-outcome"), p.dead()), (Some("unknown"), 2));
-    let third = p.poison(2, true);
-    assert_final(&third);
-    assert_eq!((third.header("x-outcome"), p.dead()), (Some("not-run"), 2));
+    assert_eq!(
+        (first.header("x-outcome"), p.dead_engines()),
+        (Some("unknown"), 1)
+    );
+    let second = p.send_poison(1, true);
+    assert_quarantined(&second);
+    assert_eq!(
+        (second.header("x-outcome"), p.dead_engines()),
+        (Some("unknown"), 2)
+    );
+    let third = p.send_poison(2, true);
+    assert_quarantined(&third);
+    assert_eq!(
+        (third.header("x-outcome"), p.dead_engines()),
+        (Some("not-run"), 2)
+    );
 }
 
-/// Guards against one more crash at each entry through which a convicted request comes again.
+/// Guards against one more crash at each further entry through which a convicted request is sent.
 #[test]
 fn convicted_request_is_refused_at_every_entry() {
-    let mut p = Processes::start(3, 4);
-    assert_final(&p.poison(0, true));
-    assert_eq!(p.dead(), 2);
+    let mut p = EngineProcesses::start(3, 4);
+    assert_quarantined(&p.send_poison(0, true));
+    assert_eq!(p.dead_engines(), 2);
     for n in [1, 2, 0, 1, 2] {
-        let answer = p.poison(n, true);
-        assert_eq!(p.dead(), 2, "entry {n} let it crash one more");
-        assert_final(&answer);
+        let answer = p.send_poison(n, true);
+        assert_eq!(
+            p.dead_engines(),
+            2,
+            "the request crashed another engine through entry {n}"
+        );
+        assert_quarantined(&answer);
         assert_eq!(answer.header("x-outcome"), Some("not-run"), "entry {n}");
     }
     let prompt = "an honest request";
@@ -136,10 +156,11 @@
     assert_eq!(answer.words(), words(prompt, 3));
 }
 
-/// Guards against entries that send a request on without the crash that the other one knows of.
+/// Guards against entries that retry a request without counting the crash that another entry has
+/// seen: with two entries at once, more than two engines would crash.
 #[test]
 fn request_sent_through_two_entries_at_once_stops_at_the_second_crash() {
-    let mut p = Processes::start(2, 5);
+    let mut p = EngineProcesses::start(2, 5);
     let body = completion(&format!("{POISON} question"), 5, false);
     let pending: Vec<_> = (0..2)
         .map(|n| {
@@ -149,7 +170,7 @@
         })
         .collect();
     for answer in pending {
-        assert_final(&answer.end());
+        assert_quarantined(&answer.end());
     }
-    assert_eq!(p.dead(), 2);
+    assert_eq!(p.dead_engines(), 2);
 }
