--- a/crates/daemon/tests/alive.rs
+++ b/crates/daemon/tests/alive.rs
@@ -1,4 +1,5 @@
-//! Answers whose target is alive are not cut, however late it answers its health checks.
+//! An answer isn't aborted while its target still runs, however late the target answers health
+//! checks.
 
 mod common;
 
@@ -14,22 +15,24 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpSocket;
 
-/// Delay of a health check that is longer than the sidecar waits for one.
-const LATE: u64 = 1_100;
-/// Tokens of an answer that lasts five seconds.
+/// Delay of the answer to a health check, in milliseconds; it exceeds the sidecar's timeout.
+const HEALTH_DELAY_MS: u64 = 1_100;
+/// Length of an answer; at 50 ms per token, it lasts five seconds.
 const TOKENS: usize = 100;
-/// Tokens after which an engine closes its stream: about when its second check in a row is late.
-const CLOSED: usize = 40;
-/// How long the plain target works at its request.
-const WORK: Duration = Duration::from_secs(5);
+/// Tokens after which an engine closes its stream: about the time when its second health check in a
+/// row is late.
+const TOKENS_BEFORE_CLOSE: usize = 40;
+/// Time that the plain target takes to handle its request.
+const HANDLING_TIME: Duration = Duration::from_secs(5);
 
-fn late() -> Faults {
+fn late_health_checks() -> Faults {
     Faults {
-        late: LATE,
+        late: HEALTH_DELAY_MS,
         ..Faults::default()
     }
 }
 
+/// An engine that takes 50 ms per token.
 fn slow() -> Settings {
     Settings {
         decode: Duration::from_millis(50),
@@ -37,29 +40,29 @@
     }
 }
 
-/// An answer that an engine computes while its checks are late.
-struct Answer {
+/// A kind of answer that an engine computes while its health checks are late.
+struct Case {
     what: &'static str,
     stream: bool,
 }
 
-/// Guards against cutting an answer because its engine's health checks are late.
+/// Guards against aborting an answer because its engine answers health checks late.
 #[test]
-fn answer_continues_while_checks_are_late() {
+fn answer_completes_while_health_checks_are_late() {
     let cases = [
-        Answer {
+        Case {
             what: "stream",
             stream: true,
         },
-        Answer {
+        Case {
             what: "whole answer",
             stream: false,
         },
     ];
-    let run = |case: Answer| {
+    let run = |case: Case| {
         let fleet = Fleet::start(1, 1, &slow());
         let engine = &fleet.replicas[0].engine;
-        engine.misbehave(late());
+        engine.misbehave(late_health_checks());
         let body = completion(case.what, TOKENS, case.stream);
         let answer = fleet.caller(0).post("/v1/completions", &body);
         let text = answer.text();
@@ -78,15 +81,16 @@
     });
 }
 
-/// Guards against taking a closed connection to a slow engine for the engine's crash.
+/// Guards against counting a crash when a slow engine closes a connection while its health checks
+/// are late: two such closed streams would quarantine the request.
 #[test]
-fn closed_streams_of_slow_engines_are_no_crashes() {
+fn closed_streams_of_slow_engines_are_not_counted_as_crashes() {
     let fleet = Fleet::start(1, 3, &slow());
     let engines: Vec<_> = fleet.replicas.iter().map(|r| &r.engine).collect();
     for e in &engines {
         e.misbehave(Faults {
             drop: 1,
-            after: CLOSED,
+            after: TOKENS_BEFORE_CLOSE,
             ..Faults::default()
         });
     }
@@ -97,9 +101,9 @@
     let mut closed = Vec::new();
     for _ in 0..2 {
         let next = || (0..3).find(|n| engines[*n].running() > 0 && !closed.contains(n));
-        wait_for("an engine to run it", || next().is_some());
+        wait_for("an engine to run the request", || next().is_some());
         let n = next().expect("waited for");
-        engines[n].misbehave(late());
+        engines[n].misbehave(late_health_checks());
         closed.push(n);
     }
     let answer = stream.end();
@@ -112,9 +116,9 @@
     assert_eq!(answer.words(), words(prompt, TOKENS));
 }
 
-/// Guards against leaving a request with a paused engine although another one could answer it.
+/// Guards against a request that waits for a paused engine although another engine could answer it.
 #[test]
-fn request_that_may_be_repeated_leaves_a_paused_engine() {
+fn idempotent_request_is_retried_when_its_engine_is_paused() {
     let fleet = Fleet::start(1, 0, &quick());
     let (url, seed) = (fleet.url(), fleet.seed());
     let args = ["--weights", "1", "--decode-us", "20000"];
@@ -132,7 +136,7 @@
         load["running"].as_u64() > Some(0)
     };
     let mut runner = None;
-    wait_for("an engine to run it", || {
+    wait_for("an engine to run the request", || {
         runner = engines.iter().position(|(e, _)| running(e));
         runner.is_some()
     });
@@ -143,8 +147,8 @@
     assert_eq!(answer.status, 200, "{}", answer.text());
 }
 
-/// A target that accepts no further connection once it works at a request.
-fn full_target() -> SocketAddr {
+/// Starts a plain target that accepts no further connection while it handles its one request.
+fn start_full_target() -> SocketAddr {
     let (tx, at) = mpsc::channel();
     std::thread::spawn(move || {
         let run = tokio::runtime::Builder::new_current_thread()
@@ -156,6 +160,7 @@
     at.recv().expect("address")
 }
 
+/// Handles one request on a listener with a backlog of one; sends its address first.
 async fn serve_one(at: mpsc::Sender<SocketAddr>) -> io::Result<()> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(any_port())?;
@@ -164,22 +169,23 @@
     let mut buf = [0; 4_096];
     loop {
         let (mut tcp, _) = listener.accept().await?;
-        // A health check connects and sends nothing.
+        // A health check of a plain target connects and sends nothing.
         if tcp.read(&mut buf).await? == 0 {
             continue;
         }
-        tokio::time::sleep(WORK).await;
+        tokio::time::sleep(HANDLING_TIME).await;
         let answer = b"HTTP/1.1 201 Created\r\ncontent-length: 4\r\n\r\nkept";
         return tcp.write_all(answer).await;
     }
 }
 
-/// Guards against cutting a plain target's answer because it accepts no further connection.
+/// Guards against aborting a plain target's answer because its full backlog makes health checks
+/// fail.
 #[test]
 fn record_is_answered_by_a_target_with_a_full_backlog() {
     let mut fleet = Fleet::start(1, 0, &quick());
     let (url, seed) = (fleet.url(), fleet.seed());
-    let sidecar = Child::sidecar(&url, &seed, full_target(), "ledger", "plain");
+    let sidecar = Child::sidecar(&url, &seed, start_full_target(), "ledger", "plain");
     fleet.extra_sidecars.push(sidecar);
     fleet.wait_members();
     let write =
