--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -1,7 +1,7 @@
-//! A request that may run only once runs at most once, and its caller is told the truth of it.
+//! A request that may run only once runs at most once, and its caller receives the true outcome.
 //!
-//! The service's own log is the judge: a record is in it once or not at all, and never missing if
-//! its caller was told that it was written.
+//! The checks read the service's own log: it holds a record at most once, and holds each record
+//! that was confirmed to its caller.
 
 mod common;
 
@@ -14,32 +14,32 @@
 
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Entries and two sidecars before one service, no engines.
-fn fleet(entries: usize) -> Fleet {
+/// Starts entries, two sidecars of one service, and no engines.
+fn start_fleet(entries: usize) -> Fleet {
     let mut fleet = Fleet::start(entries, 0, &common::quick());
     fleet.add_service_sidecar();
     fleet
 }
 
+/// Sends a record with an idempotency key.
 fn write(caller: &Caller, key: &str, body: &str) -> Answer {
     caller.send("POST", "/records/vote", &[(KEY_HEADER, key)], body)
 }
 
-/// What a caller may be told of a record: it is written, or it was attempted before.
-fn assert_known(a: &Answer, what: &str) {
-    let known = matches!(
+/// Asserts that the answer reports the record as written or as already attempted.
+fn assert_written_or_attempted(a: &Answer, what: &str) {
+    let allowed = matches!(
         (a.status, a.code().as_str()),
         (201, _) | (409, "already_attempted")
     );
-    assert!(known, "{what}: {} {}", a.status, a.text());
+    assert!(allowed, "{what}: {} {}", a.status, a.text());
 }
 
-/// A client sends the same record through two entries at the same moment, as one does whose first
-/// connection seems dead. Neither entry sees the other; if both passed it on, one voter would
-/// count twice.
+/// Guards against running a record twice when a client sends it through two entries at once:
+/// neither entry sees the other one's request, and a vote would count twice.
 #[test]
 fn same_key_through_two_entries_runs_once() {
-    let fleet = fleet(2);
+    let fleet = start_fleet(2);
     for n in 0..20 {
         let (key, body) = (format!("key {n}"), format!("vote {n}"));
         let send = |entry: usize| {
@@ -49,18 +49,19 @@
         };
         let both = [send(0), send(1)].map(|t| t.join().expect("caller"));
         assert_eq!(fleet.run_count(&body), 1, "{n}");
-        both.iter().for_each(|a| assert_known(a, &body));
+        both.iter()
+            .for_each(|a| assert_written_or_attempted(a, &body));
         let written: Vec<_> = both.iter().filter(|a| a.status == 201).collect();
-        assert!(!written.is_empty(), "nobody was told of {body}");
+        assert!(!written.is_empty(), "no answer reports {body} as written");
         assert!(written.iter().all(|a| a.text() == written[0].text()));
     }
 }
 
-/// A client uses one key for two different records, or two clients of a team happen on the same
-/// one. The second must not get the first one's answer: it would believe its record written.
+/// Guards against answering a record with the stored answer of another one that has the same key:
+/// the second record would seem written although it isn't.
 #[test]
-fn key_of_another_record_gives_no_false_answer() {
-    let fleet = fleet(1);
+fn reused_key_does_not_return_the_answer_of_another_record() {
+    let fleet = start_fleet(1);
     let caller = fleet.caller(0);
     assert_eq!(write(&caller, "one key", "first").status, 201);
     let other = write(&caller, "one key", "second");
@@ -80,13 +81,12 @@
     );
 }
 
-/// Sidecars are paused at some moment around their claim, and their caller sends the record again
-/// through another entry while one of them sleeps and after it woke. A sleeper that wakes with a
-/// claim in hand must not run what its caller was told did not run, nor run it a second time.
+/// Guards against a sidecar that is paused around its claim, resumes with the claim, and runs a
+/// record that was reported as not run or that ran elsewhere after the caller had sent it again.
 #[test]
-fn pause_around_the_claim_runs_nothing_twice() {
+fn sidecar_paused_around_its_claim_runs_no_record_twice() {
     let run = |step: u64| {
-        let mut fleet = fleet(2);
+        let mut fleet = start_fleet(2);
         fleet.platform.misbehave(platform::Faults {
             delay_ms: 200,
             ..platform::Faults::default()
@@ -95,34 +95,37 @@
         let headers = [(KEY_HEADER, "paused"), deadline];
         let (first, second) = (fleet.caller(0), fleet.caller(1));
         let pending = first.begin("POST", "/records/vote", &headers, "vote");
-        // Before, in and after the platform's answer, whichever the step hits.
+        // The steps put the pause before, during or after the platform's answer to the claim.
         std::thread::sleep(Duration::from_millis(40 * step));
         fleet.fieldops.signal("STOP");
         fleet.extra_sidecars[0].signal("STOP");
         let mut answers = vec![pending.end()];
-        let (wakes, sleeps) = match step % 2 {
+        let (resumed_first, resumed_last) = match step % 2 {
             0 => (&fleet.fieldops, &fleet.extra_sidecars[0]),
             _ => (&fleet.extra_sidecars[0], &fleet.fieldops),
         };
-        wakes.signal("CONT");
+        resumed_first.signal("CONT");
         answers.push(second.send("POST", "/records/vote", &headers, "vote"));
-        sleeps.signal("CONT");
+        resumed_last.signal("CONT");
         answers.push(first.send("POST", "/records/vote", &[(KEY_HEADER, "paused")], "vote"));
-        // A planned stop ends after all that a sidecar has taken.
+        // A graceful stop ends only after the sidecar has finished all requests that it accepted.
         fleet.fieldops.stop();
         fleet.extra_sidecars[0].stop();
         assert!(fleet.fieldops.wait() && fleet.extra_sidecars[0].wait());
 
         let times = fleet.run_count("vote");
-        let told: Vec<_> = answers
+        let outcomes: Vec<_> = answers
             .iter()
             .map(|a| (a.status, a.code(), a.header("x-outcome").map(str::to_owned)))
             .collect();
-        assert!(times <= 1, "step {step}: ran {times} times, {told:?}");
+        assert!(times <= 1, "step {step}: ran {times} times, {outcomes:?}");
         let written = answers.iter().any(|a| a.status == 201);
-        assert!(!written || times == 1, "step {step}: never ran, {told:?}");
-        let denied = told.iter().all(|t| t.2.as_deref() == Some("not-run"));
-        assert!(!denied || times == 0, "step {step}: ran, {told:?}");
+        assert!(
+            !written || times == 1,
+            "step {step}: never ran, {outcomes:?}"
+        );
+        let all_not_run = outcomes.iter().all(|t| t.2.as_deref() == Some("not-run"));
+        assert!(!all_not_run || times == 0, "step {step}: ran, {outcomes:?}");
     };
     std::thread::scope(|s| {
         for step in 0..8 {
@@ -131,11 +134,11 @@
     });
 }
 
-/// The platform carries out the claim's write, and its answer is lost. Whoever took that for a
-/// failure would refuse for ever a record that nobody has run, or run it without a claim.
+/// Guards against treating a claim as failed because the answer to its write was lost: the record
+/// would be refused for ever though it never ran, or would run without a claim.
 #[test]
-fn lost_answer_to_the_claim_is_read_back() {
-    let fleet = fleet(1);
+fn claim_is_read_back_when_the_answer_to_its_write_is_lost() {
+    let fleet = start_fleet(1);
     fleet.platform.misbehave(platform::Faults {
         lose: 1,
         ..platform::Faults::default()
@@ -147,12 +150,11 @@
     assert_eq!((again.status, fleet.run_count("vote")), (201, 1));
 }
 
-/// The claim's write takes effect, its answer is lost, and then the platform is away, so that
-/// nobody can tell whose the claim is. The record is refused as not run, and it did not run; who
-/// sends it again learns that it was attempted.
+/// Guards against running a record whose claim has an unknown owner: the answer to the claim's
+/// write was lost, and the platform is down when the claim is to be read.
 #[test]
-fn claim_that_cannot_be_settled_is_refused_as_not_run() {
-    let fleet = fleet(1);
+fn record_whose_claim_cannot_be_read_is_refused_as_not_run() {
+    let fleet = start_fleet(1);
     let before = fleet.platform.counts().writes;
     fleet.platform.misbehave(platform::Faults {
         lose: 1,
@@ -172,7 +174,7 @@
         outage: true,
         ..platform::Faults::default()
     });
-    assert_refused(&pending.end());
+    assert_platform_down(&pending.end());
     assert_eq!(fleet.run_count("vote"), 0);
     fleet.platform.misbehave(platform::Faults::default());
     let again = write(&caller, "unsettled", "vote");
@@ -180,11 +182,11 @@
     assert_eq!(fleet.run_count("vote"), 0);
 }
 
-/// The service dies after it ran a record and before it answered. Nobody knows how far it came:
-/// the caller is told so, and no second attempt runs the record again.
+/// Guards against running a record again, or reporting it as not run, when the service dies after
+/// it ran the record and before it answered.
 #[test]
-fn target_dead_after_hand_over_is_not_tried_again() {
-    let mut fleet = fleet(2);
+fn record_is_not_retried_when_its_target_dies_after_dispatch() {
+    let mut fleet = start_fleet(2);
     fleet.service.misbehave(service::Faults {
         hang_after: 1,
         ..service::Faults::default()
@@ -200,7 +202,7 @@
 
     fleet.service_at = StandIn::start(fleet.service_at.at, fleet.service.router());
     let mut again = Answer::default();
-    wait_for("the service to be back", || {
+    wait_for("the service to be a target again", || {
         again = write(&fleet.caller(1), "dead", "vote");
         again.code() != "no_target"
     });
@@ -209,16 +211,16 @@
     assert_eq!(fleet.run_count("vote"), 1);
 }
 
-/// The platform is down, so that no claim can be had. The record is refused at once and truly not
-/// run, with the time to come back, and it is written once when the platform is back.
+/// Guards against running a record without a claim while the platform is down, and against a
+/// refusal that prevents the record from being written after the outage.
 #[test]
-fn platform_down_refuses_as_not_run() {
-    let fleet = fleet(1);
+fn record_is_refused_as_not_run_while_the_platform_is_down() {
+    let fleet = start_fleet(1);
     fleet.platform.misbehave(platform::Faults {
         outage: true,
         ..platform::Faults::default()
     });
-    assert_refused(&write(&fleet.caller(0), "down", "vote"));
+    assert_platform_down(&write(&fleet.caller(0), "down", "vote"));
     assert_eq!(fleet.run_count("vote"), 0);
     fleet.platform.misbehave(platform::Faults::default());
     let answer = write(&fleet.caller(0), "down", "vote");
@@ -230,7 +232,8 @@
     );
 }
 
-fn assert_refused(answer: &Answer) {
+/// Asserts a refusal because of the platform, reported as not run and with a time for a retry.
+fn assert_platform_down(answer: &Answer) {
     assert_eq!(answer.status, 503, "{}", answer.text());
     assert_eq!(answer.code(), "platform_down");
     assert_eq!(answer.header("x-outcome"), Some("not-run"));
