--- a/crates/daemon/tests/not_run.rs
+++ b/crates/daemon/tests/not_run.rs
@@ -1,7 +1,7 @@
-//! "Not run" is true, at every step between a request's arrival and its hand-over.
+//! The outcome "not-run" is true at every step between a request's arrival and its dispatch.
 //!
-//! Callers who hear it send their request again. The targets' own logs are the judge: a request
-//! of which it was said must be in none of them.
+//! Callers send a request again after "not-run", so the logs of the targets must not hold any
+//! request that was answered with this outcome.
 
 mod common;
 
@@ -16,15 +16,15 @@
 use standin::engine::Settings;
 use standin::platform;
 
-/// Requests of each kind in a storm.
-const STORM: usize = 30;
+/// Number of completions, and of records, that are sent at once.
+const REQUESTS_PER_KIND: usize = 30;
 
-/// What happens to a fleet while requests are on their way.
-struct Strike {
+/// A fault that is injected into a fleet while requests are in flight.
+struct FaultCase {
     what: &'static str,
-    strike: fn(&mut Fleet),
-    /// Something may be refused, so that the case shows more than that nothing happened.
-    refuses: bool,
+    inject: fn(&mut Fleet),
+    /// Whether at least one request must be refused; otherwise the case would prove nothing.
+    must_refuse: bool,
 }
 
 fn platform_faults(outage: bool, delay_ms: u64) -> platform::Faults {
@@ -35,39 +35,39 @@
     }
 }
 
-/// Requests with little time and much time, for engines and for the service, meet a queue that is
-/// full or a process that dies, stops, freezes or drains under them. Whatever a caller is told,
-/// "not run" must be true: of a request that ran, it would make a vote count twice.
+/// Guards against reporting "not-run" for a request that ran, while a queue is full or a process
+/// dies, freezes or drains: the caller would send the request again, and a vote would count twice.
 #[test]
-fn refused_requests_are_in_no_log() {
+fn requests_reported_as_not_run_are_in_no_target_log() {
     #[rustfmt::skip]
     let cases = [
-        Strike { what: "queue full", strike: |_| {}, refuses: true },
-        Strike { what: "engine killed", strike: |f| f.replicas[0].standin.kill(), refuses: true },
-        Strike { what: "engine killed and back", strike: |f| f.restart_engine(0, &engine()), refuses: true },
-        Strike { what: "sidecar drains", strike: |f| f.replicas[0].sidecar.stop(), refuses: true },
-        Strike { what: "sidecar killed", strike: |f| f.replicas[0].sidecar.kill(), refuses: true },
-        Strike { what: "sidecar frozen", strike: |f| {
+        FaultCase { what: "queue full", inject: |_| {}, must_refuse: true },
+        FaultCase { what: "engine killed", inject: |f| f.replicas[0].standin.kill(), must_refuse: true },
+        FaultCase { what: "engine killed and back", inject: |f| f.restart_engine(0, &engine()), must_refuse: true },
+        FaultCase { what: "sidecar drains", inject: |f| f.replicas[0].sidecar.stop(), must_refuse: true },
+        FaultCase { what: "sidecar killed", inject: |f| f.replicas[0].sidecar.kill(), must_refuse: true },
+        FaultCase { what: "sidecar frozen", inject: |f| {
             f.replicas[0].sidecar.signal("STOP");
             f.fieldops.signal("STOP");
             std::thread::sleep(Duration::from_millis(1_500));
             f.replicas[0].sidecar.signal("CONT");
             f.fieldops.signal("CONT");
-        }, refuses: true },
-        Strike { what: "service killed and back", strike: Fleet::restart_service, refuses: false },
-        Strike { what: "service's sidecar killed", strike: |f| f.fieldops.kill(), refuses: false },
-        Strike { what: "service's sidecar drains", strike: |f| f.fieldops.stop(), refuses: false },
-        Strike { what: "platform down", strike: |f| f.platform.misbehave(platform_faults(true, 0)), refuses: true },
+        }, must_refuse: true },
+        FaultCase { what: "service killed and back", inject: Fleet::restart_service, must_refuse: false },
+        FaultCase { what: "service's sidecar killed", inject: |f| f.fieldops.kill(), must_refuse: false },
+        FaultCase { what: "service's sidecar drains", inject: |f| f.fieldops.stop(), must_refuse: false },
+        FaultCase { what: "platform down", inject: |f| f.platform.misbehave(platform_faults(true, 0)), must_refuse: true },
     ];
-    for pair in cases.chunks(5) {
+    for group in cases.chunks(5) {
         std::thread::scope(|s| {
-            for case in pair {
-                s.spawn(move || storm(case));
+            for case in group {
+                s.spawn(move || run_case(case));
             }
         });
     }
 }
 
+/// Settings of an engine that takes 5 ms per token.
 fn engine() -> Settings {
     Settings {
         decode: Duration::from_millis(5),
@@ -75,21 +75,21 @@
     }
 }
 
-fn storm(case: &Strike) {
+fn run_case(case: &FaultCase) {
     let mut fleet = Fleet::start(1, 1, &engine());
     fleet.platform.misbehave(platform_faults(false, 20));
     let to = fleet.caller(0);
-    let requests: Vec<_> = (0..STORM)
-        .flat_map(|n| [completes(&to, n), records(&to, n)])
+    let requests: Vec<_> = (0..REQUESTS_PER_KIND)
+        .flat_map(|n| [send_completion(&to, n), send_record(&to, n)])
         .collect();
-    wait_for("the storm to reach the targets", || {
+    wait_for("requests to run on the engine and on the service", || {
         fleet.replicas[0].engine.running() > 0 && !fleet.service.bodies().is_empty()
     });
-    (case.strike)(&mut fleet);
+    (case.inject)(&mut fleet);
     let answers: Vec<(String, Answer)> =
         requests.into_iter().map(|(id, p)| (id, p.end())).collect();
 
-    // Whatever a target still runs is in its log when it has ended.
+    // A request appears in the engine's log when it has ended, so wait until none runs.
     let r = &fleet.replicas[0];
     wait_for("the engine to be idle", || r.engine.running() == 0);
     let service = fleet.service.runs().into_iter().map(|c| c.request);
@@ -108,7 +108,7 @@
                 );
             }
             Some("unknown" | "failed") => {}
-            // Only what ran may be given as an answer.
+            // An answer without an outcome header means that the request ran.
             None if answer.status > 0 => {
                 assert!(ran.contains(&id), "{}: {id} never ran", case.what)
             }
@@ -116,16 +116,17 @@
         }
     }
     assert!(
-        refused > 0 || !case.refuses,
+        refused > 0 || !case.must_refuse,
         "{}: nothing was refused",
         case.what
     );
 }
 
-type Sent = (String, common::caller::Pending);
+/// A request's id and its pending answer.
+type SentRequest = (String, common::caller::Pending);
 
-/// A completion whose deadline lets it run, wait or be refused.
-fn completes(to: &Caller, n: usize) -> Sent {
+/// Sends a completion; its deadline may let it run at once or after a wait, or get it refused.
+fn send_completion(to: &Caller, n: usize) -> SentRequest {
     let id = format!("completion-{n}");
     let deadline = [300, 900, 2_500][n % 3].to_string();
     let headers = [("x-request-id", id.as_str()), ("x-deadline-ms", &deadline)];
@@ -134,36 +135,36 @@
     (id, pending)
 }
 
-/// A record, which may run only once and needs a claim.
-fn records(to: &Caller, n: usize) -> Sent {
+/// Sends a record, which may run only once and therefore needs a claim.
+fn send_record(to: &Caller, n: usize) -> SentRequest {
     let id = format!("record-{n}");
     let headers = [("x-request-id", id.as_str()), ("x-deadline-ms", "2500")];
     let pending = to.begin("POST", "/records/vote", &headers, &id);
     (id, pending)
 }
 
-/// One way to be refused before any target is chosen or reached.
-struct Refused {
+/// A state of the fleet in which a request is refused before a target is selected or reached.
+struct RefusalCase {
     what: &'static str,
-    strike: fn(&mut Fleet),
+    inject: fn(&mut Fleet),
     path: &'static str,
     code: &'static str,
 }
 
-/// Nobody can take the request: its pool has no target, or all of its targets are leaving, down
-/// or without a platform. The caller is told so, truly, and when to come back.
+/// Guards against refusals with another outcome than "not-run", or without a time for a retry, when
+/// the pool has no target or when its targets or the platform are down.
 #[test]
-fn nobody_to_run_it_is_told_as_not_run() {
+fn request_without_available_target_is_refused_as_not_run() {
     #[rustfmt::skip]
     let cases = [
-        Refused { what: "pool without targets", strike: |_| {}, path: "/v1/completions", code: "no_target" },
-        Refused { what: "service down", strike: |f| f.service_at.kill(), path: "/records/vote", code: "no_target" },
-        Refused { what: "platform down", strike: |f| f.platform.misbehave(platform_faults(true, 0)), path: "/records/vote", code: "platform_down" },
-        Refused { what: "sidecar gone", strike: |f| f.fieldops.kill(), path: "/records/vote", code: "no_target" },
+        RefusalCase { what: "pool without targets", inject: |_| {}, path: "/v1/completions", code: "no_target" },
+        RefusalCase { what: "service down", inject: |f| f.service_at.kill(), path: "/records/vote", code: "no_target" },
+        RefusalCase { what: "platform down", inject: |f| f.platform.misbehave(platform_faults(true, 0)), path: "/records/vote", code: "platform_down" },
+        RefusalCase { what: "sidecar gone", inject: |f| f.fieldops.kill(), path: "/records/vote", code: "no_target" },
     ];
     for c in cases {
         let mut fleet = Fleet::start(1, 0, &quick());
-        (c.strike)(&mut fleet);
+        (c.inject)(&mut fleet);
         let body = completion("prompt", 3, false);
         let headers = [("idempotency-key", "one")];
         let answer = fleet.caller(0).send("POST", c.path, &headers, &body);
@@ -175,17 +176,17 @@
     }
 }
 
-/// What an entry hears of one attempt after the other.
-struct Heard {
+/// Events of successive attempts of one request, and the outcome that the entry reports.
+struct AttemptsCase {
     what: &'static str,
     events: Vec<Event>,
     outcome: Outcome,
 }
 
-/// An engine is lost under a request, and the next replica refuses it. That refusal is true of
-/// the second attempt only; passed on as it is, it would call a request not run that ran in part.
+/// Guards against passing on the refusal of a second attempt after the engine of the first one was
+/// lost: the request may have run in part, so "not-run" would be false.
 #[test]
-fn refusal_after_a_lost_attempt_is_not_called_not_run() {
+fn refusal_after_a_lost_attempt_is_not_reported_as_not_run() {
     let refused = || Event::Refused(NotRun::reported(Code::Overloaded, None));
     let lost = || {
         let failed = Exchange::new()
@@ -195,12 +196,12 @@
     };
     #[rustfmt::skip]
     let cases = [
-        Heard { what: "refused", events: vec![refused()], outcome: Outcome::NotRun },
-        Heard { what: "unsent", events: vec![Event::Unsent], outcome: Outcome::NotRun },
-        Heard { what: "refused twice", events: vec![refused(), refused()], outcome: Outcome::NotRun },
-        Heard { what: "lost", events: vec![lost()], outcome: Outcome::Unknown },
-        Heard { what: "lost, then refused", events: vec![lost(), refused()], outcome: Outcome::Unknown },
-        Heard { what: "gone, then unsent", events: vec![Event::Gone, Event::Unsent], outcome: Outcome::Unknown },
+        AttemptsCase { what: "refused", events: vec![refused()], outcome: Outcome::NotRun },
+        AttemptsCase { what: "unsent", events: vec![Event::Unsent], outcome: Outcome::NotRun },
+        AttemptsCase { what: "refused twice", events: vec![refused(), refused()], outcome: Outcome::NotRun },
+        AttemptsCase { what: "lost", events: vec![lost()], outcome: Outcome::Unknown },
+        AttemptsCase { what: "lost, then refused", events: vec![lost(), refused()], outcome: Outcome::Unknown },
+        AttemptsCase { what: "gone, then unsent", events: vec![Event::Gone, Event::Unsent], outcome: Outcome::Unknown },
     ];
     for c in cases {
         let mut relay = Relay::new(true, true);
