--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! A target that leaves gets no new work, whichever way its leave is known.
+//! A leaving target receives no new requests, whether its sidecar or the platform's host list
+//! announced the leave.
 
 mod common;
 
@@ -9,11 +10,11 @@
 use standin::engine::Settings;
 use standin::platform::Faults;
 
-/// Requests that must all pass a target by.
-const MANY: usize = 24;
+/// Number of successive requests that must all avoid a leaving target.
+const REQUESTS: usize = 24;
 
-/// A sidecar on a host of its own.
-fn sidecar(fleet: &Fleet, target: SocketAddr, host: &str) -> Child {
+/// Starts a sidecar on a host of the given name.
+fn start_sidecar(fleet: &Fleet, target: SocketAddr, host: &str) -> Child {
     let (url, seed, target) = (fleet.url(), fleet.seed(), format!("http://{target}"));
     let args = [
         "sidecar",
@@ -35,21 +36,21 @@
     Child::run(&[&args[..], &own].concat())
 }
 
-/// Two entries and two engines, each on a host of its own.
-fn hosted(set: &Settings) -> Fleet {
+/// Starts two entries and two engines; each engine has a host of its own.
+fn start_fleet(set: &Settings) -> Fleet {
     let mut fleet = Fleet::start(2, 2, set);
     for i in 0..2 {
-        let new = sidecar(&fleet, fleet.replicas[i].standin.at, &format!("host-{i}"));
+        let new = start_sidecar(&fleet, fleet.replicas[i].standin.at, &format!("host-{i}"));
         let mut old = std::mem::replace(&mut fleet.replicas[i].sidecar, new);
         old.stop();
-        assert!(old.wait(), "an idle sidecar ends well");
+        assert!(old.wait(), "an idle sidecar exits successfully");
     }
     fleet.wait_members();
     fleet
 }
 
-/// The platform's host list says that a host goes.
-fn announce(fleet: &Fleet, host: &str) {
+/// Marks a host as leaving in the platform's host list.
+fn announce_leave(fleet: &Fleet, host: &str) {
     let list = serde_json::json!([
         {"name": "host-0", "state": if host == "host-0" { "leaving" } else { "live" }},
         {"name": "host-1", "state": if host == "host-1" { "leaving" } else { "live" }},
@@ -58,8 +59,8 @@
     assert_eq!(platform.put("/hosts", &list.to_string()).status, 200);
 }
 
-/// What an entry thinks of a sidecar; nothing if it has forgotten it.
-fn state(fleet: &Fleet, entry: usize, peer: SocketAddr) -> String {
+/// State of a sidecar in an entry's membership list; empty if the list doesn't hold the sidecar.
+fn member_state(fleet: &Fleet, entry: usize, peer: SocketAddr) -> String {
     let status = fleet.operator(entry).get("/admin/status").json();
     let members = status["members"].as_array().cloned().unwrap_or_default();
     let peer = peer.to_string();
@@ -67,7 +68,8 @@
     found.map_or(String::new(), |m| m["state"].to_string().replace('"', ""))
 }
 
-fn ask(fleet: &Fleet, n: usize) {
+/// Sends a completion through one of the two entries and asserts that it is answered in full.
+fn assert_served(fleet: &Fleet, n: usize) {
     let prompt = format!("request {n}");
     let answer = fleet
         .caller(n % 2)
@@ -81,73 +83,76 @@
     assert_eq!(answer.words(), words(&prompt, 4), "{n}");
 }
 
-/// A sidecar is told to stop while it serves a long answer; the platform's host list will say so
-/// a minute later. New work that still came would wait for nothing, or be cut with the host.
+/// Guards against new requests to a stopping sidecar while the platform's host list doesn't show
+/// the leave yet: they would be aborted with the host.
 #[test]
-fn stopping_target_gets_nothing_new_while_the_host_list_lags() {
+fn stopping_target_receives_no_new_requests_while_the_host_list_lags() {
     let set = Settings {
         decode: Duration::from_millis(20),
         ..quick()
     };
-    let mut fleet = hosted(&set);
-    let lag = Faults {
+    let mut fleet = start_fleet(&set);
+    let delayed_list = Faults {
         hosts_lag_ms: 60_000,
         ..Faults::default()
     };
-    fleet.platform.misbehave(lag);
+    fleet.platform.misbehave(delayed_list);
     let body = completion("a long answer", 600, true);
     let long = fleet.caller(0).begin("POST", "/v1/completions", &[], &body);
     long.wait_for("data:");
     let leaving = fleet.running_replica();
-    announce(&fleet, &format!("host-{leaving}"));
+    announce_leave(&fleet, &format!("host-{leaving}"));
     fleet.replicas[leaving].sidecar.stop();
     let peer = fleet.replicas[leaving].sidecar.address("peer");
     for entry in 0..2 {
-        wait_for("the leave to be known", || {
-            state(&fleet, entry, peer) == "leaving"
+        wait_for("the entry to see the leave", || {
+            member_state(&fleet, entry, peer) == "leaving"
         });
     }
-    for n in 0..MANY {
-        ask(&fleet, n);
+    for n in 0..REQUESTS {
+        assert_served(&fleet, n);
     }
     let engine = &fleet.replicas[leaving].engine;
     assert_eq!(engine.running(), 1, "the long answer still runs");
     assert!(engine.ran().is_empty(), "{:?}", engine.ran());
-    assert_eq!(fleet.replicas[1 - leaving].engine.ran().len(), MANY);
+    assert_eq!(fleet.replicas[1 - leaving].engine.ran().len(), REQUESTS);
     let answer = long.end();
     assert!(answer.is_complete_stream(), "{}", answer.text());
     assert_eq!(answer.words(), words("a long answer", 600));
-    assert!(fleet.replicas[leaving].sidecar.wait(), "it ends well");
+    assert!(
+        fleet.replicas[leaving].sidecar.wait(),
+        "the sidecar exits successfully"
+    );
 }
 
-/// The platform announces that a host goes, and the processes on it know nothing of it: they are
-/// killed with the host a little later. What they took until then is cut.
+/// Guards against new requests to a host whose leave only the platform announced: its processes get
+/// no signal and are killed with the host a little later, and their requests are aborted.
 #[test]
-fn host_announced_by_the_platform_gets_nothing_new() {
-    let fleet = hosted(&quick());
-    announce(&fleet, "host-0");
+fn host_announced_as_leaving_receives_no_new_requests() {
+    let fleet = start_fleet(&quick());
+    announce_leave(&fleet, "host-0");
     let engine = &fleet.replicas[0].engine;
     let mut sent = 0;
-    let mut passed = 0;
-    wait_for("the announcement to be heeded", || {
+    let mut avoided = 0;
+    wait_for("the entries to avoid the leaving host", || {
         let before = engine.ran().len();
-        ask(&fleet, sent);
+        assert_served(&fleet, sent);
         sent += 1;
-        passed = if engine.ran().len() > before {
+        avoided = if engine.ran().len() > before {
             0
         } else {
-            passed + 1
+            avoided + 1
         };
-        passed >= MANY
+        avoided >= REQUESTS
     });
-    println!("{sent} requests until {MANY} in a row had passed the leaving host by");
+    println!("{sent} requests until {REQUESTS} in a row had avoided the leaving host");
     let peer = fleet.replicas[0].sidecar.address("peer");
     assert_eq!(
-        state(&fleet, 0, peer),
+        member_state(&fleet, 0, peer),
         "alive",
-        "it knows nothing of its leave"
+        "the sidecar itself doesn't announce a leave"
     );
     let before = engine.ran().len();
-    (sent..sent + MANY).for_each(|n| ask(&fleet, n));
+    (sent..sent + REQUESTS).for_each(|n| assert_served(&fleet, n));
     assert_eq!(engine.ran().len(), before);
 }
