--- a/crates/daemon/tests/stream.rs
+++ b/crates/daemon/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Every stream is complete and in order, whatever dies, freezes or falls silent under it.
+//! Every stream arrives complete and in order when engines, sidecars or connections fail during it.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use standin::engine::{Engine, Faults, Settings};
 use viz::{Body, Request, Response};
 
-/// Tokens of a stream that lasts about a second.
+/// Length of a stream; at 10 ms per token, it lasts about a second.
 const TOKENS: usize = 100;
 
 fn slow() -> Settings {
@@ -22,8 +22,9 @@
     }
 }
 
-/// Begins a stream and gives the replica that runs it, once the caller has some words of it.
-fn begin(fleet: &Fleet, prompt: &str) -> (Pending, usize) {
+/// Starts a stream and waits until the caller has received some words; also returns the index of
+/// the replica that runs it.
+fn start_stream(fleet: &Fleet, prompt: &str) -> (Pending, usize) {
     let body = completion(prompt, TOKENS, true);
     let stream = fleet.caller(0).begin("POST", "/v1/completions", &[], &body);
     for _ in 0..10 {
@@ -33,7 +34,8 @@
     (stream, at)
 }
 
-fn assert_whole(answer: &Answer, prompt: &str, tokens: usize) {
+/// Asserts that a stream ended cleanly and consists of the expected words.
+fn assert_complete(answer: &Answer, prompt: &str, tokens: usize) {
     assert!(
         answer.is_complete_stream(),
         "{} {}",
@@ -43,30 +45,29 @@
     assert_eq!(answer.words(), words(prompt, tokens));
 }
 
-/// What is done to the replica under a stream.
+/// A failure of the replica that runs a stream.
 struct Failure {
     what: &'static str,
-    strike: fn(&mut Fleet, usize),
+    inject: fn(&mut Fleet, usize),
 }
 
-/// An engine crashes, its sidecar is killed, or its open connections go silent for good while new
-/// ones work. The caller must not notice more than a pause: the words go on where they stopped,
-/// none twice and none left out.
+/// Guards against lost or repeated words when the engine crashes, its sidecar is killed, or its
+/// open connections stay silent while new ones work: another replica must resume the stream.
 #[test]
-fn stream_goes_on_elsewhere() {
+fn stream_is_resumed_on_another_replica_after_a_failure() {
     #[rustfmt::skip]
     let cases = [
-        Failure { what: "engine dead", strike: |f, at| f.replicas[at].standin.kill() },
-        Failure { what: "sidecar killed", strike: |f, at| f.replicas[at].sidecar.kill() },
-        Failure { what: "engine's connections silent", strike: |f, at| {
+        Failure { what: "engine dead", inject: |f, at| f.replicas[at].standin.kill() },
+        Failure { what: "sidecar killed", inject: |f, at| f.replicas[at].sidecar.kill() },
+        Failure { what: "engine's connections silent", inject: |f, at| {
             f.replicas[at].engine.misbehave(Faults { freeze: true, ..Faults::default() });
         } },
     ];
     let run = |case: Failure| {
         let mut fleet = Fleet::start(1, 2, &slow());
         let prompt = format!("{} {}", case.what, "an opening. ".repeat(30));
-        let (stream, at) = begin(&fleet, &prompt);
-        (case.strike)(&mut fleet, at);
+        let (stream, at) = start_stream(&fleet, &prompt);
+        (case.inject)(&mut fleet, at);
         let answer = stream.end();
         assert!(
             answer.is_complete_stream(),
@@ -88,10 +89,10 @@
     });
 }
 
-/// A caller's deadline is for the beginning of the answer, and a long stream outlasts it. Its engine
-/// dies after that; the caller still reads, and must get the rest as before the deadline.
+/// Guards against ending a long stream when its engine dies after the deadline: the deadline
+/// applies only to the start of the answer, and the caller is still reading.
 #[test]
-fn stream_past_its_deadline_goes_on_elsewhere() {
+fn stream_past_its_deadline_is_resumed_on_another_replica() {
     let mut fleet = Fleet::start(1, 2, &slow());
     let prompt = "longer than its deadline ".repeat(20);
     let body = completion(&prompt, TOKENS, true);
@@ -105,13 +106,13 @@
     }
     let at = fleet.running_replica();
     fleet.replicas[at].standin.kill();
-    assert_whole(&stream.end(), &prompt, TOKENS);
+    assert_complete(&stream.end(), &prompt, TOKENS);
 }
 
-/// Two of three engines close a stream after a few words, as one does that preempts it. The caller
-/// gets the rest from the next replica, also when that closes it, too.
+/// Guards against ending a stream that its engine closed after a few words, as an engine does that
+/// preempts it; the next replica may close it as well.
 #[test]
-fn stream_closed_by_its_engine_goes_on_elsewhere() {
+fn stream_closed_by_its_engine_is_resumed_on_another_replica() {
     let fleet = Fleet::start(1, 3, &quick());
     let closing = Faults {
         drop: 1,
@@ -127,42 +128,40 @@
         let prompt = format!("closed {n}");
         let body = completion(&prompt, 20, true);
         let answer = fleet.caller(0).post("/v1/completions", &body);
-        assert_whole(&answer, &prompt, 20);
-        let cut = |r: &common::Replica| r.engine.ran().iter().any(|r| !r.whole);
-        fleet.replicas[..2].iter().all(cut)
+        assert_complete(&answer, &prompt, 20);
+        let has_closed = |r: &common::Replica| r.engine.ran().iter().any(|r| !r.whole);
+        fleet.replicas[..2].iter().all(has_closed)
     });
 }
 
-/// A sidecar is paused in the middle of a stream and goes on later. The caller waits a few seconds
-/// and then gets the rest from another replica; what the thawed sidecar still sends reaches
-/// nobody, and it serves the next requests as before.
+/// Guards against repeated words from a resumed sidecar that continues to send after another
+/// replica has taken over, and against a sidecar that can't serve again after a pause.
 #[test]
-fn frozen_sidecar_delays_a_stream_and_doubles_nothing() {
+fn paused_sidecar_delays_a_stream_and_repeats_no_word() {
     let fleet = Fleet::start(1, 2, &slow());
     let prompt = "frozen sidecar ".repeat(20);
-    let (stream, at) = begin(&fleet, &prompt);
+    let (stream, at) = start_stream(&fleet, &prompt);
     fleet.replicas[at].sidecar.signal("STOP");
     let answer = stream.end();
     fleet.replicas[at].sidecar.signal("CONT");
-    assert_whole(&answer, &prompt, TOKENS);
+    assert_complete(&answer, &prompt, TOKENS);
 
     fleet.wait_members();
     for n in 0..6 {
         let prompt = format!("after the thaw {n}");
         let body = completion(&prompt, 5, true);
         let answer = fleet.caller(0).post("/v1/completions", &body);
-        assert_whole(&answer, &prompt, 5);
+        assert_complete(&answer, &prompt, 5);
     }
 }
 
-/// Every engine dies in the middle of a stream, so that nobody can complete it. A client that saw
-/// a clean end would take half an answer for a whole one; it must see an error event and a broken
-/// transfer instead.
+/// Guards against a clean end, without an error event, of a stream that no engine can complete: the
+/// client would take a partial answer for a complete one.
 #[test]
 fn stream_that_cannot_be_completed_ends_in_an_error() {
     let mut fleet = Fleet::start(1, 2, &slow());
     let prompt = "nobody is left ".repeat(20);
-    let (stream, _) = begin(&fleet, &prompt);
+    let (stream, _) = start_stream(&fleet, &prompt);
     fleet.replicas.iter_mut().for_each(|r| r.standin.kill());
     let answer = stream.end();
     assert!(!answer.clean, "a clean end: {}", answer.text());
@@ -176,22 +175,21 @@
     assert_eq!(got[..], words(&prompt, TOKENS)[..got.len()]);
 }
 
-/// CutMode an engine's answer ends too early although its transfer ends as it should.
-struct Ending {
+/// The body of an incomplete stream whose HTTP transfer ends cleanly.
+struct EarlyEnd {
     what: &'static str,
     body: &'static str,
 }
 
-/// An engine's process goes away gracefully, or something before it does, and closes an answer
-/// that isn't complete: in the middle of an event, or between two without the last one. HTTP
-/// calls both a good end. The caller gets the whole answer from another replica.
+/// Guards against taking a clean end of the HTTP transfer for the end of the stream: an engine or a
+/// proxy that shuts down gracefully may close it within an event or before the last one.
 #[test]
-fn early_end_is_not_taken_for_the_end() {
+fn clean_transfer_end_of_an_incomplete_stream_is_not_taken_for_its_end() {
     #[rustfmt::skip]
     let cases = [
-        Ending { what: "mid-event", body: "data: {\"choices\":[{\"te" },
-        Ending { what: "no last event", body: "" },
-        Ending { what: "an event too few", body: "data: {\"choices\":[{\"index\":0,\"text\":\"FIRST\"}]}\n\n" },
+        EarlyEnd { what: "mid-event", body: "data: {\"choices\":[{\"te" },
+        EarlyEnd { what: "no last event", body: "" },
+        EarlyEnd { what: "an event too few", body: "data: {\"choices\":[{\"index\":0,\"text\":\"FIRST\"}]}\n\n" },
     ];
     for case in cases {
         let mut fleet = Fleet::start(1, 1, &quick());
@@ -204,13 +202,13 @@
                 let count = Arc::clone(&count);
                 async move {
                     count.fetch_add(1, Ordering::Relaxed);
-                    early(&mut r, body).await
+                    answer_partly(&mut r, body).await
                 }
             });
         fleet.add_target(engine, router);
         fleet.wait_members();
         let mut n = 0;
-        wait_for("the early end to be met", || {
+        wait_for("a request to reach the engine that ends early", || {
             n += 1;
             let prompt = format!("{} {n}", case.what);
             let body = completion(&prompt, 5, true);
@@ -227,12 +225,12 @@
     }
 }
 
-/// Answers with a part of a stream and a good end of the transfer.
-async fn early(req: &mut Request, part: &'static str) -> viz::Result<Response> {
+/// Answers with a part of a stream and a clean end of the transfer.
+async fn answer_partly(req: &mut Request, part: &'static str) -> viz::Result<Response> {
     use viz::RequestExt;
     let body = req.bytes().await.map_err(viz::Error::boxed)?;
-    let ask: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-    let prompt = ask["prompt"].as_str().unwrap_or_default();
+    let request: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+    let prompt = request["prompt"].as_str().unwrap_or_default();
     let first = standin::engine::word(prompt, 0);
     let part = Bytes::from(part.replace("FIRST", &first));
     let pieces = futures::stream::iter([Ok::<_, std::io::Error>(part)]);
@@ -242,16 +240,15 @@
         .map_err(viz::Error::boxed)
 }
 
-/// Tokens of a stream whose every frame is cut once.
-const FEW: usize = 6;
-/// Cuts tried at the same time, each in a fleet of its own.
+/// Length of a stream whose connection is cut after each of its frames in turn.
+const FEW_TOKENS: usize = 6;
+/// Number of fleets in which cuts are tested in parallel.
 const LANES: usize = 4;
 
-/// The connection between an entry and a sidecar breaks, or falls silent while new ones work,
-/// after each frame that either side sends, from the handshake to the end. The caller gets every
-/// word once, in order, and nothing is computed twice.
+/// Guards against lost or repeated words, and against computing an answer twice, when the
+/// connection between entry and sidecar breaks or falls silent after any frame.
 #[test]
-fn cut_after_each_frame_loses_and_doubles_nothing() {
+fn cut_after_any_frame_loses_and_repeats_no_word() {
     let cuts = [
         (Side::Sidecar, CutMode::Break),
         (Side::Entry, CutMode::Break),
@@ -276,8 +273,9 @@
         loop {
             plan.set(side, after, mode);
             let what = format!("{side:?} {mode:?} {after}");
-            let body = completion(&what, FEW, true);
-            // Without an id of the caller's own: what is kept for such a one is kept longer.
+            let body = completion(&what, FEW_TOKENS, true);
+            // Sent without a request id: the state of a request with an id of its caller is kept
+            // longer.
             let answer = fleet.caller(0).post("/v1/completions", &body);
             assert!(
                 answer.is_complete_stream(),
@@ -285,7 +283,7 @@
                 answer.status,
                 answer.text()
             );
-            assert_eq!(answer.words(), words(&what, FEW), "{what}");
+            assert_eq!(answer.words(), words(&what, FEW_TOKENS), "{what}");
             let all = fleet.replicas.iter().flat_map(common::Replica::requests);
             let id = answer.header("x-request-id").expect("an id");
             let times = all.filter(|ran| ran == id).count();
@@ -295,16 +293,17 @@
             }
             after += LANES;
         }
-        // The handshake and the request; the sidecar adds the words and the end.
-        let least = if side == Side::Sidecar { FEW } else { 2 };
+        // Each side sends the handshake; the entry then sends the request, the sidecar the words
+        // and the end.
+        let least = if side == Side::Sidecar { FEW_TOKENS } else { 2 };
         assert!(after >= least, "{side:?} {mode:?}: only {after} frames");
     }
 }
 
-/// Some engines end their lines in a carriage return and a line feed. Their streams are streams
-/// like others: they come word by word, end well, and are resumed where they stopped.
+/// Guards against failing to parse, complete or resume the streams of engines that end their lines
+/// with a carriage return and a line feed.
 #[test]
-fn carriage_returns_end_lines_as_well() {
+fn stream_with_carriage_returns_is_parsed_and_resumed() {
     let mut fleet = Fleet::start(1, 1, &quick());
     let hits = Arc::new(AtomicUsize::new(0));
     let engine = Engine::new(quick());
@@ -314,7 +313,7 @@
         .post("/v1/completions", move |mut r: Request| {
             count.fetch_add(1, Ordering::Relaxed);
             async move {
-                early(
+                answer_partly(
                     &mut r,
                     "data: {\"choices\":[{\"index\":0,\"text\":\"FIRST\"}]}\r\n\r\n",
                 )
@@ -324,18 +323,21 @@
     fleet.add_target(engine, router);
     fleet.wait_members();
     let mut n = 0;
-    wait_for("the carriage returns to be met", || {
-        n += 1;
-        let prompt = format!("carriage return {n}");
-        let body = completion(&prompt, 5, true);
-        let answer = fleet.caller(0).post("/v1/completions", &body);
-        assert_whole(&answer, &prompt, 5);
-        let resumed = fleet.replicas[0]
-            .engine
-            .ran()
-            .iter()
-            .any(|r| r.resumed == 1);
-        assert!(resumed || hits.load(Ordering::Relaxed) == 0);
-        hits.load(Ordering::Relaxed) > 0
-    });
+    wait_for(
+        "a request to reach the engine that sends carriage returns",
+        || {
+            n += 1;
+            let prompt = format!("carriage return {n}");
+            let body = completion(&prompt, 5, true);
+            let answer = fleet.caller(0).post("/v1/completions", &body);
+            assert_complete(&answer, &prompt, 5);
+            let resumed = fleet.replicas[0]
+                .engine
+                .ran()
+                .iter()
+                .any(|r| r.resumed == 1);
+            assert!(resumed || hits.load(Ordering::Relaxed) == 0);
+            hits.load(Ordering::Relaxed) > 0
+        },
+    );
 }
