--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Team limits and the configuration's feature tables, as an entry and a sidecar follow them.
+//! Team limits, and how the configuration's feature tables reach the policy modules.
 
 use daemon::entry::limits::{Limits, Sent};
 use daemon::tune::Tuning;
@@ -7,7 +7,7 @@
 
 const NOW: Micros = Micros::from_secs(10);
 
-/// Requests that come at one moment, and how many of them pass.
+/// Limits, the number of entries that share them, and how many of 50 simultaneous requests pass.
 struct Case {
     what: &'static str,
     team: Allowed,
@@ -17,34 +17,33 @@
     passes: usize,
 }
 
-fn requests(n: u32) -> Allowed {
+fn request_limit(n: u32) -> Allowed {
     Allowed {
         requests: Some(n),
         ..Allowed::default()
     }
 }
 
-fn tokens(n: u32) -> Allowed {
+fn token_limit(n: u32) -> Allowed {
     Allowed {
         tokens: Some(n),
         ..Allowed::default()
     }
 }
 
-/// A team's client goes wrong and sends without pause. Without its limit it would take the places
-/// and the cache that other teams need; with one entry's part too large, many entries together
-/// would let through a multiple.
+/// Guards against a faulty client that takes the slots and cache of other teams, and against
+/// entries whose shares of a limit add up to more than the limit.
 #[test]
-fn a_team_gets_two_seconds_of_its_limit_at_once() {
-    let none = Allowed::default();
+fn burst_is_limited_to_two_seconds_of_the_teams_limit() {
+    let no_limit = Allowed::default();
     #[rustfmt::skip]
     let cases = [
-        Case { what: "no limit", team: none, rule: none, entries: 1, prompt: 0, passes: 50 },
-        Case { what: "the team's", team: requests(4), rule: none, entries: 1, prompt: 0, passes: 8 },
-        Case { what: "the rule's", team: none, rule: requests(3), entries: 1, prompt: 0, passes: 6 },
-        Case { what: "the smaller of both", team: requests(4), rule: requests(2), entries: 1, prompt: 0, passes: 4 },
-        Case { what: "a part of it at each entry", team: requests(4), rule: none, entries: 4, prompt: 0, passes: 2 },
-        Case { what: "tokens", team: tokens(100), rule: none, entries: 1, prompt: 160, passes: 5 },
+        Case { what: "no limit", team: no_limit, rule: no_limit, entries: 1, prompt: 0, passes: 50 },
+        Case { what: "the team's", team: request_limit(4), rule: no_limit, entries: 1, prompt: 0, passes: 8 },
+        Case { what: "the rule's", team: no_limit, rule: request_limit(3), entries: 1, prompt: 0, passes: 6 },
+        Case { what: "the smaller of both", team: request_limit(4), rule: request_limit(2), entries: 1, prompt: 0, passes: 4 },
+        Case { what: "a part of it at each entry", team: request_limit(4), rule: no_limit, entries: 4, prompt: 0, passes: 2 },
+        Case { what: "tokens", team: token_limit(100), rule: no_limit, entries: 1, prompt: 160, passes: 5 },
     ];
     for c in cases {
         let mut limits = Limits::default();
@@ -55,10 +54,10 @@
             entries: c.entries,
         };
         let all = (0..50).map(|_| limits.take(NOW, sent, &c.team, &c.rule));
-        let (good, bad): (Vec<_>, Vec<_>) = all.partition(Result::is_ok);
-        assert_eq!(good.len(), c.passes, "{}", c.what);
-        // Whoever is refused is told when to come back, and then passes.
-        let wait = bad.first().map_or(Micros::ZERO, |w| w.unwrap_err());
+        let (passed, refused): (Vec<_>, Vec<_>) = all.partition(Result::is_ok);
+        assert_eq!(passed.len(), c.passes, "{}", c.what);
+        // A refusal states a wait after which a request passes.
+        let wait = refused.first().map_or(Micros::ZERO, |w| w.unwrap_err());
         assert!(
             limits.take(NOW + wait, sent, &c.team, &c.rule).is_ok(),
             "{}",
@@ -76,8 +75,8 @@
     }
 }
 
-/// An operator changes a figure and sees it accepted. If it didn't reach the module that it is
-/// named after, nothing would say so.
+/// Guards against a value that the configuration accepts but that never reaches the policy module
+/// of its table: no error would show that the change has no effect.
 #[test]
 fn feature_tables_reach_their_modules() {
     let text = "[place]\nprobes = 3\n[reserve]\nhold = \"70ms\"\n\
@@ -113,12 +112,12 @@
     assert_eq!((q.strikes, q.lasts, q.kept), (2, secs(60), 8));
 }
 
-/// A figure of a module is changed after a measurement, and its table in the configuration keeps
-/// the old one. Every process would then follow the old one, whatever was measured.
+/// Guards against a default that is changed in a policy module but not in the table of the
+/// configuration: every process would go on using the old value.
 #[test]
-fn defaults_of_the_tables_are_the_modules_own() {
+fn defaults_of_the_tables_equal_the_defaults_of_the_modules() {
     let t = Tuning::from(&rules::Config::default());
-    let own = [
+    let module_defaults = [
         format!("{:?}", policy::probe_placement::Config::default()),
         format!("{:?}", policy::reserve::Config::default()),
         format!("{:?}", policy::admit::Config::default()),
@@ -128,7 +127,7 @@
         format!("{:?}", policy::health::Config::default()),
         format!("{:?}", policy::quarantine::Config::default()),
     ];
-    let told = [
+    let table_defaults = [
         format!("{:?}", t.place),
         format!("{:?}", t.reserve),
         format!("{:?}", t.admit),
@@ -138,7 +137,7 @@
         format!("{:?}", t.health),
         format!("{:?}", t.quarantine),
     ];
-    for (told, own) in told.iter().zip(&own) {
-        assert_eq!(told, own);
+    for (table, module) in table_defaults.iter().zip(&module_defaults) {
+        assert_eq!(table, module);
     }
 }
--- a/crates/daemon/tests/outage.rs
+++ b/crates/daemon/tests/outage.rs
@@ -1,4 +1,4 @@
-//! The platform is away or slow for long: what goes on, what is refused, and how it comes back.
+//! A long outage or slowness of the platform: what is served, what is refused, and the recovery.
 
 mod common;
 
@@ -7,16 +7,17 @@
 use serde_json::json;
 use standin::platform::Faults;
 
-/// Requests of each kind while the platform is away.
-const MANY: usize = 8;
+/// Number of requests of each kind during an outage.
+const REQUESTS: usize = 8;
 
-fn record(fleet: &Fleet, name: &str) -> common::caller::Pending {
+/// Sends a record, which needs a claim in the table.
+fn send_record(fleet: &Fleet, name: &str) -> common::caller::Pending {
     let key = [("idempotency-key", name)];
     fleet.caller(0).begin("POST", "/records/votes", &key, name)
 }
 
-/// Told as not run, with a time to come back.
-fn refused(what: &str, a: &Answer) {
+/// Asserts a refusal because of the platform, reported as not run and with a time for a retry.
+fn assert_platform_down(what: &str, a: &Answer) {
     assert_eq!(
         (a.status, a.code().as_str()),
         (503, "platform_down"),
@@ -28,7 +29,8 @@
     assert!(retry >= Some(1), "{what}: {retry:?}");
 }
 
-fn goes_on(fleet: &Fleet, what: &str, n: usize) {
+/// Asserts that a completion and a read are served.
+fn assert_serves(fleet: &Fleet, what: &str, n: usize) {
     let prompt = format!("{what} {n}");
     let answer = fleet
         .caller(n % 2)
@@ -44,7 +46,8 @@
     assert_eq!(quota.status, 200, "{prompt}: {}", quota.text());
 }
 
-fn change(fleet: &Fleet, mark: &str) -> common::caller::Pending {
+/// Sends an operator's change of the configuration through the second entry.
+fn send_change(fleet: &Fleet, mark: &str) -> common::caller::Pending {
     let text = format!("{QUICKSTART}\n# {mark}\n");
     let body = json!({"text": text, "operation": mark, "author": "test"}).to_string();
     fleet
@@ -52,11 +55,10 @@
         .begin("PUT", "/admin/configuration", &[], &body)
 }
 
-/// The platform refuses, hangs, or takes longer than anybody waits. Whoever asks for what may run
-/// twice notices nothing. What may run once can't be claimed and is refused as not run, so that
-/// its caller may send it again; operators are told why nothing can be changed.
+/// Guards against failing idempotent requests, running a record without a claim, or accepting a
+/// change, while the platform refuses calls, hangs, or answers after every timeout.
 #[test]
-fn traffic_goes_on_and_what_needs_the_table_is_refused() {
+fn outage_refuses_only_what_needs_the_table() {
     let cases = [
         (
             "down",
@@ -82,25 +84,25 @@
     ];
     std::thread::scope(|s| {
         for (what, faults) in cases {
-            s.spawn(move || away(what, faults));
+            s.spawn(move || run_case(what, faults));
         }
     });
 }
 
-fn away(what: &str, faults: Faults) {
+fn run_case(what: &str, faults: Faults) {
     let fleet = Fleet::start(2, 1, &quick());
     fleet.platform.misbehave(faults);
-    let once: Vec<_> = (0..MANY)
-        .map(|n| record(&fleet, &format!("{what} {n}")))
+    let records: Vec<_> = (0..REQUESTS)
+        .map(|n| send_record(&fleet, &format!("{what} {n}")))
         .collect();
-    let operator = change(&fleet, what);
-    for n in 0..MANY {
-        goes_on(&fleet, what, n);
+    let change = send_change(&fleet, what);
+    for n in 0..REQUESTS {
+        assert_serves(&fleet, what, n);
     }
-    for pending in once {
-        refused(what, &pending.end());
+    for pending in records {
+        assert_platform_down(what, &pending.end());
     }
-    let answer = operator.end();
+    let answer = change.end();
     assert_eq!(
         (answer.status, answer.code().as_str()),
         (503, "platform_down"),
@@ -121,17 +123,17 @@
     );
 
     fleet.platform.misbehave(Faults::default());
-    let fresh = record(&fleet, "afterwards").end();
-    assert_eq!(fresh.status, 201, "{what}: {}", fresh.text());
+    let new_record = send_record(&fleet, "afterwards").end();
+    assert_eq!(new_record.status, 201, "{what}: {}", new_record.text());
     assert_eq!(fleet.service.bodies(), ["afterwards"], "{what}");
-    let answer = change(&fleet, "afterwards").end();
+    let answer = send_change(&fleet, "afterwards").end();
     assert_eq!(answer.status, 200, "{what}: {}", answer.text());
 }
 
-/// The platform comes back after an outage. If every process, and every request that was refused
-/// meanwhile, then asked it at once, it would go down again under them.
+/// Guards against overloading the platform after an outage, if all processes call it at once or if
+/// requests refused during the outage are sent to it later.
 #[test]
-fn recovery_is_no_stampede() {
+fn recovery_causes_no_burst_of_calls_to_the_platform() {
     let fleet = Fleet::start(3, 3, &quick());
     let processes = 7;
     let outage = Faults {
@@ -140,36 +142,39 @@
     };
     fleet.platform.misbehave(outage);
     let before = fleet.platform.counts();
-    for n in 0..MANY {
-        refused("down", &record(&fleet, &format!("lost {n}")).end());
+    for n in 0..REQUESTS {
+        assert_platform_down("down", &send_record(&fleet, &format!("lost {n}")).end());
     }
-    wait_for("the fleet to have tried several times", || {
-        goes_on(&fleet, "down", 1);
-        fleet.platform.arrived() >= before.arrived + MANY as u64 + 5
-    });
-    let tries = fleet.platform.arrived() - before.arrived;
+    wait_for(
+        "the fleet to have called the platform several times",
+        || {
+            assert_serves(&fleet, "down", 1);
+            fleet.platform.arrived() >= before.arrived + REQUESTS as u64 + 5
+        },
+    );
+    let calls = fleet.platform.arrived() - before.arrived;
     fleet.platform.misbehave(Faults::default());
-    let healed = fleet.platform.counts();
-    let since = healed.seconds.last().map_or(0, |s| s.at);
+    let at_recovery = fleet.platform.counts();
+    let since = at_recovery.seconds.last().map_or(0, |s| s.at);
     wait_for("the fleet to read the table for some seconds", || {
         let seconds = fleet.platform.counts().seconds;
         seconds.last().is_some_and(|s| s.at > since + 3)
     });
-    let answer = change(&fleet, "afterwards").end();
+    let answer = send_change(&fleet, "afterwards").end();
     assert_eq!(answer.status, 200, "{}", answer.text());
     let version = answer.json()["version"].as_u64().expect("a version");
     (0..3).for_each(|e| fleet.wait_version(e, version));
     let after = fleet.platform.counts();
-    let late = after.seconds.iter().filter(|s| s.at > since);
-    let most = late.map(|s| s.reads).max();
-    println!("{tries} calls while down; then at most {most:?} reads in a second by {processes} processes");
+    let later = after.seconds.iter().filter(|s| s.at > since);
+    let most = later.map(|s| s.reads).max();
+    println!("{calls} calls while down; then at most {most:?} reads in a second by {processes} processes");
     assert!(
         most <= Some(processes),
         "{most:?} reads in one second: {:?}",
         after.seconds
     );
-    // The operator's change is the only write: nothing that was refused is made up for.
-    assert_eq!(after.writes, healed.writes + 1);
+    // The operator's change is the only write: no refused request is run afterwards.
+    assert_eq!(after.writes, at_recovery.writes + 1);
     assert!(
         fleet.service.bodies().is_empty(),
         "{:?}",
