--- a/crates/daemon/tests/cache.rs
+++ b/crates/daemon/tests/cache.rs
@@ -1,4 +1,5 @@
-//! No request relies on cache entries of a dead engine, another team or older weights.
+//! No request uses cached blocks of an earlier incarnation of an engine, another team or older
+//! weights.
 
 mod common;
 
@@ -8,14 +9,16 @@
 use serde_json::{json, Value};
 use standin::engine::Settings;
 
-/// The other caller's key in the sample configuration.
-const SECOND: &str = "sample-key-two";
+/// API key of the second team in the sample configuration.
+const SECOND_KEY: &str = "sample-key-two";
 
-fn long(n: usize) -> String {
+/// A long prompt; each number gives one that shares no blocks with the others.
+fn long_prompt(n: usize) -> String {
     format!("opening {n}: {}", "a shared regulation text. ".repeat(80))
 }
 
-fn one(text: &str) -> Prompt<'_> {
+/// A prompt of the first team for the initial weights.
+fn team_one(text: &str) -> Prompt<'_> {
     Prompt {
         scope: "team-one",
         weights: "1",
@@ -23,28 +26,30 @@
     }
 }
 
-/// An engine crashes and comes back empty at the same address. Its sidecar lives on; if it went on
-/// to claim the blocks of the dead life, requests would be sent there for a prefix that has to be
-/// recomputed, while another replica holds it, and their callers would wait.
+/// Guards against reporting the cached blocks of an engine that crashed and restarted empty:
+/// requests would wait there for a recomputed prefix although another replica holds it.
 #[test]
-fn dead_engines_blocks_are_not_claimed_in_its_next_life() {
+fn blocks_of_a_crashed_engine_are_not_reported_after_its_restart() {
     let mut fleet = Fleet::start(1, 1, &quick());
-    let prompt = long(1);
+    let prompt = long_prompt(1);
     let body = completion(&prompt, 4, true);
     let answer = fleet.caller(0).post("/v1/completions", &body);
     assert!(answer.is_complete_stream(), "{}", answer.text());
-    wait_for("the blocks to be claimed", || {
-        fleet.offer(0, one(&prompt)).matched > 0
+    wait_for("the sidecar to report the blocks", || {
+        fleet.offer(0, team_one(&prompt)).matched > 0
     });
 
     fleet.restart_engine(0, &quick());
-    let life = fleet.replicas[0].engine.incarnation();
-    let mut offer = fleet.offer(0, one(&prompt));
-    wait_for("the new life to be seen", || {
-        offer = fleet.offer(0, one(&prompt));
-        offer.engine == life
+    let incarnation = fleet.replicas[0].engine.incarnation();
+    let mut offer = fleet.offer(0, team_one(&prompt));
+    wait_for("the sidecar to see the new incarnation", || {
+        offer = fleet.offer(0, team_one(&prompt));
+        offer.engine == incarnation
     });
-    assert_eq!(offer.matched, 0, "blocks of the dead life are claimed");
+    assert_eq!(
+        offer.matched, 0,
+        "blocks of the earlier incarnation are reported"
+    );
 
     let answer = fleet.caller(0).post("/v1/completions", &body);
     assert!(answer.is_complete_stream(), "{}", answer.text());
@@ -52,14 +57,13 @@
     assert_eq!(fleet.replicas[0].engine.ran()[0].cached, 0);
 }
 
-/// Two teams send the same prompt, and the second sets the fields that decide whose cache is
-/// searched. If it found the first one's blocks, the speed of its answer would tell it what the
-/// other team has asked.
+/// Guards against a team that sends another team's prompt and sets the fields that select a cache:
+/// if it got that team's blocks, the answer time would reveal that the prompt was sent before.
 #[test]
-fn teams_share_no_blocks_whatever_they_set() {
+fn teams_share_no_blocks_whatever_fields_they_set() {
     let fleet = Fleet::start(1, 1, &quick());
-    let prompt = long(2);
-    let second = Caller::new(fleet.entries[0].address("callers"), SECOND);
+    let prompt = long_prompt(2);
+    let second = Caller::new(fleet.entries[0].address("callers"), SECOND_KEY);
     let plain = json!({"model": "lekha", "prompt": prompt, "max_tokens": 4});
     let mut forged = plain.clone();
     forged["cache_salt"] = json!("team-one");
@@ -69,48 +73,52 @@
     let warm = fleet.caller(0).post("/v1/completions", &plain.to_string());
     let again = fleet.caller(0).post("/v1/completions", &plain.to_string());
     let other = second.post("/v1/completions", &plain.to_string());
-    let forger = second.post("/v1/completions", &forged.to_string());
-    assert_eq!([&warm, &again, &other, &forger].map(|a| a.status), [200; 4]);
+    let forged_answer = second.post("/v1/completions", &forged.to_string());
+    assert_eq!(
+        [&warm, &again, &other, &forged_answer].map(|a| a.status),
+        [200; 4]
+    );
     assert!(cached(&again.json()) > 0, "the team's own blocks are used");
     assert_eq!(cached(&other.json()), 0, "another team's blocks were used");
 
     let ran = fleet.replicas[0].engine.ran();
     let forged = ran.last().expect("the forged request");
     assert_eq!((forged.priority, forged.resumed, forged.tokens), (1, 0, 4));
-    // What the forger finds is what its own team's request has left.
+    // The forged request uses only the blocks of its own team's earlier request.
     assert_eq!(forged.cached, ran[1].cached);
-    let salted = second.post("/v1/completions", &salted(&long(3)));
+    let salted = second.post("/v1/completions", &salted(&long_prompt(3)));
     assert_eq!(cached(&salted.json()), 0);
-    assert!(fleet.offer(0, one(&long(3))).matched == 0);
+    assert!(fleet.offer(0, team_one(&long_prompt(3))).matched == 0);
 }
 
+/// A request that sets the first team's cache salt.
 fn salted(prompt: &str) -> String {
     json!({"prompt": prompt, "max_tokens": 1, "cache_salt": "team-one"}).to_string()
 }
 
+/// Number of prompt tokens that the engine took from its cache.
 fn cached(answer: &Value) -> u64 {
     let tokens = &answer["usage"]["prompt_tokens_details"]["cached_tokens"];
     tokens.as_u64().expect("a usage")
 }
 
-/// Weights are switched on one replica while callers stream from both. Work that ran there is cut
-/// by the engine and goes on elsewhere; whoever comes while it loads is served by the other one.
-/// Afterwards no block of the older weights is claimed.
+/// Guards against failed requests while one replica switches its weights and aborts its streams,
+/// and against reporting blocks of the older weights afterwards.
 #[test]
-fn switched_weights_cut_no_stream_and_claim_no_older_block() {
+fn switching_weights_ends_no_stream_and_leaves_no_older_blocks() {
     let set = Settings {
         loading: Duration::from_millis(600),
         ..quick()
     };
     let fleet = Fleet::start(1, 2, &set);
-    let prompt = long(4);
+    let prompt = long_prompt(4);
     let body = completion(&prompt, 150, true);
     let caller = fleet.caller(0);
     let first = caller.begin("POST", "/v1/completions", &[], &body);
     first.wait_for("choices");
     let at = fleet.running_replica();
-    wait_for("the blocks to be claimed", || {
-        fleet.offer(at, one(&prompt)).matched > 0
+    wait_for("the sidecar to report the blocks", || {
+        fleet.offer(at, team_one(&prompt)).matched > 0
     });
     let engine = Caller::new(fleet.replicas[at].standin.at, "");
     let order = json!({"fence": 1, "order": "load", "weights": "2"}).to_string();
@@ -130,16 +138,16 @@
     let first = first.end();
     assert!(first.is_complete_stream(), "{}", first.text());
     assert_eq!(first.words(), words(&prompt, 150));
-    wait_for("the older weights' blocks to be given up", || {
-        fleet.offer(at, one(&prompt)).matched == 0
-    });
+    wait_for(
+        "the sidecar to drop the blocks of the older weights",
+        || fleet.offer(at, team_one(&prompt)).matched == 0,
+    );
 }
 
-/// An engine publishes its events late, swapped and with gaps while its small cache evicts. A
-/// removal that was missed would leave a claim for ever: callers would be sent to a replica that
-/// recomputes what it is said to hold.
+/// Guards against blocks that stay reported after their eviction because an event was late,
+/// reordered or lost: requests would be sent to a replica that has to recompute them.
 #[test]
-fn late_and_missing_events_leave_no_claim_behind() {
+fn late_and_lost_events_leave_no_evicted_block_reported() {
     let set = Settings {
         blocks: 100,
         lag: Duration::from_millis(150),
@@ -149,7 +157,7 @@
     };
     let fleet = Fleet::start(1, 1, &set);
     let caller = fleet.caller(0);
-    let texts: Vec<String> = (10..30).map(long).collect();
+    let texts: Vec<String> = (10..30).map(long_prompt).collect();
     let send = |text: &str| {
         let answer = caller.post("/v1/completions", &completion(text, 2, true));
         assert!(answer.is_complete_stream(), "{}", answer.text());
@@ -157,26 +165,29 @@
     };
     texts.iter().for_each(|t| send(t));
     let engine = Caller::new(fleet.replicas[0].standin.at, "");
-    let mut nudge = 100;
-    let mut right = 0;
-    wait_for("no more to be claimed than is held", || {
-        // Only a later event shows that one before it is missing.
-        nudge += 1;
-        send(&format!("nudge {nudge}"));
-        let cache = engine.get("/cache").json();
-        let blocks = cache["blocks"].as_array().expect("blocks");
-        assert!(blocks.len() <= 100, "the prompts exceed the cache");
-        let over = |t: &&String| fleet.offer(0, one(t)).matched > held(blocks, t);
-        // A block may be evicted between the two looks, so that agreement counts, not a miss.
-        right = match texts.iter().any(|t| over(&t)) {
-            true => 0,
-            false => right + 1,
-        };
-        right == 3
-    });
+    let mut extra = 100;
+    let mut agreements = 0;
+    wait_for(
+        "the sidecar to report no more blocks than the engine holds",
+        || {
+            // A lost event is detected only by a later one, which this request causes.
+            extra += 1;
+            send(&format!("nudge {extra}"));
+            let cache = engine.get("/cache").json();
+            let blocks = cache["blocks"].as_array().expect("blocks");
+            assert!(blocks.len() <= 100, "the prompts exceed the cache");
+            let exceeds = |t: &&String| fleet.offer(0, team_one(t)).matched > held(blocks, t);
+            // A block may be evicted between the two reads, so a single mismatch isn't a failure.
+            agreements = match texts.iter().any(|t| exceeds(&t)) {
+                true => 0,
+                false => agreements + 1,
+            };
+            agreements == 3
+        },
+    );
 }
 
-/// Blocks of a prompt that the engine lists, from its first on.
+/// Number of leading blocks of a prompt in the engine's list.
 fn held(blocks: &[Value], prompt: &str) -> u32 {
     let mut parent = Value::Null;
     let mut n = 0;
