--- a/crates/daemon/tests/caller.rs
+++ b/crates/daemon/tests/caller.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request.
+//! Each caller receives the complete answer to its own request and no part of another one.
 
 mod common;
 
@@ -9,14 +9,15 @@
 use common::{completion, quick, wait_for, words, Fleet, API_KEY};
 use standin::engine::Settings;
 
+/// Number of callers that send the same request id at the same time.
 const CALLERS: usize = 16;
+/// Number of requests that each caller sends.
 const ROUNDS: usize = 12;
 
-/// Callers choose their request ids, and two of them choose the same one at the same moment. An
-/// answer that went by that name would reach the wrong one: an interviewer would code one
-/// respondent's words with another's.
+/// Guards against delivering an answer to the wrong caller when several callers use the same
+/// request id at the same time: an interviewer would code one respondent's words with another's.
 #[test]
-fn equal_request_ids_cross_no_answers() {
+fn equal_request_ids_mix_up_no_answers() {
     let fleet = Fleet::start(1, 2, &quick());
     let run = |caller: usize| {
         let to = fleet.caller(0);
@@ -48,34 +49,34 @@
     });
 }
 
-/// Callers give up: one by its deadline, one by closing its connection in the middle of an
-/// answer. The engine goes on for a while, and what it still sends comes on a connection that the
-/// next request could use. No other caller may ever get a word of it, and the slots come free.
+/// Guards against delivering the rest of an abandoned answer to the next request on a connection,
+/// and against slots that stay occupied, when a caller times out or disconnects.
 #[test]
-fn late_answers_of_abandoned_attempts_reach_nobody() {
+fn late_answers_of_abandoned_attempts_reach_no_other_caller() {
     let set = Settings {
         decode: Duration::from_millis(5),
         ..quick()
     };
     let fleet = Fleet::start(1, 1, &set);
-    let leave = |n: usize| {
+    let disconnect = |n: usize| {
         for round in 0..ROUNDS {
             let body = completion(&format!("leaver {n} round {round}"), 400, true);
             abandon(&fleet, &body);
         }
     };
-    let late = |n: usize| {
+    let time_out = |n: usize| {
         for round in 0..ROUNDS {
             let body = completion(&format!("late {n} round {round}"), 100, false);
             let headers = [("x-deadline-ms", "60")];
             let to = fleet.caller(0);
             let answer = to.send("POST", "/v1/completions", &headers, &body);
-            // Refused on arrival if the queue is too long for it, else given up at its deadline.
-            let known = ["deadline", "overloaded"].contains(&answer.code().as_str());
-            assert!(known, "{}", answer.text());
+            // Refused on arrival if the queue is too long for the deadline, else ended at the
+            // deadline.
+            let expected = ["deadline", "overloaded"].contains(&answer.code().as_str());
+            assert!(expected, "{}", answer.text());
         }
     };
-    let stay = |n: usize| {
+    let read_all = |n: usize| {
         for round in 0..ROUNDS {
             let prompt = format!("stayer {n} round {round}");
             let body = completion(&prompt, 8, true);
@@ -91,16 +92,16 @@
     };
     std::thread::scope(|s| {
         for n in 0..2 {
-            s.spawn(move || leave(n));
-            s.spawn(move || late(n));
-            s.spawn(move || stay(n));
+            s.spawn(move || disconnect(n));
+            s.spawn(move || time_out(n));
+            s.spawn(move || read_all(n));
         }
     });
-    wait_for("the abandoned requests to leave the engine", || {
+    wait_for("the engine to end the abandoned requests", || {
         fleet.replicas[0].engine.running() == 0
     });
-    let cut = fleet.replicas[0].engine.ran();
-    assert!(cut.iter().any(|r| !r.whole), "nothing was abandoned");
+    let runs = fleet.replicas[0].engine.ran();
+    assert!(runs.iter().any(|r| !r.whole), "nothing was abandoned");
 }
 
 /// Sends a request, reads the first bytes of its answer and closes the connection.
--- a/crates/daemon/tests/frames.rs
+++ b/crates/daemon/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Bad input to every port: an error, a counter, and the process lives on and serves.
+//! Invalid input to every port is refused and counted, and the process keeps running and serving.
 
 mod common;
 
@@ -13,17 +13,19 @@
 };
 use wire::{Ack, Head, Key, Keys, Offer, Packet, Probe, PACKET_MAX};
 
-fn ours() -> Keys {
+/// The keys of the fleet under test.
+fn fleet_keys() -> Keys {
     Keys::new(Key::from_hex(FLEET_KEY).expect("key"), None)
 }
 
-fn strange() -> Keys {
+/// The keys of another fleet.
+fn foreign_keys() -> Keys {
     let key = Key::from_hex("11".repeat(32)).expect("key");
     Keys::new(key, None)
 }
 
-/// What a process has counted under a name, all labels together.
-fn counted(child: &Child, name: &str) -> f64 {
+/// Value of one of a process's counters, summed over all labels.
+fn counter(child: &Child, name: &str) -> f64 {
     let text = Caller::new(child.address("admin"), "")
         .get("/metrics")
         .text();
@@ -32,8 +34,8 @@
     values.sum()
 }
 
-/// Everything still works.
-fn serves(fleet: &mut Fleet, what: &str) {
+/// Asserts that a completion is served and that both processes run.
+fn assert_serves(fleet: &mut Fleet, what: &str) {
     let prompt = format!("after {what}");
     let answer = fleet
         .caller(0)
@@ -51,19 +53,20 @@
     );
 }
 
-/// Sends bytes and nothing after them, and takes what comes until the other side ends the
+/// Sends bytes, closes the sending half, and returns what arrives until the other side closes the
 /// connection.
-fn talk(to: SocketAddr, bytes: &[u8]) -> Vec<u8> {
-    converse(to, bytes, true)
+fn send_and_close(to: SocketAddr, bytes: &[u8]) -> Vec<u8> {
+    exchange_bytes(to, bytes, true)
 }
 
-/// The same; it may also leave its own half of the connection open.
-fn converse(to: SocketAddr, bytes: &[u8], end: bool) -> Vec<u8> {
+/// Sends bytes, closes the sending half if asked to, and returns what arrives until the other side
+/// closes the connection.
+fn exchange_bytes(to: SocketAddr, bytes: &[u8], close: bool) -> Vec<u8> {
     let mut tcp = TcpStream::connect(to).expect("connect");
     tcp.set_read_timeout(Some(TIMEOUT)).expect("timeout");
     // The other side may close before it has read everything.
     let _ = tcp.write_all(bytes);
-    if end {
+    if close {
         let _ = tcp.shutdown(Shutdown::Write);
     }
     let mut answer = Vec::new();
@@ -71,22 +74,26 @@
     answer
 }
 
+/// Puts the length before a payload, as on a peer connection.
 fn framed(payload: &[u8]) -> Vec<u8> {
     [&(payload.len() as u32).to_be_bytes()[..], payload].concat()
 }
 
-/// Strangers find the peer port: scanners, a process of another fleet, one that dies within a
-/// frame, somebody who recorded a handshake. The connection ends, is counted, and harms no other.
+/// Guards against scanners, other fleets, partial frames and replayed handshakes at the peer port:
+/// each such connection must be closed and counted without affecting others.
 #[test]
-fn peer_port_counts_and_drops_what_is_not_ours() {
+fn peer_port_counts_and_closes_foreign_connections() {
     let mut fleet = Fleet::start(1, 1, &quick());
-    let hello = framed(&ours().seal(&[7; 16]));
+    let hello = framed(&fleet_keys().seal(&[7; 16]));
     let cases = [
         ("another protocol", b"GET / HTTP/1.1\r\n\r\n".to_vec()),
         ("a huge length", u32::MAX.to_be_bytes().to_vec()),
         ("half a frame", framed(&[7; 32])[..20].to_vec()),
         ("an empty frame", framed(&[])),
-        ("another fleet's key", framed(&strange().seal(&[7; 16]))),
+        (
+            "another fleet's key",
+            framed(&foreign_keys().seal(&[7; 16])),
+        ),
         (
             "a hello and a frame without its seal",
             [hello.clone(), framed(&[0; 40])].concat(),
@@ -100,18 +107,18 @@
             } else {
                 &fleet.replicas[0].sidecar
             };
-            let before = counted(child, "clementinestep_peer_faults_total");
-            talk(child.address("peer"), &bytes);
+            let before = counter(child, "clementinestep_peer_faults_total");
+            send_and_close(child.address("peer"), &bytes);
             wait_for(what, || {
-                counted(child, "clementinestep_peer_faults_total") > before
+                counter(child, "clementinestep_peer_faults_total") > before
             });
         }
-        serves(&mut fleet, what);
+        assert_serves(&mut fleet, what);
     }
 }
 
-/// A peer with our key sends frames that don't belong where they come, as one of another release
-/// might.
+/// Guards against a crash by a peer with the right key that sends frames out of order, as a process
+/// of another release might.
 #[test]
 fn unexpected_frames_end_their_connection_only() {
     let mut fleet = Fleet::start(1, 1, &quick());
@@ -120,12 +127,14 @@
         .build()
         .expect("runtime");
     for child in [&fleet.entries[0], &fleet.replicas[0].sidecar] {
-        let before = counted(child, "clementinestep_peer_faults_total");
+        let before = counter(child, "clementinestep_peer_faults_total");
         let to = child.address("peer");
         run.block_on(async {
             let tcp = tokio::net::TcpStream::connect(to).await.expect("connect");
-            let (mut tx, mut rx) = wire::connect(tcp, &ours(), [3; 16]).await.expect("hello");
-            // Late confirmations are usual and harmless.
+            let (mut tx, mut rx) = wire::connect(tcp, &fleet_keys(), [3; 16])
+                .await
+                .expect("hello");
+            // A late confirmation is normal and must be accepted.
             tx.send(Ack { next: 1 }).await.expect("send");
             tx.send(Head::default()).await.expect("send");
             let end = tokio::time::timeout(TIMEOUT, rx.next())
@@ -133,15 +142,15 @@
                 .expect("an end");
             assert!(end.is_err(), "{end:?}");
         });
-        wait_for("it to be counted", || {
-            counted(child, "clementinestep_peer_faults_total") > before
+        wait_for("the unexpected frame to be counted", || {
+            counter(child, "clementinestep_peer_faults_total") > before
         });
     }
-    serves(&mut fleet, "unexpected frames");
+    assert_serves(&mut fleet, "unexpected frames");
 }
 
-/// Where an entry takes offers: its datagram socket that isn't announced to anybody.
-fn offers(entry: &Child) -> SocketAddr {
+/// Address at which an entry receives offers: the one of its UDP sockets that isn't announced.
+fn offer_address(entry: &Child) -> SocketAddr {
     let own = std::fs::read_dir(format!("/proc/{}/fd", entry.id())).expect("descriptors");
     let own = own.filter_map(|f| std::fs::read_link(f.ok()?.path()).ok());
     let own: Vec<_> = own.map(|l| l.display().to_string()).collect();
@@ -151,74 +160,82 @@
         let inode = format!("socket:[{}]", fields.get(9)?);
         let (_, port) = fields.get(1)?.split_once(':')?;
         let port = u16::from_str_radix(port, 16).ok()?;
-        let probes = own.contains(&inode) && port != entry.address("gossip").port();
-        probes.then_some(port)
+        let is_match = own.contains(&inode) && port != entry.address("gossip").port();
+        is_match.then_some(port)
     };
     let port = all.lines().find_map(port).expect("a socket for probes");
     SocketAddr::new(entry.address("gossip").ip(), port)
 }
 
-/// Datagrams for the probe port that are no probes: noise, another fleet's, cut, too long, or of
-/// the wrong kind.
+/// Guards against a crash, or a datagram that isn't counted, when the probe ports receive noise or
+/// datagrams of another fleet, truncated, too long, or of the wrong kind.
 #[test]
-fn probe_ports_count_and_drop_what_is_not_ours() {
+fn probe_ports_count_and_drop_invalid_datagrams() {
     let mut fleet = Fleet::start(1, 1, &quick());
-    let good = Packet::seal(Probe::default(), &ours()).expect("small enough");
-    let offer = Packet::seal(Offer::default(), &ours()).expect("small enough");
+    let valid = Packet::seal(Probe::default(), &fleet_keys()).expect("small enough");
+    let offer = Packet::seal(Offer::default(), &fleet_keys()).expect("small enough");
     let noise: Vec<u8> = (0..200).map(|i| (i * 37 % 251) as u8).collect();
     let cases = [
         ("nothing", Vec::new()),
         ("noise", noise),
         (
             "another fleet's key",
-            Packet::seal(Probe::default(), &strange())
+            Packet::seal(Probe::default(), &foreign_keys())
                 .expect("small")
                 .to_vec(),
         ),
-        ("a cut one", good[..good.len() - 1].to_vec()),
-        ("one without a message", ours().seal(&[]).to_vec()),
-        ("sealed noise", ours().seal(&[255; 64]).to_vec()),
-        ("one too long", ours().seal(&vec![0; PACKET_MAX]).to_vec()),
+        ("a cut one", valid[..valid.len() - 1].to_vec()),
+        ("one without a message", fleet_keys().seal(&[]).to_vec()),
+        ("sealed noise", fleet_keys().seal(&[255; 64]).to_vec()),
+        (
+            "one too long",
+            fleet_keys().seal(&vec![0; PACKET_MAX]).to_vec(),
+        ),
         ("the longest there is", vec![0; 60_000]),
     ];
     let udp = UdpSocket::bind("127.0.0.1:0").expect("socket");
     for (what, bytes) in &cases {
         let (entry, sidecar) = (&fleet.entries[0], &fleet.replicas[0].sidecar);
         for (child, to, name) in [
-            (entry, offers(entry), "clementinestep_offer_faults_total"),
+            (
+                entry,
+                offer_address(entry),
+                "clementinestep_offer_faults_total",
+            ),
             (
                 sidecar,
                 sidecar.address("peer"),
                 "clementinestep_probe_faults_total",
             ),
         ] {
-            let before = counted(child, name);
+            let before = counter(child, name);
             udp.send_to(bytes, to).expect("send");
-            wait_for(what, || counted(child, name) > before);
+            wait_for(what, || counter(child, name) > before);
         }
     }
-    // The right key, the wrong direction; and an offer that nobody asked for, sent again.
+    // An offer with the right key, sent to a sidecar, which must not receive any; then an offer
+    // without a probe, sent twice to an entry.
     let sidecar = &fleet.replicas[0].sidecar;
-    let before = counted(sidecar, "clementinestep_probe_faults_total");
+    let before = counter(sidecar, "clementinestep_probe_faults_total");
     udp.send_to(&offer, sidecar.address("peer")).expect("send");
     wait_for("an offer to a sidecar", || {
-        counted(sidecar, "clementinestep_probe_faults_total") > before
+        counter(sidecar, "clementinestep_probe_faults_total") > before
     });
     let entry = &fleet.entries[0];
-    let before = counted(entry, "clementinestep_offers_unasked_total");
+    let before = counter(entry, "clementinestep_offers_unasked_total");
     for _ in 0..2 {
-        udp.send_to(&offer, offers(entry)).expect("send");
+        udp.send_to(&offer, offer_address(entry)).expect("send");
     }
     wait_for("offers without a probe", || {
-        counted(entry, "clementinestep_offers_unasked_total") >= before + 2.0
+        counter(entry, "clementinestep_offers_unasked_total") >= before + 2.0
     });
-    serves(&mut fleet, "bad datagrams");
+    assert_serves(&mut fleet, "bad datagrams");
 }
 
-/// Somebody recorded a probe and sends it again and again. It is answered as before and takes
-/// nothing from those who ask.
+/// Guards against replayed probes that reserve slots and thereby displace real requests; a replay
+/// is answered like the first one.
 #[test]
-fn replayed_probes_take_no_place_from_others() {
+fn replayed_probes_displace_no_requests() {
     let mut fleet = Fleet::start(1, 1, &quick());
     let recorded = Probe {
         id: 7,
@@ -227,7 +244,7 @@
         team: "team-one".to_owned(),
         ..Probe::default()
     };
-    let bytes = Packet::seal(recorded, &ours()).expect("small enough");
+    let bytes = Packet::seal(recorded, &fleet_keys()).expect("small enough");
     let sidecar = fleet.replicas[0].sidecar.address("peer");
     let udp = UdpSocket::bind("127.0.0.1:0").expect("socket");
     udp.set_read_timeout(Some(Duration::from_secs(1)))
@@ -246,23 +263,23 @@
     };
     let offer = probe(sidecar, prompt);
     assert_eq!(offer.state(), wire::State::Serving);
-    serves(&mut fleet, "replayed probes");
+    assert_serves(&mut fleet, "replayed probes");
 }
 
-/// Noise, another fleet's datagrams and cut ones reach the membership port; then one that was
-/// recorded from a real member comes again and again.
+/// Guards against a crash by invalid datagrams at the membership port, and against a departed
+/// member that stays listed because its recorded datagram is replayed.
 #[test]
-fn gossip_port_counts_and_drops_what_is_not_ours() {
+fn gossip_port_counts_invalid_datagrams_and_removes_replayed_members() {
     let mut fleet = Fleet::start(1, 1, &quick());
     let name = "clementinestep_gossip_faults_total";
     let sealed = |body: &[u8], key: &[u8]| fleet::Keyring::new(key).seal(body).to_vec();
-    let key = *ours().first().bytes();
+    let key = *fleet_keys().first().bytes();
     let cases = [
         ("nothing", Vec::new()),
         ("noise", vec![9; 300]),
         (
             "another fleet's key",
-            sealed(&[8, 1], strange().first().bytes()),
+            sealed(&[8, 1], foreign_keys().first().bytes()),
         ),
         ("sealed noise", sealed(&[255; 64], &key)),
         ("the longest there is", vec![0; 60_000]),
@@ -270,30 +287,30 @@
     let udp = UdpSocket::bind("127.0.0.1:0").expect("socket");
     for (what, bytes) in &cases {
         for child in [&fleet.entries[0], &fleet.replicas[0].sidecar] {
-            let before = counted(child, name);
+            let before = counter(child, name);
             udp.send_to(bytes, child.address("gossip")).expect("send");
-            wait_for(what, || counted(child, name) > before);
+            wait_for(what, || counter(child, name) > before);
         }
     }
     let members = fleet.live_members(0);
-    // A member that was there once and told of itself is replayed.
+    // Replay the recorded datagram of a member that has joined once and then exited.
     let udp = UdpSocket::bind("127.0.0.1:0").expect("socket");
-    let recorded = recorded(&udp, fleet.fieldops.address("gossip"), &key);
+    let recorded = first_datagram(&udp, fleet.fieldops.address("gossip"), &key);
     drop(udp);
-    let again = UdpSocket::bind("127.0.0.1:0").expect("socket");
+    let replay = UdpSocket::bind("127.0.0.1:0").expect("socket");
     for _ in 0..200 {
-        again
+        replay
             .send_to(&recorded, fleet.entries[0].address("gossip"))
             .expect("send");
     }
-    serves(&mut fleet, "replayed datagrams");
-    wait_for("a member that isn't there to be forgotten", || {
+    assert_serves(&mut fleet, "replayed datagrams");
+    wait_for("the replayed member to be removed", || {
         fleet.live_members(0) == members
     });
 }
 
-/// The first datagram of a process that joins.
-fn recorded(udp: &UdpSocket, seed: SocketAddr, key: &[u8]) -> Bytes {
+/// The first datagram of a process that joins the fleet.
+fn first_datagram(udp: &UdpSocket, seed: SocketAddr, key: &[u8]) -> Bytes {
     use fleet::{Action, Event, Member, MemberState, Role};
     use model::{Incarnation, MemberId, Micros};
     let at = udp.local_addr().expect("address");
@@ -312,10 +329,10 @@
         state: MemberState::Alive,
     };
     let set = fleet::Settings::new(fleet::Keyring::new(key));
-    let mut ghost = fleet::Fleet::new(set, me, 1);
+    let mut member = fleet::Fleet::new(set, me, 1);
     let mut out = Vec::new();
-    ghost.step(Micros(1), Event::Seeds(vec![seed]), &mut out);
-    ghost.step(Micros(2), Event::Tick, &mut out);
+    member.step(Micros(1), Event::Seeds(vec![seed]), &mut out);
+    member.step(Micros(2), Event::Tick, &mut out);
     let sent = out.into_iter().find_map(|a| match a {
         Action::Send { bytes, .. } => Some(bytes),
         _ => None,
@@ -323,9 +340,10 @@
     sent.expect("a datagram")
 }
 
-/// Callers send what is no HTTP, too much of it, or only a part.
+/// Guards against a crash by input at the callers' port that isn't HTTP, is too large or
+/// incomplete.
 #[test]
-fn callers_port_survives_what_is_no_request() {
+fn callers_port_survives_invalid_requests() {
     let mut fleet = Fleet::start(1, 1, &quick());
     let to = fleet.entries[0].address("callers");
     let head =
@@ -364,8 +382,8 @@
         ),
     ];
     for (what, bytes, status) in cases {
-        // A whole request is answered if its caller stays for the answer.
-        let answer = converse(to, &bytes, status.is_empty());
+        // A complete request is answered only if its caller keeps the connection open.
+        let answer = exchange_bytes(to, &bytes, status.is_empty());
         let answer = String::from_utf8_lossy(&answer);
         let line = answer.lines().next().unwrap_or_default();
         assert!(
@@ -376,23 +394,24 @@
         if !status.is_empty() {
             assert!(answer.contains("x-outcome: not-run"), "{what}: {answer}");
         }
-        serves(&mut fleet, what);
+        assert_serves(&mut fleet, what);
     }
     let long = "a".repeat(5 << 20);
     let answer = fleet.caller(0).post("/v1/completions", &long);
-    // The answer may be lost with what is still being sent.
+    // The answer may be lost because the connection is reset while the body is still being sent.
     assert!([0, 413].contains(&answer.status), "{}", answer.status);
-    serves(&mut fleet, "too much");
+    assert_serves(&mut fleet, "too much");
     let refused = "clementinestep_requests_total{code=\"too_large\"}";
-    assert_eq!(counted(&fleet.entries[0], refused), 1.0);
+    assert_eq!(counter(&fleet.entries[0], refused), 1.0);
     let refused = "clementinestep_requests_total{code=\"bad_request\"}";
-    assert!(counted(&fleet.entries[0], refused) >= 2.0);
+    assert!(counter(&fleet.entries[0], refused) >= 2.0);
     assert!(fleet.replicas[0].engine.ran().iter().all(|r| r.whole));
 }
 
-/// Operators' ports get the same, and calls without the key.
+/// Guards against a crash by invalid input at the admin ports, and against a call without the
+/// operator key that is accepted.
 #[test]
-fn admin_ports_survive_what_is_no_request() {
+fn admin_ports_survive_invalid_requests_and_refuse_wrong_keys() {
     let mut fleet = Fleet::start(1, 1, &quick());
     let long = format!(
         "PUT /admin/configuration HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {}\r\ncontent-length: 400000000\r\n\r\n",
@@ -408,7 +427,7 @@
     ];
     for (what, bytes) in &cases {
         for child in [&fleet.entries[0], &fleet.replicas[0].sidecar] {
-            let answer = talk(child.address("admin"), bytes);
+            let answer = send_and_close(child.address("admin"), bytes);
             let answer = String::from_utf8_lossy(&answer);
             assert!(!answer.starts_with("HTTP/1.1 2"), "{what}: {answer}");
             let health = Caller::new(child.address("admin"), "").get("/health/live");
@@ -417,14 +436,14 @@
     }
     let version = fleet.operator(0).get("/admin/configuration").json()["version"].clone();
     for key in ["", "sample-operator-ke", API_KEY] {
-        let stranger = Caller::new(fleet.entries[0].address("admin"), key);
+        let unauthorized = Caller::new(fleet.entries[0].address("admin"), key);
         for (method, path) in [
             ("PUT", "/admin/configuration"),
             ("GET", "/admin/configuration"),
             ("GET", "/admin/history"),
             ("GET", "/admin/status"),
         ] {
-            let answer = stranger.send(method, path, &[], "{}");
+            let answer = unauthorized.send(method, path, &[], "{}");
             assert_eq!(
                 (answer.status, answer.code().as_str()),
                 (401, "unauthorized"),
@@ -448,5 +467,5 @@
     }
     let now = fleet.operator(0).get("/admin/configuration").json()["version"].clone();
     assert_eq!(now, version);
-    serves(&mut fleet, "bad operators' calls");
+    assert_serves(&mut fleet, "bad operators' calls");
 }
