--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,12 +1,13 @@
-//! The whole path with the real binaries: what a caller gets.
+//! Requests through real entries and sidecars: complete answers and refusals, as a caller sees
+//! them.
 
 mod common;
 
 use common::{completion, quick, words, Fleet};
 
-/// A caller may get the answer of an engine only as the engine gave it.
+/// Guards against streams that lose or change a part of the engine's answer on the way.
 #[test]
-fn stream_is_whole_through_each_entry() {
+fn stream_is_complete_through_each_entry() {
     let fleet = Fleet::start(2, 2, &quick());
     for entry in 0..2 {
         let prompt = format!("{} question {entry}", "a shared opening. ".repeat(40));
@@ -19,8 +20,8 @@
     }
 }
 
-/// One way to be refused before anything is sent on.
-struct Refused {
+/// A request that is refused before it reaches a target, and the expected refusal.
+struct RefusalCase {
     what: &'static str,
     method: &'static str,
     path: &'static str,
@@ -30,17 +31,18 @@
     code: &'static str,
 }
 
+/// Guards against dispatching a request that can't be authenticated, parsed or routed.
 #[test]
-fn unusable_requests_are_refused_as_not_run() {
+fn invalid_requests_are_refused_as_not_run() {
     let fleet = Fleet::start(1, 1, &quick());
-    let good = common::API_KEY;
+    let valid = common::API_KEY;
     #[rustfmt::skip]
     let cases = [
-        Refused { what: "unknown key", method: "POST", path: "/v1/completions", key: "x", body: "{}", status: 401, code: "unknown_team" },
-        Refused { what: "broken JSON", method: "POST", path: "/v1/completions", key: good, body: "{", status: 400, code: "bad_request" },
-        Refused { what: "no prompt", method: "POST", path: "/v1/completions", key: good, body: "{}", status: 400, code: "bad_request" },
-        Refused { what: "wrong method", method: "GET", path: "/v1/completions", key: good, body: "", status: 405, code: "bad_method" },
-        Refused { what: "no rule", method: "POST", path: "/elsewhere", key: good, body: "", status: 404, code: "no_rule" },
+        RefusalCase { what: "unknown key", method: "POST", path: "/v1/completions", key: "x", body: "{}", status: 401, code: "unknown_team" },
+        RefusalCase { what: "broken JSON", method: "POST", path: "/v1/completions", key: valid, body: "{", status: 400, code: "bad_request" },
+        RefusalCase { what: "no prompt", method: "POST", path: "/v1/completions", key: valid, body: "{}", status: 400, code: "bad_request" },
+        RefusalCase { what: "wrong method", method: "GET", path: "/v1/completions", key: valid, body: "", status: 405, code: "bad_method" },
+        RefusalCase { what: "no rule", method: "POST", path: "/elsewhere", key: valid, body: "", status: 404, code: "no_rule" },
     ];
     for c in cases {
         let to = fleet.entries[0].address("callers");
--- a/crates/daemon/tests/trace.rs
+++ b/crates/daemon/tests/trace.rs
@@ -1,4 +1,4 @@
-//! Traces with the real binaries: one span a hop, all of one trace.
+//! Traces of real entries and sidecars: each hop writes one span, all with the caller's trace id.
 
 mod common;
 
@@ -8,10 +8,12 @@
 use serde_json::Value;
 use standin::engine::Engine;
 
+/// Trace id that the caller sends.
 const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
+/// Span id that the caller sends; the parent of the entry's span.
 const PARENT: &str = "b7ad6b7169203331";
 
-/// The spans in a file, by name; a line that isn't whole yet doesn't count.
+/// The spans in a trace file, by name; a line that isn't completely written yet is skipped.
 fn spans(path: &str) -> BTreeMap<String, Value> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let lines = text
@@ -21,10 +23,10 @@
     lines.filter_map(span).collect()
 }
 
-/// A caller's request is slow, and its operator looks for the hop that took the time. Without the
-/// caller's own trace in every hop's span, the spans of two processes can't be brought together.
+/// Guards against spans that don't carry the caller's trace id: spans of different processes
+/// couldn't be related to each other to find the hop that made a request slow.
 #[test]
-fn hops_of_a_request_are_spans_of_its_callers_trace() {
+fn each_hop_writes_a_span_of_the_callers_trace() {
     let mut fleet = Fleet::start(1, 0, &quick());
     let dir = std::env::temp_dir();
     let file = |n: &str| {
@@ -56,7 +58,7 @@
     let caller = fleet.caller(1);
     let answer = caller.send("POST", "/v1/completions", &headers, &body);
     assert!(answer.is_complete_stream(), "{}", answer.text());
-    wait_for("the spans", || {
+    wait_for("the spans of both processes", || {
         spans(&at_entry).contains_key("entry") && spans(&at_sidecar).contains_key("target")
     });
     let mut all = spans(&at_entry);
@@ -65,8 +67,8 @@
     assert_eq!(names, ["entry", "probe", "queue", "target"]);
     assert!(all.values().all(|s| s["trace"] == TRACE), "{all:?}");
     assert_eq!(all["entry"]["parent"], PARENT);
-    for below in ["probe", "queue", "target"] {
-        assert_eq!(all[below]["parent"], all["entry"]["span"], "{below}");
+    for child in ["probe", "queue", "target"] {
+        assert_eq!(all[child]["parent"], all["entry"]["span"], "{child}");
     }
     for path in [at_entry, at_sidecar] {
         let _ = std::fs::remove_file(path);
--- a/crates/daemon/tests/whole.rs
+++ b/crates/daemon/tests/whole.rs
@@ -1,17 +1,17 @@
-//! Answers that can't be known to be whole, or are large, from plain services and engines.
+//! Large answers of plain services, and fields that a caller must not set.
 
 mod common;
 
 use common::{completion, quick, Fleet, StandIn};
 use viz::{Body, Request, Response, Router};
 
+/// Larger than what a sidecar buffers without confirmation.
 const LARGE: usize = 6 << 20;
 
-/// A sidecar keeps at most 1 MiB that the entry hasn't confirmed. When the entry confirmed too
-/// rarely, a larger answer stood still until its deadline and its caller heard of an unknown
-/// outcome, although the service had answered at once.
+/// Guards against an entry that confirms too rarely: a sidecar buffers at most 1 MiB of unconfirmed
+/// data, so a larger answer would stall until its deadline and be reported with an unknown outcome.
 #[test]
-fn large_answers_arrive_whole() {
+fn large_answers_arrive_complete() {
     let mut fleet = Fleet::start(1, 0, &quick());
     let at = fleet.service_at.at;
     fleet.service_at.kill();
@@ -27,10 +27,10 @@
     }
 }
 
-/// A service answers more than an entry collects before it gives an answer on. The service has run
-/// the request, so that "not run" would make its caller run it again.
+/// Guards against reporting "not-run" when an answer exceeds what an entry buffers before it
+/// forwards the answer: the service has run the request, and the caller would send it again.
 #[test]
-fn answer_too_large_to_collect_is_not_called_not_run() {
+fn answer_too_large_to_buffer_is_not_reported_as_not_run() {
     let mut fleet = Fleet::start(1, 0, &quick());
     let at = fleet.service_at.at;
     fleet.service_at.kill();
@@ -43,10 +43,10 @@
     assert_eq!(answer.header("x-outcome"), Some("unknown"));
 }
 
-/// Somebody who knows an engine's field for the cache salt sends it to another path of the engine.
-/// Were it passed on, the caller could find another team's cache entries by their timing.
+/// Guards against forwarding an engine's reserved fields, such as the cache salt, on other paths
+/// than completions: a caller could detect another team's cached prompts by their timing.
 #[test]
-fn callers_cannot_set_the_salt_on_any_path() {
+fn reserved_engine_fields_are_refused_on_every_path() {
     let fleet = Fleet::start(1, 1, &quick());
     for field in ["cache_salt", "priority", "resume"] {
         let body = format!("{{\"input\":\"x\",\"{field}\":\"team-two\"}}");
@@ -57,8 +57,13 @@
         );
         assert_eq!(answer.header("x-outcome"), Some("not-run"));
     }
-    let good = fleet
+    let completion_answer = fleet
         .caller(0)
         .post("/v1/completions", &completion("a prompt", 3, false));
-    assert_eq!(good.status, 200, "{}", good.text());
+    assert_eq!(
+        completion_answer.status,
+        200,
+        "{}",
+        completion_answer.text()
+    );
 }
