--- a/crates/daemon/tests/hosted/answers.rs
+++ b/crates/daemon/tests/hosted/answers.rs
@@ -44,7 +44,7 @@
     /// Times that a request with an id ran on any replica.
     fn runs(&self, id: &str) -> usize {
         let all = self.engines.iter().chain(&self.plain);
-        let seen = all.flat_map(|r| r.seen());
+        let seen = all.flat_map(|r| r.requests());
         seen.filter(|s| s.id == id && s.ran).count()
     }
 }
@@ -93,7 +93,7 @@
         assert!(answer.headers.contains_key("response-signature"));
         assert_eq!(fleet.runs(case.path), 1);
     }
-    let seen = fleet.engines.iter().flat_map(|r| r.seen());
+    let seen = fleet.engines.iter().flat_map(|r| r.requests());
     for s in seen {
         let text = |n: &str| {
             s.headers
@@ -130,7 +130,7 @@
     let whole = tokio::time::timeout(LIMIT, body.collect()).await;
     let whole = whole.expect("an end").expect("a whole answer").to_bytes();
     assert_eq!(whole, events(1..=6));
-    let seen: Vec<_> = fleet.engines.iter().flat_map(|r| r.seen()).collect();
+    let seen: Vec<_> = fleet.engines.iter().flat_map(|r| r.requests()).collect();
     let again = seen
         .iter()
         .find(|s| s.headers.contains_key("last-event-id"));
@@ -182,7 +182,7 @@
         let whole = tokio::time::timeout(LIMIT, body.collect()).await;
         let whole = whole.expect("an end").map(|b| b.to_bytes());
         assert_eq!(whole.ok(), Some(events(1..=3)), "{}", c.name);
-        let seen = slow.seen().into_iter().chain(other.seen());
+        let seen = slow.requests().into_iter().chain(other.requests());
         let runs = seen.filter(|s| s.ran).count();
         assert_eq!(runs, c.runs, "{}", c.name);
     }
@@ -311,8 +311,8 @@
     drop(response);
     let left = async {
         tokio::select! {
-            () = fleet.engines[0].caller_left() => {}
-            () = fleet.engines[1].caller_left() => {}
+            () = fleet.engines[0].wait_abandoned() => {}
+            () = fleet.engines[1].wait_abandoned() => {}
         }
     };
     let within = tokio::time::timeout(Duration::from_millis(500), left).await;
@@ -335,7 +335,7 @@
         assert_eq!(answer.status, 200, "{id}: {tried:?}");
         assert_eq!(fleet.runs(&id), 1, "{id}");
     }
-    assert!(stranger.seen().is_empty());
+    assert!(stranger.requests().is_empty());
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/hosted/callers.rs
+++ b/crates/daemon/tests/hosted/callers.rs
@@ -106,7 +106,7 @@
         let answer = raw(&entry, case.sent.as_bytes()).await;
         assert!(answer.starts_with(case.status), "{}: {answer:?}", case.name);
     }
-    let seen: Vec<_> = plain.seen().into_iter().map(|s| s.path).collect();
+    let seen: Vec<_> = plain.requests().into_iter().map(|s| s.path).collect();
     assert!(!seen.iter().any(|p| p == "/log/hidden"), "{seen:?}");
     assert!(!seen.iter().any(|p| p == "/log/1"), "{seen:?}");
 }
@@ -130,7 +130,7 @@
     }
     call.headers.push(("x-own", "kept".to_owned()));
     call.whole().await.expect("an answer");
-    let seen = plain.seen();
+    let seen = plain.requests();
     let headers = &seen[0].headers;
     assert!(!headers.values().any(|v| v == "forged"), "{headers:?}");
     assert_eq!(headers["tenant"], "north");
--- a/crates/daemon/tests/hosted/delegates.rs
+++ b/crates/daemon/tests/hosted/delegates.rs
@@ -78,7 +78,7 @@
         let mut sidecars = Vec::new();
         for (i, e) in engines.iter().enumerate() {
             e.load(MODEL, 1);
-            e.set_load(LOAD);
+            e.set_load_time(LOAD);
             let at = platform.replica(e, "engines").await;
             if i < c.sidecars {
                 sidecars.push(platform.sidecar(&format!("side-{}", e.id), at));
--- a/crates/daemon/tests/hosted/fatal.rs
+++ b/crates/daemon/tests/hosted/fatal.rs
@@ -36,7 +36,7 @@
         for id in ["e1", "e2", "e3", "e4"] {
             let engine = Replica::new(id, 4, PAUSE);
             engine.load(MODEL, 1);
-            engine.set_fatal(FATAL);
+            engine.set_crash_path(FATAL);
             let at = platform.replica(&engine, "engines").await;
             engines.push((engine, at, 1));
         }
@@ -56,7 +56,7 @@
 
     /// Times that a request to a path ran.
     fn runs(&self, path: &str) -> usize {
-        let all = self.engines.iter().flat_map(|(e, _, _)| e.seen());
+        let all = self.engines.iter().flat_map(|(e, _, _)| e.requests());
         all.filter(|s| s.path == path && s.ran).count()
     }
 
@@ -77,7 +77,7 @@
 }
 
 fn runs(engine: &Replica) -> usize {
-    let seen = engine.seen();
+    let seen = engine.requests();
     seen.iter().filter(|s| s.path == FATAL && s.ran).count()
 }
 
@@ -140,7 +140,7 @@
         e.process.event("suspected", struck).await;
     }
     for (engine, _, _) in &fleet.engines {
-        engine.set_fatal("/none");
+        engine.set_crash_path("/none");
     }
     let served = ask(&fleet.entries[1], FATAL, "f2").await;
     assert_eq!(served.expect("an answer").status, 200);
--- a/crates/daemon/tests/hosted/fleet.rs
+++ b/crates/daemon/tests/hosted/fleet.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use standin::call::{Call, CallError};
 use standin::hosted::replica::Replica;
-use standin::hosted::rows::Store;
+use standin::hosted::row_store::Store;
 use standin::hosted::sample::{self, settings};
 pub use standin::hosted::sample::{config, HOST, KEY, MODEL};
 use tokio::task::JoinSet;
--- a/crates/daemon/tests/hosted/held.rs
+++ b/crates/daemon/tests/hosted/held.rs
@@ -7,7 +7,7 @@
 
 use gate::update::{self, Update};
 use standin::call::Call;
-use standin::hosted::cache::Cache;
+use standin::hosted::prompt_cache::PromptCache;
 use standin::hosted::replica::Replica;
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
@@ -30,7 +30,7 @@
 }
 
 impl Beside {
-    async fn start(fill: impl FnOnce(&mut Cache)) -> Self {
+    async fn start(fill: impl FnOnce(&mut PromptCache)) -> Self {
         let mut platform = Platform::start().await;
         let engine = Replica::new("e1", 2, Duration::ZERO);
         engine.load(MODEL, 1);
@@ -103,7 +103,7 @@
     beside.engine.with_cache(|c| {
         c.store(SCOPE, "b2", 0);
         c.store(SCOPE, "c3", 10);
-        c.forget();
+        c.drop_changes();
         c.store(SCOPE, "d4", 40);
     });
     beside.hears(&[("a1", 20), ("c3", 10), ("d4", 40)]).await;
@@ -122,7 +122,7 @@
     let beside = Beside::start(|c| {
         c.store(SCOPE, "a1", 20);
         c.store(SCOPE, "b2", 30);
-        c.forget();
+        c.drop_changes();
         c.store(SCOPE, "c3", 10);
     })
     .await;
@@ -180,7 +180,7 @@
     timeout(LIMIT, told).await.expect("an entry that knows");
     let served = async {
         let mut n = 0;
-        while !older.seen().iter().any(|s| s.ran) {
+        while !older.requests().iter().any(|s| s.ran) {
             n += 1;
             let parts = format!("a1:{LARGE},{n:x}:10");
             let call = prompt(&entry, &format!("other-{n}"), &parts);
@@ -192,7 +192,7 @@
         .await
         .expect("a prompt at the older one");
     let fetched: Vec<_> = older
-        .seen()
+        .requests()
         .iter()
         .filter_map(|s| s.headers.get("kv-fetch").cloned())
         .collect();
--- a/crates/daemon/tests/hosted/losses.rs
+++ b/crates/daemon/tests/hosted/losses.rs
@@ -71,7 +71,7 @@
             let id = format!("left-{n}-{tries}");
             let answer = ask(e, "/log/1", &id).await;
             assert_eq!(answer.expect("an answer").status, 200);
-            let there = replicas[1].seen().iter().any(|s| s.id == id);
+            let there = replicas[1].requests().iter().any(|s| s.id == id);
             let (before, draining) = (c.before, c.draining);
             assert!(
                 !there,
--- a/crates/daemon/tests/hosted/pool.rs
+++ b/crates/daemon/tests/hosted/pool.rs
@@ -43,7 +43,7 @@
         let (mut sidecars, mut addrs) = (Vec::new(), Vec::new());
         for e in &engines {
             e.load(MODEL, 1);
-            e.set_load(LOAD);
+            e.set_load_time(LOAD);
             let at = platform.replica(e, "engines").await;
             sidecars.push(platform.sidecar(&format!("side-{}", e.id), at));
             addrs.push(at);
@@ -119,9 +119,9 @@
         let at_start = |at| {
             loads
                 .iter()
-                .filter(|l| l.begun <= at && at < l.ends)
+                .filter(|l| l.started <= at && at < l.ends)
                 .count()
         };
-        loads.iter().map(|l| at_start(l.begun)).max().unwrap_or(0)
+        loads.iter().map(|l| at_start(l.started)).max().unwrap_or(0)
     }
 }
--- a/crates/daemon/tests/hosted/restore.rs
+++ b/crates/daemon/tests/hosted/restore.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use serde_json::json;
 use standin::hosted::replica::Replica;
-use standin::hosted::rows::{Copy, Fault, Named, Store};
+use standin::hosted::row_store::{EraHeader, Fault, Snapshot, Store};
 use tokio::time::{sleep, timeout};
 
 use crate::fleet::{ask, config, Entry, Platform, LIMIT, MODEL};
@@ -77,7 +77,7 @@
 async fn revoke(way: Return) {
     let (platform, _plain, entry) = fleet().await;
     let store = &platform.store;
-    let copy = store.copy();
+    let copy = store.snapshot();
     for version in 2..=10 {
         store.write("op", "config", &config(version));
     }
@@ -97,12 +97,12 @@
     store.write("op", "config", &revoked(11));
     if matches!(way, Return::Unnamed | Return::Unreadable) {
         sleep(Duration::from_millis(300)).await;
-        store.set_named(Named::True);
+        store.set_era_header(EraHeader::Current);
     }
     is_refused(&entry, &format!("{way:?}")).await;
 }
 
-async fn come_back(store: &Store, copy: &Copy, way: Return) {
+async fn come_back(store: &Store, copy: &Snapshot, way: Return) {
     match way {
         Return::AtOnce | Return::Overtaken => store.restore(copy),
         Return::Outage => {
@@ -117,11 +117,11 @@
             store.restore(copy);
         }
         Return::Unnamed => {
-            store.set_named(Named::Nothing);
+            store.set_era_header(EraHeader::Missing);
             store.restore(copy);
         }
         Return::Unreadable => {
-            store.set_named(Named::Text("second"));
+            store.set_era_header(EraHeader::Value("second"));
             store.restore(copy);
         }
     }
@@ -154,7 +154,7 @@
     far.process.event("members", |e| e["entries"] == 1).await;
     near.process.event("members", |e| e["entries"] == 1).await;
     second.set_fault(Fault::Busy);
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     platform.store.restore(&copy);
     platform.store.write("op", "config", &revoked(10));
     is_refused(&near, "near").await;
@@ -173,7 +173,7 @@
     let mut platform = Platform::start().await;
     let plain = Replica::new("p1", 0, Duration::ZERO);
     platform.replica(&plain, "plain").await;
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     let first = platform.entry("front-1", 1).await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
     engine.load(MODEL, 1);
@@ -203,7 +203,7 @@
 #[tokio::test]
 async fn targets_are_what_they_were_before_a_restore() {
     let (mut platform, left, entry) = fleet().await;
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     let joined = Replica::new("p2", 0, Duration::ZERO);
     platform.replica(&joined, "plain").await;
     let joins = |e: &serde_json::Value| e["target"] == "p2" && e["state"] == "ready";
@@ -211,7 +211,7 @@
     platform.store.remove("servers", "p1");
     let leaves = |e: &serde_json::Value| e["target"] == "p1" && e["state"] == "gone";
     entry.process.event("target", leaves).await;
-    let seen = left.seen().len();
+    let seen = left.requests().len();
     platform.store.restore(&copy);
     entry.process.event("restored", |_| true).await;
     let reread = |e: &serde_json::Value| e["source"] == "store" && e["missing"] == 1;
@@ -221,7 +221,7 @@
         assert_eq!(answer.expect("an answer").status, 200);
         sleep(LOOK).await;
     }
-    assert_eq!(left.seen().len(), seen, "the target that left");
+    assert_eq!(left.requests().len(), seen, "the target that left");
     let addr = joined.addr().expect("an address");
     platform.list(&joined, "plain", addr, "ready");
     platform.store.remove("servers", "p1");
@@ -234,7 +234,7 @@
 #[tokio::test]
 async fn store_that_names_no_era_is_followed_in_silence() {
     let platform = Platform::start().await;
-    platform.store.set_named(Named::Nothing);
+    platform.store.set_era_header(EraHeader::Missing);
     let entries = [
         platform.entry("front-1", 0).await,
         platform.entry("front-2", 0).await,
--- a/crates/daemon/tests/hosted/slots.rs
+++ b/crates/daemon/tests/hosted/slots.rs
@@ -130,8 +130,8 @@
 
 async fn rolled(three: &mut Three, c: &Case, stop: Stop, who: usize) {
     three.engines.iter().for_each(|e| {
-        e.set_slow_orders(ANSWER);
-        e.set_load(LOAD);
+        e.set_order_delay(ANSWER);
+        e.set_load_time(LOAD);
     });
     if stop == Stop::Before {
         three.sidecars[who].signal("STOP");
--- a/crates/daemon/tests/hosted/soak/check.rs
+++ b/crates/daemon/tests/hosted/soak/check.rs
@@ -79,7 +79,7 @@
             let id = format!("left-{n}-{tries}");
             // Served or not, it mustn't have been sent there.
             let _ = ask_at(callers, "/log/1", &id).await;
-            let there = target.seen().iter().any(|s| s.id == id);
+            let there = target.requests().iter().any(|s| s.id == id);
             let tail = || world.fronts[n].host.runs().process.tail();
             assert!(
                 !there,
@@ -118,7 +118,7 @@
 /// Times that each request ran.
 fn runs(world: &World) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
-    let seen = world.replicas.iter().flat_map(|r| r.replica.seen());
+    let seen = world.replicas.iter().flat_map(|r| r.replica.requests());
     for s in seen.filter(|s| s.ran) {
         *runs.entry(s.id).or_default() += 1;
     }
--- a/crates/daemon/tests/hosted/soak/harm.rs
+++ b/crates/daemon/tests/hosted/soak/harm.rs
@@ -7,7 +7,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use standin::hosted::replica::Fault;
-use standin::hosted::rows;
+use standin::hosted::row_store;
 use standin::link::Trouble;
 use standin::switch::Path;
 use tokio::task::JoinSet;
@@ -64,11 +64,11 @@
         return;
     }
     let mut rng = StdRng::seed_from_u64(seed ^ RESTORES);
-    let mut copy = world.platform.store.copy();
+    let mut copy = world.platform.store.snapshot();
     while Instant::now() < end {
         sleep(Duration::from_millis(rng.random_range(200..1_500))).await;
         match rng.random_range(0..3) {
-            0 => copy = world.platform.store.copy(),
+            0 => copy = world.platform.store.snapshot(),
             1 => world.platform.store.restore(&copy),
             _ => {}
         }
@@ -110,13 +110,17 @@
         }
         9..=10 => world.links().choose(rng).expect("a link").reset(),
         11 => {
-            let faults = [rows::Fault::Busy, rows::Fault::Silent, rows::Fault::None];
+            let faults = [
+                row_store::Fault::Busy,
+                row_store::Fault::Silent,
+                row_store::Fault::None,
+            ];
             world
                 .platform
                 .store
                 .set_fault(*faults.choose(rng).expect("a fault"));
         }
-        12 => world.platform.store.forget(),
+        12 => world.platform.store.drop_history(),
         13 => world.name_version(),
         14 => world.restart_replica(rng.random_range(0..REPLICAS)),
         15..=16 => {
--- a/crates/daemon/tests/hosted/soak/world.rs
+++ b/crates/daemon/tests/hosted/soak/world.rs
@@ -7,7 +7,7 @@
 
 use serde_json::json;
 use standin::hosted::replica::{Fault, Replica};
-use standin::hosted::rows;
+use standin::hosted::row_store;
 use standin::link::{Link, Trouble};
 use standin::switch::{Path, Switch};
 use tokio::task::JoinSet;
@@ -242,7 +242,7 @@
     }
 
     /// Brings the store back from a copy, and writes again what the operator and the replicas wrote.
-    pub async fn restore(&self, copy: &rows::Copy, after: Duration) {
+    pub async fn restore(&self, copy: &row_store::Snapshot, after: Duration) {
         self.platform.store.restore(copy);
         sleep(after).await;
         let version = *self.version.lock().expect("a version");
@@ -257,7 +257,7 @@
 
     fn enter(&self, behind: &Behind, state: &str) {
         let (replica, at) = (&behind.replica, behind.link.addr());
-        let born = replica.life() + 1;
+        let born = replica.restarts() + 1;
         self.platform
             .list_life(replica, behind.service, at, state, born);
     }
@@ -272,7 +272,7 @@
 
     /// Ends all troubles.
     pub fn heal(&self) {
-        self.platform.store.set_fault(rows::Fault::None);
+        self.platform.store.set_fault(row_store::Fault::None);
         self.links().iter().for_each(|l| l.set(Trouble::None));
         self.switch.set(Path::GOOD);
         for behind in &self.replicas {
--- a/crates/daemon/tests/hosted/store.rs
+++ b/crates/daemon/tests/hosted/store.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 use standin::hosted::replica::Replica;
-use standin::hosted::rows::{Fault, Store};
+use standin::hosted::row_store::{Fault, Store};
 use standin::link::{Link, Trouble};
 use tokio::time::{sleep, timeout};
 
@@ -81,7 +81,7 @@
     let mut revoked = config(2);
     revoked["tenants"][0]["api_keys"] = json!(["another"]);
     platform.store.write("op", "config", &revoked);
-    platform.store.forget();
+    platform.store.drop_history();
     platform.store.set_fault(Fault::None);
     entry
         .process
@@ -186,11 +186,11 @@
         .process
         .event("target", |e| e["state"] == "draining")
         .await;
-    let before = plain.seen().len();
+    let before = plain.requests().len();
     for n in 0..6 {
         assert_eq!(status(&entry, "/log/1", &format!("stays-{n}")).await, 200);
     }
-    assert_eq!(plain.seen().len(), before);
+    assert_eq!(plain.requests().len(), before);
 }
 
 #[tokio::test]
@@ -214,7 +214,7 @@
     away.process.event("target", gone).await;
     let served = ask(&away, "/log/1", "log-1").await.expect("an answer");
     assert_eq!(served.status, 200);
-    assert!(second.seen().iter().any(|s| s.id == "log-1" && s.ran));
+    assert!(second.requests().iter().any(|s| s.id == "log-1" && s.ran));
 }
 
 #[tokio::test]
@@ -245,7 +245,7 @@
     for n in 0..6 {
         assert_eq!(status(&away, "/log/1", &format!("stays-{n}")).await, 200);
     }
-    assert!(leaves.seen().is_empty());
+    assert!(leaves.requests().is_empty());
 }
 
 #[tokio::test]
@@ -332,7 +332,7 @@
         let id = format!("left-{n}");
         let before = left.elapsed();
         assert_eq!(status(entry, "/log/1", &id).await, 200);
-        let there = leaves.seen().iter().any(|s| s.id == id);
+        let there = leaves.requests().iter().any(|s| s.id == id);
         let lines = [
             entry.process.events("listed"),
             entry.process.events("target"),
--- a/crates/daemon/tests/hosted/weights.rs
+++ b/crates/daemon/tests/hosted/weights.rs
@@ -39,7 +39,7 @@
         loop {
             n += 1;
             let answer = ask(&entry, "/probe/1", &format!("new-{n}")).await;
-            let last = engine.seen().pop();
+            let last = engine.requests().pop();
             if let (Ok(a), Some(seen)) = (answer, last) {
                 if a.status == 200 && seen.headers["expect-version"] == "2" {
                     return seen;
@@ -117,8 +117,8 @@
     for stopped in 0..3 {
         let three = Three::start().await;
         three.engines.iter().for_each(|e| {
-            e.set_slow_orders(Duration::from_millis(200));
-            e.set_load(Duration::from_millis(600));
+            e.set_order_delay(Duration::from_millis(200));
+            e.set_load_time(Duration::from_millis(600));
         });
         three.sidecars[stopped].signal("STOP");
         three.name(2);
@@ -147,7 +147,7 @@
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
     engine.load(MODEL, 1);
-    engine.set_load(Duration::from_millis(900));
+    engine.set_load_time(Duration::from_millis(900));
     let at = platform.replica(&engine, "engines").await;
     let entry = platform.entry("front-1", 1).await;
     let sidecar = platform.sidecar("side-1", at);
@@ -161,7 +161,11 @@
     let answer = answer.expect("in time").expect("an answer");
     assert_eq!(answer.status, 200, "{}", entry.process.about("patient"));
     assert_eq!(engine.version(MODEL), 2, "served after the load");
-    let tries = engine.seen().iter().filter(|s| s.id == "patient").count();
+    let tries = engine
+        .requests()
+        .iter()
+        .filter(|s| s.id == "patient")
+        .count();
     assert_eq!(tries, 1, "sent once, when the engine takes it");
 }
 
@@ -220,5 +224,5 @@
     let answer = ask(&entry, "/probe/1", "served").await.expect("an answer");
     let refusals = entry.process.events("refused");
     assert_eq!(answer.status, 200, "{refusals:?}");
-    assert!(newer.seen().iter().any(|s| s.id == "served"));
+    assert!(newer.requests().iter().any(|s| s.id == "served"));
 }
--- a/crates/standin/examples/hosted.rs
+++ b/crates/standin/examples/hosted.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use standin::hosted::replica::Replica;
-use standin::hosted::rows::Store;
+use standin::hosted::row_store::Store;
 use standin::hosted::sample::{config, entry, MODEL};
 
 /// Events of a stream, and the pause before each.
--- a/crates/standin/src/hosted/mod.rs
+++ b/crates/standin/src/hosted/mod.rs
@@ -4,9 +4,9 @@
 //! It speaks the published protocol as its pages give it, written here by hand, so that the adapter is
 //! checked against the pages and not against itself.
 
-pub mod cache;
+pub mod prompt_cache;
 pub mod replica;
-pub mod rows;
+pub mod row_store;
 pub mod sample;
 
 use std::convert::Infallible;
--- a/crates/standin/src/hosted/cache.rs
+++ b/crates/standin/src/hosted/prompt_cache.rs
@@ -6,7 +6,7 @@
 
 /// Parts held, and the latest changes of them.
 #[derive(Debug, Default)]
-pub struct Cache {
+pub struct PromptCache {
     held: BTreeMap<(String, String), u32>,
     changes: Vec<Value>,
     next: u64,
@@ -15,7 +15,7 @@
     restarts: u64,
 }
 
-impl Cache {
+impl PromptCache {
     /// Holds a part under a scope; no tokens drop it.
     pub fn store(&mut self, scope: &str, part: &str, tokens: u32) {
         let key = (scope.to_owned(), part.to_owned());
@@ -35,7 +35,7 @@
     }
 
     /// Keeps no change of before for those who haven't asked yet.
-    pub fn forget(&mut self) {
+    pub fn drop_changes(&mut self) {
         self.changes.clear();
         self.first = self.next;
     }
--- a/crates/standin/src/hosted/replica.rs
+++ b/crates/standin/src/hosted/replica.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use super::cache::Cache;
+use super::prompt_cache::PromptCache;
 use super::{reply, serve, Body, Broken};
 use crate::lock;
 
@@ -51,7 +51,7 @@
 
 /// A request that a replica has seen.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Its id.
     pub id: String,
     /// Its headers.
@@ -69,23 +69,23 @@
     fault: Fault,
     /// A fault that only the first request of several replicas meets, and whether one has met it.
     first: Option<(Fault, Arc<AtomicBool>)>,
-    fatal: Option<String>,
-    seen: Vec<Seen>,
-    cache: Cache,
+    crash_path: Option<String>,
+    requests: Vec<ReceivedRequest>,
+    cache: PromptCache,
     orders: Vec<Value>,
     versions: HashMap<String, u64>,
     seq: u64,
     /// How long it takes to load weights, and the load under way.
-    takes: Duration,
+    load_time: Duration,
     load: Option<Load>,
     loads: Vec<Load>,
     /// How long its answer to an order takes.
-    answers: Duration,
-    life: u64,
+    order_delay: Duration,
+    restarts: u64,
     addr: Option<SocketAddr>,
     /// Requests at work, and those whose caller left before the end.
-    working: usize,
-    left: usize,
+    running: usize,
+    abandoned: usize,
 }
 
 /// A load of weights.
@@ -96,7 +96,7 @@
     /// The version.
     pub version: u64,
     /// When it began.
-    pub begun: Instant,
+    pub started: Instant,
     /// When it is there.
     pub ends: Instant,
 }
@@ -162,18 +162,18 @@
 
     /// From now on a request to a path breaks the connection as soon as it has begun to run, as if it
     /// had crashed the replica. The test enters the replica's next life in the list.
-    pub fn set_fatal(&self, path: &str) {
-        lock(&self.state).fatal = Some(path.to_owned());
+    pub fn set_crash_path(&self, path: &str) {
+        lock(&self.state).crash_path = Some(path.to_owned());
     }
 
     /// Takes so long to load weights from now on; what comes meanwhile is refused.
-    pub fn set_load(&self, takes: Duration) {
-        lock(&self.state).takes = takes;
+    pub fn set_load_time(&self, load_time: Duration) {
+        lock(&self.state).load_time = load_time;
     }
 
     /// Carries orders out at once from now on, and answers them so much later.
-    pub fn set_slow_orders(&self, answers: Duration) {
-        lock(&self.state).answers = answers;
+    pub fn set_order_delay(&self, order_delay: Duration) {
+        lock(&self.state).order_delay = order_delay;
     }
 
     /// The load under way, if there is one; one that has ended is in force.
@@ -198,13 +198,13 @@
         let mut state = lock(&self.state);
         state.seq = 0;
         state.load = None;
-        state.life += 1;
+        state.restarts += 1;
         state.cache.restart();
     }
 
     /// Times that it has started again.
-    pub fn life(&self) -> u64 {
-        lock(&self.state).life
+    pub fn restarts(&self) -> u64 {
+        lock(&self.state).restarts
     }
 
     /// Loads a model's weights, as after a start.
@@ -220,13 +220,13 @@
     }
 
     /// Does something with what it holds of prompts.
-    pub fn with_cache<T>(&self, change: impl FnOnce(&mut Cache) -> T) -> T {
+    pub fn with_cache<T>(&self, change: impl FnOnce(&mut PromptCache) -> T) -> T {
         change(&mut lock(&self.state).cache)
     }
 
     /// All requests seen.
-    pub fn seen(&self) -> Vec<Seen> {
-        lock(&self.state).seen.clone()
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
+        lock(&self.state).requests.clone()
     }
 
     /// Where it answers, once it does.
@@ -240,20 +240,20 @@
     }
 
     /// Requests at work.
-    pub fn working(&self) -> usize {
-        lock(&self.state).working
+    pub fn running(&self) -> usize {
+        lock(&self.state).running
     }
 
     /// Requests whose caller left before the end.
-    pub fn left(&self) -> usize {
-        lock(&self.state).left
+    pub fn abandoned(&self) -> usize {
+        lock(&self.state).abandoned
     }
 
     /// Waits until a request is at work.
-    pub async fn at_work(&self) {
+    pub async fn wait_running(&self) {
         loop {
             let changed = self.changed.notified();
-            if self.working() > 0 {
+            if self.running() > 0 {
                 return;
             }
             changed.await;
@@ -261,10 +261,10 @@
     }
 
     /// Waits until some caller has left.
-    pub async fn caller_left(&self) {
+    pub async fn wait_abandoned(&self) {
         loop {
             let changed = self.changed.notified();
-            if self.left() > 0 {
+            if self.abandoned() > 0 {
                 return;
             }
             changed.await;
@@ -283,8 +283,8 @@
                     Some(id) if id != self.id => reply(StatusCode::MISDIRECTED_REQUEST, ""),
                     _ => self.order(&body, meant),
                 };
-                let answers = lock(&self.state).answers;
-                sleep(answers).await;
+                let order_delay = lock(&self.state).order_delay;
+                sleep(order_delay).await;
                 return Some(answer);
             }
             "/api/kv-events" => {
@@ -295,7 +295,7 @@
                 return Some(reply(StatusCode::OK, changes.to_string()));
             }
             "/api/kv-list" => {
-                let held = self.with_cache(Cache::list);
+                let held = self.with_cache(PromptCache::list);
                 return Some(reply(StatusCode::OK, held.to_string()));
             }
             _ => {}
@@ -319,14 +319,14 @@
         }
         let loading = !model.is_empty() && self.loading().is_some();
         let fault = if loading { Fault::Full } else { self.fault() };
-        lock(&self.state).seen.push(Seen {
+        lock(&self.state).requests.push(ReceivedRequest {
             id: id.clone(),
             headers: parts.headers.clone(),
             path: parts.uri.to_string(),
             body: body.clone(),
             ran: fault != Fault::Full,
         });
-        if lock(&self.state).fatal.as_deref() == Some(parts.uri.path()) {
+        if lock(&self.state).crash_path.as_deref() == Some(parts.uri.path()) {
             return None;
         }
         match fault {
@@ -411,7 +411,7 @@
             .map(|(m, v)| json!({"name": m, "version": v, "adapters": []}))
             .collect();
         json!({"stage": "unified", "models": models, "busy": busy, "seq": state.seq,
-            "queued": 0, "active": state.working, "kv_used": 0, "kv_total": 100_000, "runs": []})
+            "queued": 0, "active": state.running, "kv_used": 0, "kv_total": 100_000, "runs": []})
     }
 
     fn order(&self, body: &Bytes, meant: Option<&str>) -> Response<Body> {
@@ -426,15 +426,15 @@
         state.seq += 1;
         let model = order["model"].as_str().unwrap_or_default().to_owned();
         let version = order["version"].as_u64().unwrap_or_default();
-        let begun = Instant::now();
-        let ends = begun + state.takes;
-        match state.takes.is_zero() {
+        let started = Instant::now();
+        let ends = started + state.load_time;
+        match state.load_time.is_zero() {
             true => drop(state.versions.insert(model, version)),
             false => {
                 let load = Load {
                     model,
                     version,
-                    begun,
+                    started,
                     ends,
                 };
                 state.loads.push(load.clone());
@@ -442,7 +442,7 @@
             }
         }
         order["meant"] = meant.into();
-        let at = begun.duration_since(self.began).as_millis() as u64;
+        let at = started.duration_since(self.began).as_millis() as u64;
         order["at_ms"] = at.into();
         state.orders.push(order);
         reply(StatusCode::ACCEPTED, "")
@@ -457,7 +457,7 @@
 
 impl Work {
     fn new(replica: &Arc<Replica>) -> Self {
-        lock(&replica.state).working += 1;
+        lock(&replica.state).running += 1;
         replica.changed.notify_waiters();
         Self {
             replica: Arc::clone(replica),
@@ -476,9 +476,9 @@
 impl Drop for Work {
     fn drop(&mut self) {
         let mut state = lock(&self.replica.state);
-        state.working -= 1;
+        state.running -= 1;
         if !self.done {
-            state.left += 1;
+            state.abandoned += 1;
         }
         drop(state);
         self.replica.changed.notify_waiters();
--- a/crates/standin/src/hosted/rows.rs
+++ b/crates/standin/src/hosted/row_store.rs
@@ -40,21 +40,21 @@
 
 /// A copy of the store.
 #[derive(Clone, Debug)]
-pub struct Copy {
+pub struct Snapshot {
     rows: Tables,
     version: u64,
 }
 
 /// What the store's answers say of its era.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Named {
+pub enum EraHeader {
     /// The era.
     #[default]
-    True,
+    Current,
     /// Nothing.
-    Nothing,
+    Missing,
     /// This text.
-    Text(&'static str),
+    Value(&'static str),
 }
 
 #[derive(Debug)]
@@ -63,9 +63,9 @@
     version: u64,
     /// Rises with each restore.
     era: u64,
-    named: Named,
+    era_header: EraHeader,
     /// Changes up to here can no longer be asked for.
-    forgotten: u64,
+    history_start: u64,
     fault: Fault,
     calls: u64,
 }
@@ -76,8 +76,8 @@
             rows: Tables::new(),
             version: 0,
             era: 1,
-            named: Named::True,
-            forgotten: 0,
+            era_header: EraHeader::Current,
+            history_start: 0,
             fault: Fault::None,
             calls: 0,
         }
@@ -182,34 +182,34 @@
     }
 
     /// Drops the history of changes.
-    pub fn forget(&self) {
+    pub fn drop_history(&self) {
         let mut state = lock(&self.state);
-        state.forgotten = state.version;
+        state.history_start = state.version;
     }
 
     /// A copy as of now.
-    pub fn copy(&self) -> Copy {
+    pub fn snapshot(&self) -> Snapshot {
         let state = lock(&self.state);
-        Copy {
+        Snapshot {
             rows: state.rows.clone(),
             version: state.version,
         }
     }
 
     /// Comes back from a copy: what was written since is gone, and versions are given out again.
-    pub fn restore(&self, copy: &Copy) {
+    pub fn restore(&self, snapshot: &Snapshot) {
         let mut state = lock(&self.state);
-        state.rows.clone_from(&copy.rows);
-        state.version = copy.version;
-        state.forgotten = state.forgotten.min(copy.version);
+        state.rows.clone_from(&snapshot.rows);
+        state.version = snapshot.version;
+        state.history_start = state.history_start.min(snapshot.version);
         state.era += 1;
         drop(state);
         self.changed.notify_waiters();
     }
 
     /// Names its era like this from now on.
-    pub fn set_named(&self, named: Named) {
-        lock(&self.state).named = named;
+    pub fn set_era_header(&self, era_header: EraHeader) {
+        lock(&self.state).era_header = era_header;
     }
 
     /// Calls that arrived.
@@ -220,10 +220,10 @@
     async fn answer(&self, request: Request<Incoming>) -> Option<Response<Body>> {
         let mut answer = self.call(request).await?;
         let state = lock(&self.state);
-        let era = match state.named {
-            Named::True => state.era.to_string(),
-            Named::Nothing => return Some(answer),
-            Named::Text(text) => text.to_owned(),
+        let era = match state.era_header {
+            EraHeader::Current => state.era.to_string(),
+            EraHeader::Missing => return Some(answer),
+            EraHeader::Value(text) => text.to_owned(),
         };
         if let Ok(era) = HeaderValue::try_from(era) {
             answer.headers_mut().insert("store-era", era);
@@ -277,7 +277,7 @@
                     () if matches!(state.fault, Fault::Busy | Fault::Silent) => {
                         return reply(StatusCode::SERVICE_UNAVAILABLE, "")
                     }
-                    () if after < state.forgotten || after > state.version => {
+                    () if after < state.history_start || after > state.version => {
                         return reply(StatusCode::GONE, "")
                     }
                     () => {}
