--- a/crates/daemon/tests/hosted/delegates.rs
+++ b/crates/daemon/tests/hosted/delegates.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use serde_json::{json, Value};
 use standin::hosted::replica::Replica;
-use standin::switch::{Path, Switch};
+use standin::switch::{Conditions, Switch};
 use tokio::time::{sleep, timeout};
 
 use crate::fleet::{ask, Entry, Platform, Process, MODEL};
@@ -69,9 +69,9 @@
     async fn start(c: &Case, seed: u64) -> Self {
         let mut platform = Platform::start().await;
         let switch = Switch::new(seed);
-        switch.set(Path {
+        switch.set_conditions(Conditions {
             loss: c.loss,
-            ..Path::GOOD
+            ..Conditions::IDEAL
         });
         platform.store.set_switch(switch);
         let engines = ["e1", "e2", "e3"].map(|id| Replica::new(id, 2, Duration::ZERO));
--- a/crates/daemon/tests/hosted/fatal.rs
+++ b/crates/daemon/tests/hosted/fatal.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use standin::hosted::replica::Replica;
-use standin::switch::{Path, Switch};
+use standin::switch::{Conditions, Switch};
 use tokio::time::sleep;
 
 use crate::fleet::{ask, Entry, Platform, MODEL};
@@ -157,7 +157,7 @@
     let switch = Switch::new(0);
     platform.store.set_switch(Arc::clone(&switch));
     let mut fleet = Fleet::on(platform).await;
-    switch.set(Path {
+    switch.set_conditions(Conditions {
         loss: 1.0,
         delay: Duration::ZERO,
     });
@@ -167,7 +167,7 @@
     let own = |s: &serde_json::Value| s["source"] == "own";
     fleet.entries[0].process.event("suspected", own).await;
     sleep(LOST).await;
-    switch.set(Path::GOOD);
+    switch.set_conditions(Conditions::IDEAL);
     let peer = |s: &serde_json::Value| s["source"] == "peer";
     fleet.entries[1].process.event("suspected", peer).await;
 }
--- a/crates/daemon/tests/hosted/losses.rs
+++ b/crates/daemon/tests/hosted/losses.rs
@@ -5,7 +5,7 @@
 
 use futures::future::join_all;
 use standin::hosted::replica::Replica;
-use standin::switch::{Path, Switch};
+use standin::switch::{Conditions, Switch};
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::fleet::{ask, Platform};
@@ -55,7 +55,7 @@
     }
     // Readers are found within a few reads of the list.
     sleep(LEFT).await;
-    switch.set(Path {
+    switch.set_conditions(Conditions {
         loss: 1.0,
         delay: Duration::ZERO,
     });
--- a/crates/daemon/tests/hosted/slots.rs
+++ b/crates/daemon/tests/hosted/slots.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use serde_json::json;
 use standin::hosted::replica::Replica;
-use standin::switch::{Path, Switch};
+use standin::switch::{Conditions, Switch};
 use tokio::time::{sleep, timeout};
 
 use crate::fleet::{ask, Platform, Process, LIMIT, MODEL};
@@ -32,7 +32,7 @@
 
 struct Case {
     name: &'static str,
-    path: Path,
+    path: Conditions,
     /// How much later a second version is named.
     second: Option<Duration>,
 }
@@ -43,10 +43,10 @@
     let ms = Duration::from_millis;
     #[rustfmt::skip]
     let cases = [
-        Case { name: "all arrive", path: Path::GOOD, second: None },
-        Case { name: "some are lost", path: Path { loss: 0.3, delay: ms(2) }, second: None },
-        Case { name: "they overtake one another", path: Path { loss: 0.0, delay: ms(60) }, second: None },
-        Case { name: "a second version follows", path: Path { loss: 0.1, delay: ms(10) }, second: Some(ms(100)) },
+        Case { name: "all arrive", path: Conditions::IDEAL, second: None },
+        Case { name: "some are lost", path: Conditions { loss: 0.3, delay: ms(2) }, second: None },
+        Case { name: "they overtake one another", path: Conditions { loss: 0.0, delay: ms(60) }, second: None },
+        Case { name: "a second version follows", path: Conditions { loss: 0.1, delay: ms(10) }, second: Some(ms(100)) },
     ];
     let stops = [Stop::Before, Stop::Within, Stop::Killed];
     for (seed, c) in (0..).zip(&cases) {
@@ -60,9 +60,9 @@
 #[tokio::test]
 async fn order_names_the_incarnation_though_no_datagram_arrives() {
     let switch = Switch::new(1);
-    switch.set(Path {
+    switch.set_conditions(Conditions {
         loss: 1.0,
-        ..Path::GOOD
+        ..Conditions::IDEAL
     });
     let mut platform = Platform::start().await;
     platform.store.set_switch(Arc::clone(&switch));
@@ -88,9 +88,9 @@
 async fn served(seed: u64) {
     let switch = Switch::new(seed);
     let three = Three::behind(&switch).await;
-    switch.set(Path {
+    switch.set_conditions(Conditions {
         loss: 0.3,
-        ..Path::GOOD
+        ..Conditions::IDEAL
     });
     three.name(2);
     let rolled = async {
@@ -114,7 +114,7 @@
 async fn run(c: &Case, stop: Stop, who: usize, seed: u64) {
     let switch = Switch::new(seed);
     let mut three = Three::behind(&switch).await;
-    switch.set(c.path);
+    switch.set_conditions(c.path);
     let waited = timeout(LIMIT, rolled(&mut three, c, stop, who)).await;
     let context = || format!("{}, {stop:?} {who}: {:?}", c.name, three.orders());
     let tails = || three.sidecars.iter().map(Process::tail).collect::<String>();
--- a/crates/daemon/tests/hosted/soak/harm.rs
+++ b/crates/daemon/tests/hosted/soak/harm.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, SeedableRng};
 use standin::hosted::replica::Fault;
 use standin::hosted::row_store;
-use standin::link::Trouble;
-use standin::switch::Path;
+use standin::link::LinkFault;
+use standin::switch::Conditions;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
@@ -30,13 +30,13 @@
     Fault::None,
 ];
 /// Troubles of links that may come.
-const TROUBLES: [Trouble; 6] = [
-    Trouble::Slow(Duration::from_millis(30)),
-    Trouble::Slow(Duration::from_millis(200)),
-    Trouble::CutUp,
-    Trouble::CutDown,
-    Trouble::Silent,
-    Trouble::Refuse,
+const TROUBLES: [LinkFault; 6] = [
+    LinkFault::Slow(Duration::from_millis(30)),
+    LinkFault::Slow(Duration::from_millis(200)),
+    LinkFault::HoldUp,
+    LinkFault::HoldDown,
+    LinkFault::HoldBoth,
+    LinkFault::Refuse,
 ];
 
 /// Parts of the datagrams that may be lost.
@@ -82,13 +82,13 @@
 pub async fn datagrams(world: Arc<World>, seed: u64, end: Instant) {
     let mut rng = StdRng::seed_from_u64(seed ^ DATAGRAMS);
     while Instant::now() < end {
-        let path = Path {
+        let path = Conditions {
             loss: *LOSSES.choose(&mut rng).expect("a loss"),
             delay: Duration::from_millis(rng.random_range(0..200)),
         };
-        world.switch.set(path);
+        world.switch.set_conditions(path);
         sleep(Duration::from_millis(rng.random_range(50..900))).await;
-        world.switch.set(Path::GOOD);
+        world.switch.set_conditions(Conditions::IDEAL);
         sleep(Duration::from_millis(rng.random_range(50..900))).await;
     }
 }
@@ -102,10 +102,10 @@
         }
         5..=8 => {
             let link = Arc::clone(world.links().choose(rng).expect("a link"));
-            link.set(*TROUBLES.choose(rng).expect("a trouble"));
+            link.set_fault(*TROUBLES.choose(rng).expect("a trouble"));
             lasting.spawn(async move {
                 sleep(lasts).await;
-                link.set(Trouble::None);
+                link.set_fault(LinkFault::None);
             });
         }
         9..=10 => world.links().choose(rng).expect("a link").reset(),
--- a/crates/daemon/tests/hosted/soak/world.rs
+++ b/crates/daemon/tests/hosted/soak/world.rs
@@ -8,8 +8,8 @@
 use serde_json::json;
 use standin::hosted::replica::{Fault, Replica};
 use standin::hosted::row_store;
-use standin::link::{Link, Trouble};
-use standin::switch::{Path, Switch};
+use standin::link::{Link, LinkFault};
+use standin::switch::{Conditions, Switch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
@@ -207,7 +207,7 @@
         }
         let store = front.host.store.addr();
         let entry = self.platform.unready(&front.host.name, store).await;
-        front.link.lead(entry.callers);
+        front.link.redirect(entry.callers);
         front.host.replace(entry);
     }
 
@@ -273,8 +273,10 @@
     /// Ends all troubles.
     pub fn heal(&self) {
         self.platform.store.set_fault(row_store::Fault::None);
-        self.links().iter().for_each(|l| l.set(Trouble::None));
-        self.switch.set(Path::GOOD);
+        self.links()
+            .iter()
+            .for_each(|l| l.set_fault(LinkFault::None));
+        self.switch.set_conditions(Conditions::IDEAL);
         for behind in &self.replicas {
             behind.replica.set_fault(Fault::None);
             self.enter(behind, "ready");
--- a/crates/daemon/tests/hosted/store.rs
+++ b/crates/daemon/tests/hosted/store.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use standin::hosted::replica::Replica;
 use standin::hosted::row_store::{Fault, Store};
-use standin::link::{Link, Trouble};
+use standin::link::{Link, LinkFault};
 use tokio::time::{sleep, timeout};
 
 use crate::fleet::{ask, config, ready, Entry, Platform, LIMIT};
@@ -205,7 +205,7 @@
     let _other = platform.entry("front-1", 1).await;
     let away = platform.entry_on("front-2", link.addr(), 1).await;
     away.process.event("members", |m| m["entries"] == 1).await;
-    link.set(Trouble::Refuse);
+    link.set_fault(LinkFault::Refuse);
     link.reset();
     let second = Replica::new("p2", 0, Duration::ZERO);
     platform.replica(&second, "plain").await;
@@ -232,7 +232,7 @@
     let _other = platform.entry("front-1", 2).await;
     let away = platform.entry_on("front-2", link.addr(), 2).await;
     away.process.event("members", |m| m["entries"] == 1).await;
-    link.set(Trouble::Refuse);
+    link.set_fault(LinkFault::Refuse);
     link.reset();
     away.process
         .event("lost", |e| e["dependency"] == "list")
@@ -267,7 +267,7 @@
         .entry_on("front-2", link.addr(), targets.len())
         .await;
     away.process.event("members", |m| m["entries"] == 1).await;
-    link.set(Trouble::Silent);
+    link.set_fault(LinkFault::HoldBoth);
     away.process
         .event("lost", |e| e["dependency"] == "list")
         .await;
@@ -319,10 +319,10 @@
     let entry = &entries[cut];
     entry.process.event("members", |m| m["entries"] == 2).await;
     let list = |e: &serde_json::Value| e["dependency"] == "list";
-    link.set(Trouble::Refuse);
+    link.set_fault(LinkFault::Refuse);
     link.reset();
     entry.process.event("lost", list).await;
-    link.set(Trouble::None);
+    link.set_fault(LinkFault::None);
     entry.process.event("regained", list).await;
     platform.store.remove("servers", "p1");
     let left = Instant::now();
--- a/crates/standin/src/hosted/row_store.rs
+++ b/crates/standin/src/hosted/row_store.rs
@@ -170,7 +170,7 @@
         let bytes = base64::engine::general_purpose::STANDARD.decode(text);
         let mut member: Value = serde_json::from_slice(&bytes.ok()?).ok()?;
         let process = member["addr"].as_str()?.parse().ok()?;
-        let addr = switch.enter(name, process).ok()?;
+        let addr = switch.register(name, process).ok()?;
         member["addr"] = addr.to_string().into();
         Some(base64(member.to_string().as_bytes()))
     }
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -21,28 +21,28 @@
 
 /// What is wrong with a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Trouble {
+pub enum LinkFault {
     /// Nothing.
     #[default]
     None,
     /// Each piece takes this much longer.
     Slow(Duration),
     /// Nothing reaches the far end.
-    CutUp,
+    HoldUp,
     /// Nothing comes back.
-    CutDown,
+    HoldDown,
     /// Nothing passes either way; new connections are taken and get no answer.
-    Silent,
+    HoldBoth,
     /// New connections are reset.
     Refuse,
 }
 
-impl Trouble {
+impl LinkFault {
     fn holds(self, up: bool) -> bool {
         match self {
-            Self::CutUp => up,
-            Self::CutDown => !up,
-            Self::Silent => true,
+            Self::HoldUp => up,
+            Self::HoldDown => !up,
+            Self::HoldBoth => true,
             Self::None | Self::Slow(_) | Self::Refuse => false,
         }
     }
@@ -53,7 +53,7 @@
 pub struct Link {
     addr: SocketAddr,
     to: Mutex<SocketAddr>,
-    trouble: watch::Sender<Trouble>,
+    fault: watch::Sender<LinkFault>,
     resets: watch::Sender<u64>,
 }
 
@@ -65,7 +65,7 @@
     /// If no port can be bound.
     pub async fn start(to: SocketAddr) -> io::Result<(Arc<Self>, JoinSet<()>)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (link, accept) = Self::on(listener, to)?;
+        let (link, accept) = Self::from_listener(listener, to)?;
         let mut tasks = JoinSet::new();
         tasks.spawn(accept);
         Ok((link, tasks))
@@ -76,14 +76,14 @@
     /// # Errors
     ///
     /// If the listener has no address.
-    pub fn on(
+    pub fn from_listener(
         listener: TcpListener,
         to: SocketAddr,
     ) -> io::Result<(Arc<Self>, impl Future<Output = ()>)> {
         let link = Arc::new(Self {
             addr: listener.local_addr()?,
             to: Mutex::new(to),
-            trouble: watch::channel(Trouble::None).0,
+            fault: watch::channel(LinkFault::None).0,
             resets: watch::channel(0).0,
         });
         let accept = accept(Arc::clone(&link), listener);
@@ -96,13 +96,13 @@
     }
 
     /// New connections go to another far end from now on.
-    pub fn lead(&self, to: SocketAddr) {
+    pub fn redirect(&self, to: SocketAddr) {
         *lock(&self.to) = to;
     }
 
-    /// Gets into some trouble, or out of it.
-    pub fn set(&self, trouble: Trouble) {
-        self.trouble.send_replace(trouble);
+    /// Gets into some fault, or out of it.
+    pub fn set_fault(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
 
     /// Resets all connections.
@@ -114,7 +114,7 @@
 async fn accept(link: Arc<Link>, listener: TcpListener) {
     let mut connections = JoinSet::new();
     while let Ok((near, _)) = listener.accept().await {
-        if *link.trouble.borrow() == Trouble::Refuse {
+        if *link.fault.borrow() == LinkFault::Refuse {
             abort(&near);
             continue;
         }
@@ -163,15 +163,15 @@
     mut to: WriteHalf<'_>,
     up: bool,
 ) -> io::Result<()> {
-    let mut trouble = link.trouble.subscribe();
+    let mut fault = link.fault.subscribe();
     let mut buffer = vec![0; 16 << 10];
     loop {
         let n = from.read(&mut buffer).await?;
         // Ends are held back like bytes.
-        let held = trouble.wait_for(|t| !t.holds(up)).await;
+        let held = fault.wait_for(|t| !t.holds(up)).await;
         held.map_err(io::Error::other)?;
-        let now = *trouble.borrow();
-        if let Trouble::Slow(delay) = now {
+        let now = *fault.borrow();
+        if let LinkFault::Slow(delay) = now {
             sleep(delay).await;
         }
         match n {
--- a/crates/standin/src/switch.rs
+++ b/crates/standin/src/switch.rs
@@ -24,16 +24,16 @@
 
 /// What happens to datagrams.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Path {
+pub struct Conditions {
     /// Part that is lost.
     pub loss: f64,
     /// Longest delay; each datagram has its own, so that some overtake others.
     pub delay: Duration,
 }
 
-impl Path {
+impl Conditions {
     /// All datagrams pass at once.
-    pub const GOOD: Self = Self {
+    pub const IDEAL: Self = Self {
         loss: 0.0,
         delay: Duration::ZERO,
     };
@@ -53,7 +53,7 @@
 /// A switch.
 #[derive(Debug)]
 pub struct Switch {
-    path: Mutex<Path>,
+    conditions: Mutex<Conditions>,
     rng: Mutex<StdRng>,
     ports: Mutex<HashMap<String, Port>>,
     tasks: Mutex<JoinSet<()>>,
@@ -63,7 +63,7 @@
     /// A switch whose losses and delays are drawn from a seed.
     pub fn new(seed: u64) -> Arc<Self> {
         Arc::new(Self {
-            path: Mutex::new(Path::GOOD),
+            conditions: Mutex::new(Conditions::IDEAL),
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
             ports: Mutex::default(),
             tasks: Mutex::default(),
@@ -71,8 +71,8 @@
     }
 
     /// Treats datagrams like this from now on.
-    pub fn set(&self, path: Path) {
-        *lock(&self.path) = path;
+    pub fn set_conditions(&self, conditions: Conditions) {
+        *lock(&self.conditions) = conditions;
     }
 
     /// Enters where a process of a name is, again after each of its starts; gives where others reach it.
@@ -80,16 +80,16 @@
     /// # Errors
     ///
     /// If no port can be bound.
-    pub fn enter(self: &Arc<Self>, name: &str, process: SocketAddr) -> io::Result<SocketAddr> {
+    pub fn register(self: &Arc<Self>, name: &str, process: SocketAddr) -> io::Result<SocketAddr> {
         let mut ports = lock(&self.ports);
         if let Some(port) = ports.get_mut(name) {
             port.process = process;
-            port.link.lead(process);
+            port.link.redirect(process);
             return Ok(port.addr);
         }
         let (tcp, udp) = bind()?;
         let addr = tcp.local_addr()?;
-        let (link, accept) = Link::on(tcp, process)?;
+        let (link, accept) = Link::from_listener(tcp, process)?;
         let socket = Arc::new(udp);
         let mut tasks = lock(&self.tasks);
         tasks.spawn(accept);
@@ -106,11 +106,11 @@
 
     /// How long a datagram takes; none if it is lost.
     fn draw(&self) -> Option<Duration> {
-        let path = *lock(&self.path);
+        let conditions = *lock(&self.conditions);
         let mut rng = lock(&self.rng);
-        let lost = rng.random_bool(path.loss.clamp(0.0, 1.0));
+        let lost = rng.random_bool(conditions.loss.clamp(0.0, 1.0));
         let part = rng.random::<f64>();
-        (!lost).then(|| path.delay.mul_f64(part))
+        (!lost).then(|| conditions.delay.mul_f64(part))
     }
 
     /// The sender's socket at the switch, and where a process is.
