--- a/crates/daemon/tests/alive.rs
+++ b/crates/daemon/tests/alive.rs
@@ -57,7 +57,7 @@
     let run = |case: Answer| {
         let fleet = Fleet::start(1, 1, &slow());
         let engine = &fleet.replicas[0].engine;
-        engine.misbehave(late());
+        engine.set_faults(late());
         let body = completion(case.what, TOKENS, case.stream);
         let answer = fleet.caller(0).post("/v1/completions", &body);
         let text = answer.text();
@@ -66,7 +66,7 @@
             assert!(answer.whole(), "{text}");
             assert_eq!(answer.words(), words(case.what, TOKENS));
         }
-        let ran = engine.ran();
+        let ran = engine.run_log();
         assert_eq!(ran.len(), 1, "{}: {ran:?}", case.what);
     };
     std::thread::scope(|s| {
@@ -82,7 +82,7 @@
     let fleet = Fleet::start(1, 3, &slow());
     let engines: Vec<_> = fleet.replicas.iter().map(|r| &r.engine).collect();
     for e in &engines {
-        e.misbehave(Faults {
+        e.set_faults(Faults {
             drop: 1,
             after: CLOSED,
             ..Faults::default()
@@ -97,7 +97,7 @@
         let next = || (0..3).find(|n| engines[*n].running() > 0 && !closed.contains(n));
         wait_for("an engine to run it", || next().is_some());
         let n = next().expect("waited for");
-        engines[n].misbehave(late());
+        engines[n].set_faults(late());
         closed.push(n);
     }
     let answer = stream.end();
--- a/crates/daemon/tests/cache.rs
+++ b/crates/daemon/tests/cache.rs
@@ -49,7 +49,7 @@
     let answer = fleet.caller(0).post("/v1/completions", &body);
     assert!(answer.whole(), "{}", answer.text());
     assert_eq!(answer.words(), words(&prompt, 4));
-    assert_eq!(fleet.replicas[0].engine.ran()[0].cached, 0);
+    assert_eq!(fleet.replicas[0].engine.run_log()[0].cached, 0);
 }
 
 /// Two teams send the same prompt, and the second sets the fields that decide whose cache is
@@ -74,7 +74,7 @@
     assert!(cached(&again.json()) > 0, "the team's own blocks are used");
     assert_eq!(cached(&other.json()), 0, "another team's blocks were used");
 
-    let ran = fleet.replicas[0].engine.ran();
+    let ran = fleet.replicas[0].engine.run_log();
     let forged = ran.last().expect("the forged request");
     assert_eq!((forged.priority, forged.resumed, forged.tokens), (1, 0, 4));
     // What the forger finds is what its own team's request has left.
--- a/crates/daemon/tests/caller.rs
+++ b/crates/daemon/tests/caller.rs
@@ -91,7 +91,7 @@
     wait_for("the abandoned requests to leave the engine", || {
         fleet.replicas[0].engine.running() == 0
     });
-    let cut = fleet.replicas[0].engine.ran();
+    let cut = fleet.replicas[0].engine.run_log();
     assert!(cut.iter().any(|r| !r.whole), "nothing was abandoned");
 }
 
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -22,7 +22,7 @@
 
 use serde_json::Value;
 use standin::engine::{Engine, Settings};
-use standin::gate::Gate;
+use standin::freeze::FreezeSwitch;
 use standin::platform::Platform;
 use standin::service::Service;
 use tokio::net::TcpSocket;
@@ -59,7 +59,7 @@
     }
 
     /// Starts one whose open connections can be frozen.
-    pub fn gated(at: SocketAddr, router: Router, gate: Arc<Gate>) -> Self {
+    pub fn gated(at: SocketAddr, router: Router, gate: Arc<FreezeSwitch>) -> Self {
         let run = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
@@ -68,7 +68,7 @@
         let port = take_port(at);
         let at = port.local_addr().expect("address");
         let (at, server) = run
-            .block_on(standin::listen_gated(at, router, gate))
+            .block_on(standin::listen_freezable(at, router, gate))
             .expect("listen");
         run.spawn(server);
         Self {
@@ -126,7 +126,7 @@
     /// Ids of the requests that it ran in any of its lives.
     pub fn requests(&self) -> impl Iterator<Item = String> + '_ {
         let lives = self.past.iter().chain([&self.engine]);
-        lives.flat_map(|e| e.ran()).map(|r| r.request)
+        lives.flat_map(|e| e.run_log()).map(|r| r.request)
     }
 }
 
@@ -206,7 +206,7 @@
     /// Adds an engine whose sidecar others reach through something that cuts connections.
     pub fn add_cut(&mut self, set: &Settings, plan: &Arc<Plan>) {
         let engine = Engine::new(set.clone());
-        let standin = StandIn::gated(any(), engine.router(), engine.gate());
+        let standin = StandIn::gated(any(), engine.router(), engine.freeze_switch());
         let cut = Cut::start(plan);
         let target = format!("http://{}", standin.at);
         #[rustfmt::skip]
@@ -227,7 +227,7 @@
 
     /// Adds an engine behind an interface that may differ from its own, and its sidecar.
     pub fn add_target(&mut self, engine: Arc<Engine>, router: Router) {
-        let standin = StandIn::gated(any(), router, engine.gate());
+        let standin = StandIn::gated(any(), router, engine.freeze_switch());
         let (url, seed) = (self.url(), self.seed());
         let sidecar = Child::sidecar(&url, &seed, standin.at, "lekha-llm", "model");
         self.replicas.push(Replica {
@@ -245,7 +245,7 @@
         r.standin.kill();
         let past = std::mem::replace(&mut r.engine, Engine::new(set.clone()));
         r.past.push(past);
-        r.standin = StandIn::gated(r.standin.at, r.engine.router(), r.engine.gate());
+        r.standin = StandIn::gated(r.standin.at, r.engine.router(), r.engine.freeze_switch());
     }
 
     /// What a replica's sidecar would tell an entry.
@@ -359,6 +359,6 @@
 /// The words that an engine answers.
 pub fn words(prompt: &str, tokens: usize) -> Vec<String> {
     (0..tokens)
-        .map(|i| standin::engine::word(prompt, i))
+        .map(|i| standin::engine::answer_token(prompt, i))
         .collect()
 }
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -102,7 +102,7 @@
         lose: 1,
         ..Faults::default()
     };
-    fleet.platform.misbehave(lose);
+    fleet.platform.set_faults(lose);
     let first = change(&fleet, 0, Some(base), "once");
     assert_eq!(accepted(&first), base + 1);
     let again = change(&fleet, 1, Some(base), "once");
@@ -132,7 +132,7 @@
         outage: true,
         ..Faults::default()
     };
-    fleet.platform.misbehave(outage);
+    fleet.platform.set_faults(outage);
     fleet.entries[2].signal("CONT");
     fleet.fieldops.signal("CONT");
     let mut seen = base;
@@ -308,13 +308,13 @@
         ..Faults::default()
     };
     for away in [faults(true, false), faults(false, true)] {
-        fleet.platform.misbehave(away.clone());
+        fleet.platform.set_faults(away.clone());
         let down = change(&fleet, 0, Some(base), "never");
         assert_eq!(down.status, 503, "{away:?}: {}", down.text());
         assert_eq!(down.code(), "platform_down");
         assert_eq!(shown(&fleet, 0), (base, was.clone()));
     }
-    fleet.platform.misbehave(Faults::default());
+    fleet.platform.set_faults(Faults::default());
     assert_eq!(row(&fleet)["version"], base);
     assert_eq!(accepted(&change(&fleet, 0, Some(base), "now")), base + 1);
 }
--- a/crates/daemon/tests/frames.rs
+++ b/crates/daemon/tests/frames.rs
@@ -385,7 +385,7 @@
     assert_eq!(counted(&fleet.entries[0], refused), 1.0);
     let refused = "clementinestep_requests_total{code=\"bad_request\"}";
     assert!(counted(&fleet.entries[0], refused) >= 2.0);
-    assert!(fleet.replicas[0].engine.ran().iter().all(|r| r.whole));
+    assert!(fleet.replicas[0].engine.run_log().iter().all(|r| r.whole));
 }
 
 /// Operators' ports get the same, and calls without the key.
--- a/crates/daemon/tests/hosted/answers.rs
+++ b/crates/daemon/tests/hosted/answers.rs
@@ -125,7 +125,7 @@
     // The second replica that gets it has no fault any more.
     fleet.engines.iter().for_each(|r| r.set_fault(Fault::None));
     Replica::set_first_fault(&fleet.engines, Fault::Cut);
-    let held = request(&fleet.entry, "/probe/1", "resumed").open().await;
+    let held = request(&fleet.entry, "/probe/1", "resumed").send().await;
     let body = held.expect("an answer").into_body();
     let whole = tokio::time::timeout(LIMIT, body.collect()).await;
     let whole = whole.expect("an end").expect("a whole answer").to_bytes();
@@ -171,7 +171,7 @@
         slow.load(MODEL, 1);
         platform.replica(&slow, "engines").await;
         let entry = platform.entry("front-1", 1).await;
-        let answer = request(&entry, "/probe/1", "silent-1").open().await;
+        let answer = request(&entry, "/probe/1", "silent-1").send().await;
         let other = Replica::new("e2", 3, PAUSE);
         other.load(MODEL, 1);
         other.set_fault(c.other);
@@ -195,7 +195,7 @@
     // of three events and a half.
     let fleet = Fleet::start(6).await;
     Replica::set_first_fault(&fleet.engines, Fault::Short);
-    let held = request(&fleet.entry, "/probe/1", "short").open().await;
+    let held = request(&fleet.entry, "/probe/1", "short").send().await;
     let body = held.expect("an answer").into_body();
     let whole = tokio::time::timeout(LIMIT, body.collect()).await;
     let whole = whole.expect("an end").expect("a whole answer").to_bytes();
@@ -306,7 +306,7 @@
     // A caller hangs up while its replica still works. The replica's connection closes too, so that
     // it doesn't go on for nobody.
     let fleet = Fleet::start(1_000_000).await;
-    let call = request(&fleet.entry, "/code/1", "left").open().await;
+    let call = request(&fleet.entry, "/code/1", "left").send().await;
     let response = call.expect("the head of an answer");
     drop(response);
     let left = async {
@@ -348,7 +348,7 @@
     let deadline = call.headers.iter_mut().find(|(n, _)| *n == "deadline-ms");
     deadline.expect("a deadline").1 = "600".to_owned();
     let began = std::time::Instant::now();
-    let (status, _) = tokio::time::timeout(LIMIT, call.whole())
+    let (status, _) = tokio::time::timeout(LIMIT, call.fetch())
         .await
         .expect("an end")
         .expect("an answer");
--- a/crates/daemon/tests/hosted/callers.rs
+++ b/crates/daemon/tests/hosted/callers.rs
@@ -129,7 +129,7 @@
         call.headers.push((name, "forged".to_owned()));
     }
     call.headers.push(("x-own", "kept".to_owned()));
-    call.whole().await.expect("an answer");
+    call.fetch().await.expect("an answer");
     let seen = plain.requests();
     let headers = &seen[0].headers;
     assert!(!headers.values().any(|v| v == "forged"), "{headers:?}");
@@ -148,7 +148,7 @@
         .expect("a connection");
     let (mut kept, conn) = handshake(TokioIo::new(tcp)).await.expect("HTTP");
     tokio::spawn(conn);
-    let stream = request(&entry, "/code/1", "long").open().await;
+    let stream = request(&entry, "/code/1", "long").send().await;
     let stream = stream.expect("the head of an answer");
     entry.process.signal("TERM");
     entry.process.event("stopping", |_| true).await;
--- a/crates/daemon/tests/hosted/fleet.rs
+++ b/crates/daemon/tests/hosted/fleet.rs
@@ -289,7 +289,7 @@
 /// The same at an address.
 pub async fn ask_at(at: SocketAddr, path: &str, id: &str) -> Result<Answer, CallError> {
     let sent = async {
-        let response = request_to(at, path, id).open().await?;
+        let response = request_to(at, path, id).send().await?;
         let status = response.status().as_u16();
         let headers = response.headers().clone();
         let body = response.into_body().collect().await?.to_bytes();
@@ -309,7 +309,7 @@
 
 /// The same at an address.
 pub async fn ready_at(at: SocketAddr) -> u16 {
-    match Call::get(at, "/api/ready").whole().await {
+    match Call::get(at, "/api/ready").fetch().await {
         Ok((status, _)) => status.as_u16(),
         Err(_) => 0,
     }
--- a/crates/daemon/tests/hosted/held.rs
+++ b/crates/daemon/tests/hosted/held.rs
@@ -174,7 +174,7 @@
                 &format!("known-{n}"),
                 &format!("d4:{LARGE},{n:x}:10"),
             );
-            call.open().await.expect("an answer");
+            call.send().await.expect("an answer");
         }
     };
     timeout(LIMIT, told).await.expect("an entry that knows");
@@ -184,7 +184,7 @@
             n += 1;
             let parts = format!("a1:{LARGE},{n:x}:10");
             let call = prompt(&entry, &format!("other-{n}"), &parts);
-            let answer = call.open().await.expect("an answer");
+            let answer = call.send().await.expect("an answer");
             assert_eq!(answer.status(), 200);
         }
     };
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -89,7 +89,7 @@
         hosts_lag_ms: 60_000,
         ..Faults::default()
     };
-    fleet.platform.misbehave(lag);
+    fleet.platform.set_faults(lag);
     let body = completion("a long answer", 600, true);
     let long = fleet.caller(0).begin("POST", "/v1/completions", &[], &body);
     long.wait_for("data:");
@@ -107,8 +107,8 @@
     }
     let engine = &fleet.replicas[leaving].engine;
     assert_eq!(engine.running(), 1, "the long answer still runs");
-    assert!(engine.ran().is_empty(), "{:?}", engine.ran());
-    assert_eq!(fleet.replicas[1 - leaving].engine.ran().len(), MANY);
+    assert!(engine.run_log().is_empty(), "{:?}", engine.run_log());
+    assert_eq!(fleet.replicas[1 - leaving].engine.run_log().len(), MANY);
     let answer = long.end();
     assert!(answer.whole(), "{}", answer.text());
     assert_eq!(answer.words(), words("a long answer", 600));
@@ -125,10 +125,10 @@
     let mut sent = 0;
     let mut passed = 0;
     wait_for("the announcement to be heeded", || {
-        let before = engine.ran().len();
+        let before = engine.run_log().len();
         ask(&fleet, sent);
         sent += 1;
-        passed = if engine.ran().len() > before {
+        passed = if engine.run_log().len() > before {
             0
         } else {
             passed + 1
@@ -142,7 +142,7 @@
         "alive",
         "it knows nothing of its leave"
     );
-    let before = engine.ran().len();
+    let before = engine.run_log().len();
     (sent..sent + MANY).for_each(|n| ask(&fleet, n));
-    assert_eq!(engine.ran().len(), before);
+    assert_eq!(engine.run_log().len(), before);
 }
--- a/crates/daemon/tests/not_run.rs
+++ b/crates/daemon/tests/not_run.rs
@@ -57,7 +57,7 @@
         Strike { what: "service killed and back", strike: Fleet::revive_service, refuses: false },
         Strike { what: "service's sidecar killed", strike: |f| f.fieldops.kill(), refuses: false },
         Strike { what: "service's sidecar drains", strike: |f| f.fieldops.stop(), refuses: false },
-        Strike { what: "platform down", strike: |f| f.platform.misbehave(platform_faults(true, 0)), refuses: true },
+        Strike { what: "platform down", strike: |f| f.platform.set_faults(platform_faults(true, 0)), refuses: true },
     ];
     for pair in cases.chunks(5) {
         std::thread::scope(|s| {
@@ -77,7 +77,7 @@
 
 fn storm(case: &Strike) {
     let mut fleet = Fleet::start(1, 1, &engine());
-    fleet.platform.misbehave(platform_faults(false, 20));
+    fleet.platform.set_faults(platform_faults(false, 20));
     let to = fleet.caller(0);
     let requests: Vec<_> = (0..STORM)
         .flat_map(|n| [completes(&to, n), records(&to, n)])
@@ -158,7 +158,7 @@
     let cases = [
         Refused { what: "pool without targets", strike: |_| {}, path: "/v1/completions", code: "no_target" },
         Refused { what: "service down", strike: |f| f.service_at.kill(), path: "/records/vote", code: "no_target" },
-        Refused { what: "platform down", strike: |f| f.platform.misbehave(platform_faults(true, 0)), path: "/records/vote", code: "platform_down" },
+        Refused { what: "platform down", strike: |f| f.platform.set_faults(platform_faults(true, 0)), path: "/records/vote", code: "platform_down" },
         Refused { what: "sidecar gone", strike: |f| f.fieldops.kill(), path: "/records/vote", code: "no_target" },
     ];
     for c in cases {
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -87,7 +87,7 @@
 fn pause_around_the_claim_runs_nothing_twice() {
     let run = |step: u64| {
         let mut fleet = fleet(2);
-        fleet.platform.misbehave(platform::Faults {
+        fleet.platform.set_faults(platform::Faults {
             delay_ms: 200,
             ..platform::Faults::default()
         });
@@ -136,7 +136,7 @@
 #[test]
 fn lost_answer_to_the_claim_is_read_back() {
     let fleet = fleet(1);
-    fleet.platform.misbehave(platform::Faults {
+    fleet.platform.set_faults(platform::Faults {
         lose: 1,
         ..platform::Faults::default()
     });
@@ -154,7 +154,7 @@
 fn claim_that_cannot_be_settled_is_refused_as_not_run() {
     let fleet = fleet(1);
     let before = fleet.platform.counts().writes;
-    fleet.platform.misbehave(platform::Faults {
+    fleet.platform.set_faults(platform::Faults {
         lose: 1,
         ..platform::Faults::default()
     });
@@ -163,13 +163,13 @@
     wait_for("the claim's write", || {
         fleet.platform.counts().writes > before
     });
-    fleet.platform.misbehave(platform::Faults {
+    fleet.platform.set_faults(platform::Faults {
         outage: true,
         ..platform::Faults::default()
     });
     assert_refused(&pending.end());
     assert_eq!(fleet.times("vote"), 0);
-    fleet.platform.misbehave(platform::Faults::default());
+    fleet.platform.set_faults(platform::Faults::default());
     let again = write(&caller, "unsettled", "vote");
     assert_eq!(again.status, 409, "{}", again.text());
     assert_eq!(fleet.times("vote"), 0);
@@ -180,7 +180,7 @@
 #[test]
 fn target_dead_after_hand_over_is_not_tried_again() {
     let mut fleet = fleet(2);
-    fleet.service.misbehave(service::Faults {
+    fleet.service.set_faults(service::Faults {
         hang_after: 1,
         ..service::Faults::default()
     });
@@ -209,13 +209,13 @@
 #[test]
 fn platform_down_refuses_as_not_run() {
     let fleet = fleet(1);
-    fleet.platform.misbehave(platform::Faults {
+    fleet.platform.set_faults(platform::Faults {
         outage: true,
         ..platform::Faults::default()
     });
     assert_refused(&write(&fleet.caller(0), "down", "vote"));
     assert_eq!(fleet.times("vote"), 0);
-    fleet.platform.misbehave(platform::Faults::default());
+    fleet.platform.set_faults(platform::Faults::default());
     let answer = write(&fleet.caller(0), "down", "vote");
     assert_eq!(
         (answer.status, fleet.times("vote")),
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -231,7 +231,7 @@
         lose: 1 + lost,
         ..Faults::default()
     };
-    fleet.platform.misbehave(faults);
+    fleet.platform.set_faults(faults);
     let one = "fencing = true\npermits = 1";
     fleet.apply(&weights("2", Fencing::Honour).replace("fencing = true", one));
     let engine = &fleet.replicas[0].engine;
@@ -260,7 +260,7 @@
         outage: true,
         ..Faults::default()
     };
-    fleet.platform.misbehave(outage);
+    fleet.platform.set_faults(outage);
     sidecar.signal("CONT");
     let arrived = fleet.platform.arrived();
     let mut sent = 0;
@@ -276,7 +276,7 @@
     });
     let engine = &fleet.replicas[0].engine;
     assert!(engine.orders().is_empty(), "{:?}", engine.orders());
-    fleet.platform.misbehave(Faults::default());
+    fleet.platform.set_faults(Faults::default());
     wait_loaded(engine, "2");
     let load = Caller::new(fleet.replicas[0].standin.at, "").get("/load");
     assert_eq!(load.json()["model"], "lekha");
--- a/crates/daemon/tests/outage.rs
+++ b/crates/daemon/tests/outage.rs
@@ -89,7 +89,7 @@
 
 fn away(what: &str, faults: Faults) {
     let fleet = Fleet::start(2, 1, &quick());
-    fleet.platform.misbehave(faults);
+    fleet.platform.set_faults(faults);
     let once: Vec<_> = (0..MANY)
         .map(|n| record(&fleet, &format!("{what} {n}")))
         .collect();
@@ -120,7 +120,7 @@
         fleet.service.bodies()
     );
 
-    fleet.platform.misbehave(Faults::default());
+    fleet.platform.set_faults(Faults::default());
     let fresh = record(&fleet, "afterwards").end();
     assert_eq!(fresh.status, 201, "{what}: {}", fresh.text());
     assert_eq!(fleet.service.bodies(), ["afterwards"], "{what}");
@@ -138,7 +138,7 @@
         outage: true,
         ..Faults::default()
     };
-    fleet.platform.misbehave(outage);
+    fleet.platform.set_faults(outage);
     let before = fleet.platform.counts();
     for n in 0..MANY {
         refused("down", &record(&fleet, &format!("lost {n}")).end());
@@ -148,7 +148,7 @@
         fleet.platform.arrived() >= before.arrived + MANY as u64 + 5
     });
     let tries = fleet.platform.arrived() - before.arrived;
-    fleet.platform.misbehave(Faults::default());
+    fleet.platform.set_faults(Faults::default());
     let healed = fleet.platform.counts();
     let since = healed.seconds.last().map_or(0, |s| s.at);
     wait_for("the fleet to read the table for some seconds", || {
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -50,6 +50,6 @@
         assert_eq!(answer.header("x-outcome"), Some("not-run"), "{}", c.what);
         assert!(answer.header("x-request-id").is_some(), "{}", c.what);
     }
-    let log = fleet.replicas[0].engine.ran();
+    let log = fleet.replicas[0].engine.run_log();
     assert!(log.is_empty(), "{log:?}");
 }
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -54,7 +54,7 @@
     };
     let mut took = Vec::new();
     for faults in [away(), paused] {
-        fleet.platform.misbehave(faults);
+        fleet.platform.set_faults(faults);
         let start = Instant::now();
         fleet.entries[1].restart(&[]);
         took.push(serves_at_once(&fleet, 1, start));
@@ -73,7 +73,7 @@
     let mut fleet = Fleet::start(3, 2, &quick());
     let mut took = Vec::new();
     for faults in [Faults::default(), away()] {
-        fleet.platform.misbehave(faults);
+        fleet.platform.set_faults(faults);
         fleet.entries.iter_mut().for_each(common::Child::kill);
         let start = Instant::now();
         fleet.entries.iter_mut().for_each(|e| e.restart(&[]));
@@ -88,7 +88,7 @@
 #[test]
 fn killed_sidecar_takes_work_again_while_the_platform_is_down() {
     let mut fleet = Fleet::start(1, 1, &quick());
-    fleet.platform.misbehave(away());
+    fleet.platform.set_faults(away());
     let start = Instant::now();
     fleet.replicas[0].sidecar.restart(&[]);
     let caller = fleet.caller(0);
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -230,7 +230,7 @@
         queued(stopping) >= 4.0
     });
     let engine = &fleet.replicas[stopping].engine;
-    let begun = engine.ran().len() + engine.running();
+    let begun = engine.run_log().len() + engine.running();
     fleet.replicas[stopping].sidecar.stop();
     for (prompt, pending) in asked {
         let answer = pending.end();
@@ -238,7 +238,7 @@
         assert_eq!(answer.words(), words(&prompt, TOKENS), "{prompt}");
     }
     assert!(fleet.replicas[stopping].sidecar.wait(), "it ends well");
-    let log = [0, 1].map(|r| fleet.replicas[r].engine.ran());
+    let log = [0, 1].map(|r| fleet.replicas[r].engine.run_log());
     assert!(log.iter().flatten().all(|r| r.whole), "{log:?}");
     assert_eq!(log[0].len() + log[1].len(), 16, "each ran once");
     // Two more may have had their turn before the signal was heard.
--- a/crates/daemon/tests/stream.rs
+++ b/crates/daemon/tests/stream.rs
@@ -54,7 +54,7 @@
         Failure { what: "engine dead", strike: |f, at| f.replicas[at].standin.kill() },
         Failure { what: "sidecar killed", strike: |f, at| f.replicas[at].sidecar.kill() },
         Failure { what: "engine's connections silent", strike: |f, at| {
-            f.replicas[at].engine.misbehave(Faults { freeze: true, ..Faults::default() });
+            f.replicas[at].engine.set_faults(Faults { freeze: true, ..Faults::default() });
         } },
     ];
     let run = |case: Failure| {
@@ -66,7 +66,7 @@
         assert!(answer.whole(), "{}: {}", case.what, answer.text());
         assert_eq!(answer.words(), words(&prompt, TOKENS), "{}", case.what);
         let others = fleet.replicas.iter().enumerate().filter(|(i, _)| *i != at);
-        let resumed = others.flat_map(|(_, r)| r.engine.ran());
+        let resumed = others.flat_map(|(_, r)| r.engine.run_log());
         assert!(resumed
             .max_by_key(|r| r.resumed)
             .is_some_and(|r| r.resumed >= 10));
@@ -109,7 +109,7 @@
         ..Faults::default()
     };
     for r in &fleet.replicas[..2] {
-        r.engine.misbehave(closing.clone());
+        r.engine.set_faults(closing.clone());
     }
     let mut n = 0;
     wait_for("both engines to have closed a stream", || {
@@ -118,7 +118,7 @@
         let body = completion(&prompt, 20, true);
         let answer = fleet.caller(0).post("/v1/completions", &body);
         assert_whole(&answer, &prompt, 20);
-        let cut = |r: &common::Replica| r.engine.ran().iter().any(|r| !r.whole);
+        let cut = |r: &common::Replica| r.engine.run_log().iter().any(|r| !r.whole);
         fleet.replicas[..2].iter().all(cut)
     });
 }
@@ -218,7 +218,7 @@
     let body = req.bytes().await.map_err(viz::Error::boxed)?;
     let ask: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let prompt = ask["prompt"].as_str().unwrap_or_default();
-    let first = standin::engine::word(prompt, 0);
+    let first = standin::engine::answer_token(prompt, 0);
     let part = Bytes::from(part.replace("FIRST", &first));
     let pieces = futures::stream::iter([Ok::<_, std::io::Error>(part)]);
     Response::builder()
@@ -317,7 +317,7 @@
         assert_whole(&answer, &prompt, 5);
         let resumed = fleet.replicas[0]
             .engine
-            .ran()
+            .run_log()
             .iter()
             .any(|r| r.resumed == 1);
         assert!(resumed || hits.load(Ordering::Relaxed) == 0);
--- a/crates/standin/examples/engine.rs
+++ b/crates/standin/examples/engine.rs
@@ -98,7 +98,8 @@
         fencing: a.fencing,
         poison: a.poison,
     });
-    let (addr, server) = standin::listen_gated(&a.listen, engine.router(), engine.gate()).await?;
+    let (addr, server) =
+        standin::listen_freezable(&a.listen, engine.router(), engine.freeze_switch()).await?;
     println!("listening {addr}");
     server.await
 }
--- a/crates/standin/examples/load.rs
+++ b/crates/standin/examples/load.rs
@@ -8,11 +8,11 @@
 use argh::FromArgs;
 use standin::cache::chain;
 use standin::call::Call;
-use standin::load::drive::{drive, Drive};
+use standin::load::drive::{drive, DriveConfig};
 use standin::load::fleet::{self, byte_counters, Fleet};
-use standin::load::generate::{generate, Plan, User};
-use standin::load::report::{Evidence, Process, Report, Run};
-use standin::load::reuse::{reuse, Logs};
+use standin::load::generate::{generate, Plan, Workload};
+use standin::load::report::{Process, Report, Run, RunData};
+use standin::load::reuse::{reuse, EngineLogs};
 use standin::load::trace::{read, write, Arrival, Texts};
 use standin::load::usage::Usage;
 use standin::load::LoadError;
@@ -25,8 +25,8 @@
     #[argh(option)]
     trace: Option<PathBuf>,
     /// whose traffic to make up without a trace: association, alpen or hops (default association)
-    #[argh(option, default = "User::Association")]
-    user: User,
+    #[argh(option, default = "Workload::Association")]
+    user: Workload,
     /// seed of made-up traffic (default 1)
     #[argh(option, default = "1")]
     seed: u64,
@@ -178,7 +178,7 @@
 
 async fn run(a: &Args, trace: &[Arrival], fleet: &Fleet) -> Result<Report, LoadError> {
     let pairs = a.keys.split(',').filter_map(|p| p.split_once('='));
-    let set = Drive {
+    let set = DriveConfig {
         entries: fleet.entries.clone(),
         direct: if a.direct {
             fleet.engines.clone()
@@ -196,13 +196,13 @@
     let took = clock.elapsed().as_secs_f64();
     let after = usage(fleet).await;
     let logs = engines(fleet).await?;
-    let ran: Vec<_> = logs.iter().flat_map(|l| l.ran.iter().cloned()).collect();
+    let ran: Vec<_> = logs.iter().flat_map(|l| l.runs.iter().cloned()).collect();
     let calls = services(fleet).await?;
-    let evidence = Evidence {
+    let evidence = RunData {
         done: &done,
         completes: &trace.iter().map(Arrival::completes).collect::<Vec<_>>(),
         idempotent: &trace.iter().map(|a| a.idempotent).collect::<Vec<_>>(),
-        ran: &ran,
+        runs: &ran,
         calls: &calls,
         limit: Duration::from_millis(a.limit_ms),
     };
@@ -271,18 +271,18 @@
         .collect()
 }
 
-async fn engines(fleet: &Fleet) -> Result<Vec<Logs>, LoadError> {
+async fn engines(fleet: &Fleet) -> Result<Vec<EngineLogs>, LoadError> {
     let mut out = Vec::new();
     for &at in &fleet.engines {
-        out.push(Logs {
-            ran: fetch(at, "/log").await?,
+        out.push(EngineLogs {
+            runs: fetch(at, "/log").await?,
             history: fetch(at, "/history").await?,
         });
     }
     Ok(out)
 }
 
-async fn services(fleet: &Fleet) -> Result<Vec<standin::service::Call>, LoadError> {
+async fn services(fleet: &Fleet) -> Result<Vec<standin::service::RecordedCall>, LoadError> {
     let mut out = Vec::new();
     for &at in &fleet.services {
         out.extend(fetch::<Vec<_>>(at, "/runs").await?);
--- a/crates/standin/examples/scale.rs
+++ b/crates/standin/examples/scale.rs
@@ -224,7 +224,7 @@
         let mut call = Call::post(entry.ready.admin, "/admin/configuration", body.to_string());
         call.method = "PUT";
         let auth = format!("Bearer {OPERATOR}");
-        let (status, body) = call.header("authorization", auth).whole().await?;
+        let (status, body) = call.header("authorization", auth).fetch().await?;
         let accepted = began.elapsed();
         let reply: Value = serde_json::from_slice(&body)?;
         let Some(version) = reply["version"].as_f64() else {
@@ -315,7 +315,7 @@
         for p in self.sidecars[kept..].iter_mut().chain(&mut self.entries) {
             p.child.kill().await?;
         }
-        platform.misbehave(Faults {
+        platform.set_faults(Faults {
             outage: away,
             ..Faults::default()
         });
@@ -354,7 +354,7 @@
             began.elapsed()
         });
         let times = timeout(LIMIT, join_all(serve)).await?;
-        platform.misbehave(Faults::default());
+        platform.set_faults(Faults::default());
         let most = times.iter().max().copied().unwrap_or_default();
         stage(
             name,
@@ -396,11 +396,11 @@
 
 async fn call(at: SocketAddr) -> bool {
     let call = Call::get(at, "/quota/1").header("authorization", format!("Bearer {CALLER}"));
-    matches!(call.whole().await, Ok((s, _)) if s.is_success())
+    matches!(call.fetch().await, Ok((s, _)) if s.is_success())
 }
 
 async fn metric(at: SocketAddr, name: &str) -> f64 {
-    let Ok((_, body)) = Call::get(at, "/metrics").whole().await else {
+    let Ok((_, body)) = Call::get(at, "/metrics").fetch().await else {
         return f64::NAN;
     };
     let text = String::from_utf8_lossy(&body).into_owned();
--- a/crates/standin/src/cache.rs
+++ b/crates/standin/src/cache.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of prompt a block; four bytes stand for a token.
-pub const BLOCK: usize = 64;
+pub const BLOCK_BYTES: usize = 64;
 
 /// What an engine publishes of its cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -78,8 +78,12 @@
     }
 
     /// Adds the blocks `from..to` of a prompt and of its chain.
-    pub fn store(&mut self, now: Instant, add: &Piece<'_>, out: &mut Vec<Event>) {
-        let texts = add.prompt.chunks_exact(BLOCK).zip(add.chain).enumerate();
+    pub fn store(&mut self, now: Instant, add: &BlockRange<'_>, out: &mut Vec<Event>) {
+        let texts = add
+            .prompt
+            .chunks_exact(BLOCK_BYTES)
+            .zip(add.chain)
+            .enumerate();
         for (i, (text, &hash)) in texts.take(add.to).skip(add.from) {
             if self.blocks.contains_key(&hash) {
                 continue;
@@ -180,7 +184,7 @@
 
 /// Part of a prompt that was computed.
 #[derive(Clone, Copy, Debug)]
-pub struct Piece<'a> {
+pub struct BlockRange<'a> {
     /// Cache salt.
     pub scope: &'a str,
     /// The whole prompt.
@@ -215,7 +219,7 @@
 pub fn chain(scope: &str, prompt: &[u8]) -> Vec<u64> {
     let mut parent = None;
     prompt
-        .chunks_exact(BLOCK)
+        .chunks_exact(BLOCK_BYTES)
         .map(|text| {
             let h = hash(parent, scope, text);
             parent = Some(h);
--- a/crates/standin/src/call.rs
+++ b/crates/standin/src/call.rs
@@ -70,10 +70,10 @@
     }
 
     /// Sends it; gives the answer once its head is there.
-    pub async fn open(self) -> Result<Response<Incoming>, CallError> {
+    pub async fn send(self) -> Result<Response<Incoming>, CallError> {
         let tcp = TcpStream::connect(self.to).await?;
         tcp.set_nodelay(true)?;
-        let (mut send, conn) = handshake(TokioIo::new(tcp)).await?;
+        let (mut sender, conn) = handshake(TokioIo::new(tcp)).await?;
         tokio::spawn(conn);
         let mut req = hyper::Request::builder()
             .method(self.method)
@@ -84,19 +84,19 @@
         for (name, value) in self.headers {
             req = req.header(name, value);
         }
-        Ok(send.send_request(req.body(Full::new(self.body))?).await?)
+        Ok(sender.send_request(req.body(Full::new(self.body))?).await?)
     }
 
     /// Sends it and reads the whole answer.
-    pub async fn whole(self) -> Result<(StatusCode, Bytes), CallError> {
-        let res = self.open().await?;
+    pub async fn fetch(self) -> Result<(StatusCode, Bytes), CallError> {
+        let res = self.send().await?;
         let status = res.status();
         Ok((status, res.into_body().collect().await?.to_bytes()))
     }
 
     /// Sends it and reads the answer as JSON.
     pub async fn json<T: serde::de::DeserializeOwned>(self) -> Result<(StatusCode, T), CallError> {
-        let (status, body) = self.whole().await?;
+        let (status, body) = self.fetch().await?;
         Ok((status, serde_json::from_slice(&body)?))
     }
 }
--- a/crates/standin/src/lagged.rs
+++ b/crates/standin/src/delayed_value.rs
@@ -5,12 +5,12 @@
 
 /// A value together with its changes that are not seen yet.
 #[derive(Debug, Default)]
-pub struct Lagged<T> {
+pub struct DelayedValue<T> {
     seen: T,
     coming: VecDeque<(Instant, T)>,
 }
 
-impl<T> Lagged<T> {
+impl<T> DelayedValue<T> {
     /// Changes the value; seen once `lag` has passed.
     pub fn set(&mut self, now: Instant, lag: Duration, value: T) {
         self.advance(now);
--- a/crates/standin/src/engine/ask.rs
+++ b/crates/standin/src/engine/ask.rs
@@ -46,7 +46,7 @@
 }
 
 /// The word at a place of a prompt's answer.
-pub fn word(prompt: &str, i: usize) -> String {
+pub fn answer_token(prompt: &str, i: usize) -> String {
     let h = xxhash_rust::xxh3::xxh3_64_with_seed(prompt.as_bytes(), i as u64);
     format!(" w{}", h % 10_000)
 }
--- a/crates/standin/src/engine/feed.rs
+++ b/crates/standin/src/engine/feed.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cache::Event;
-use crate::lagged::Lagged;
+use crate::delayed_value::DelayedValue;
 use crate::{lock, micros};
 
 /// Events kept for those who fetch; whoever is further behind sees a gap.
@@ -54,7 +54,7 @@
     events: VecDeque<Published>,
     history: Vec<Change>,
     load: Load,
-    reported: Lagged<Load>,
+    reported: DelayedValue<Load>,
 }
 
 /// How events are published.
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -34,7 +34,7 @@
             }
             (&Method::GET, "/events") => self.events(req.query_string().unwrap_or_default()),
             (&Method::GET, "/cache") => self.blocks(),
-            (&Method::GET, "/log") => reply::json(StatusCode::OK, &self.ran()),
+            (&Method::GET, "/log") => reply::json(StatusCode::OK, &self.run_log()),
             (&Method::GET, "/history") => reply::json(StatusCode::OK, &self.feed.history()),
             (&Method::POST, "/kv") => self.import(&body).await,
             (&Method::GET, p) if p.starts_with("/kv/") => self.export(p[4..].parse().ok()),
@@ -131,7 +131,7 @@
 
     fn fault(&self, body: &[u8], peer: Option<SocketAddr>) -> Result<Response> {
         match serde_json::from_slice::<Faults>(body) {
-            Ok(f) => self.misbehave_but(f, peer),
+            Ok(f) => self.set_faults_except(f, peer),
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
         }
         reply::json(StatusCode::OK, &self.faults.get())
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use viz::{Response, Result, StatusCode};
 
-use crate::cache::{chain, Piece, BLOCK};
+use crate::cache::{chain, BlockRange, BLOCK_BYTES};
 use crate::engine::Engine;
 use crate::{lock, reply};
 
@@ -51,8 +51,8 @@
             Ok(k) => k,
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
         };
-        if kept.texts.iter().any(|t| t.len() != BLOCK) {
-            let text = format!("blocks have {BLOCK} bytes");
+        if kept.texts.iter().any(|t| t.len() != BLOCK_BYTES) {
+            let text = format!("blocks have {BLOCK_BYTES} bytes");
             return reply::json(StatusCode::BAD_REQUEST, &json!({ "error": text }));
         }
         let time = self.set.import * kept.texts.len() as u32;
@@ -69,7 +69,7 @@
         }
         let prompt = kept.texts.concat();
         let chain = chain(&kept.scope, prompt.as_bytes());
-        let piece = Piece {
+        let piece = BlockRange {
             scope: &kept.scope,
             prompt: prompt.as_bytes(),
             chain: &chain,
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -26,7 +26,7 @@
 mod schedule;
 mod settings;
 
-pub use ask::word;
+pub use ask::answer_token;
 pub use faults::Faults;
 pub use feed::Change;
 pub use kv::KvExport;
@@ -43,7 +43,7 @@
 use tokio::sync::watch;
 
 use crate::cache::{Cache, Event};
-use crate::gate::Gate;
+use crate::freeze::FreezeSwitch;
 use crate::{lock, micros};
 
 use self::faults::Switch;
@@ -52,7 +52,7 @@
 
 /// One request that the engine ran; times are microseconds since 1970, 0 if not reached.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct RunRecord {
     /// Request id.
     pub request: String,
     /// Its priority.
@@ -94,8 +94,8 @@
     cuts: watch::Sender<u64>,
     served: Mutex<Serving>,
     faults: Switch,
-    gate: Arc<Gate>,
-    log: Mutex<Vec<Ran>>,
+    freeze_switch: Arc<FreezeSwitch>,
+    log: Mutex<Vec<RunRecord>>,
 }
 
 /// Lives begun in this process, so that two of one microsecond differ.
@@ -114,14 +114,14 @@
             cuts: watch::Sender::new(0),
             served: Mutex::new(Serving::new(&set.model, &set.weights)),
             faults: Switch::default(),
-            gate: Arc::default(),
+            freeze_switch: Arc::default(),
             log: Mutex::default(),
             set,
         })
     }
 
     /// What it ran, in the order of its ends.
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn run_log(&self) -> Vec<RunRecord> {
         lock(&self.log).clone()
     }
 
@@ -141,21 +141,21 @@
     }
 
     /// Sets how it misbehaves.
-    pub fn misbehave(&self, faults: Faults) {
-        self.misbehave_but(faults, None);
+    pub fn set_faults(&self, faults: Faults) {
+        self.set_faults_except(faults, None);
     }
 
     /// Sets how it misbehaves, and spares one peer's connection if connections freeze.
-    fn misbehave_but(&self, faults: Faults, except: Option<SocketAddr>) {
+    fn set_faults_except(&self, faults: Faults, except: Option<SocketAddr>) {
         if faults.freeze {
-            self.gate.freeze(except);
+            self.freeze_switch.freeze(except);
         }
         self.faults.set(faults);
     }
 
     /// The switch that freezes its connections; for its listener.
-    pub fn gate(&self) -> Arc<Gate> {
-        Arc::clone(&self.gate)
+    pub fn freeze_switch(&self) -> Arc<FreezeSwitch> {
+        Arc::clone(&self.freeze_switch)
     }
 
     fn rank(&self, priority: i64) -> Rank {
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -8,10 +8,10 @@
 use tokio::time::{sleep_until, Instant};
 use viz::{Body, Bytes, Response, Result, StatusCode};
 
-use crate::cache::{chain, Piece, BLOCK};
-use crate::engine::ask::{word, Ask};
+use crate::cache::{chain, BlockRange, BLOCK_BYTES};
+use crate::engine::ask::{answer_token, Ask};
 use crate::engine::schedule::{Permit, Rank};
-use crate::engine::{Engine, Ran};
+use crate::engine::{Engine, RunRecord};
 use crate::{lock, micros, reply};
 
 /// Tokens that wait for a caller who reads slowly.
@@ -99,14 +99,14 @@
     }
 
     fn open(&self, job: &Job) -> Entry<'_> {
-        let ran = Ran {
+        let ran = RunRecord {
             request: job.id.clone(),
             priority: job.ask.priority,
             arrived: micros(),
             weights: job.weights.clone(),
-            blocks: job.prompt.len() / BLOCK,
+            blocks: job.prompt.len() / BLOCK_BYTES,
             resumed: job.ask.resume,
-            ..Ran::default()
+            ..RunRecord::default()
         };
         Entry {
             engine: self,
@@ -136,7 +136,7 @@
     }
 
     /// Computes the prompt in chunks; between two of them a more urgent prompt may come first.
-    async fn prompt(&self, job: &Job, rank: Rank, turn: Permit, ran: &mut Ran) {
+    async fn prompt(&self, job: &Job, rank: Rank, turn: Permit, ran: &mut RunRecord) {
         let prompt = job.prompt.as_bytes();
         let chain = chain(&job.ask.cache_salt, prompt);
         let found = self.change(|c, _| c.find(std::time::Instant::now(), &chain));
@@ -149,7 +149,7 @@
             let to = chain.len().min(from + self.set.chunk.max(1));
             let time = self.set.prefill * (to - from) as u32;
             pause(Instant::now() + self.faults.slowed(time)).await;
-            let piece = Piece {
+            let piece = BlockRange {
                 scope: &job.ask.cache_salt,
                 prompt,
                 chain: &chain,
@@ -166,7 +166,7 @@
         }
     }
 
-    async fn words(&self, job: &Job, tx: &Sender<Out>, ran: &mut Ran) -> bool {
+    async fn words(&self, job: &Job, tx: &Sender<Out>, ran: &mut RunRecord) -> bool {
         let cut = self.faults.cut();
         let mut due = Instant::now();
         for i in job.ask.resume..job.ask.max_tokens {
@@ -175,7 +175,11 @@
             }
             due += self.gap();
             pause(due).await;
-            if tx.send(Out::Word(word(&job.prompt, i))).await.is_err() {
+            if tx
+                .send(Out::Word(answer_token(&job.prompt, i)))
+                .await
+                .is_err()
+            {
                 return false;
             }
             ran.tokens += 1;
@@ -199,7 +203,7 @@
 /// A log line that is written when its request ends, however it ends.
 struct Entry<'a> {
     engine: &'a Engine,
-    ran: Option<Ran>,
+    ran: Option<RunRecord>,
 }
 
 impl Entry<'_> {
@@ -271,5 +275,5 @@
 
 fn usage(job: &Job, cached: usize) -> serde_json::Value {
     json!({"prompt_tokens": job.prompt.len() / 4, "completion_tokens": job.ask.max_tokens,
-        "prompt_tokens_details": {"cached_tokens": cached * BLOCK / 4}})
+        "prompt_tokens_details": {"cached_tokens": cached * BLOCK_BYTES / 4}})
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -7,10 +7,10 @@
 
 pub mod cache;
 pub mod call;
+pub mod delayed_value;
 pub mod engine;
-pub mod gate;
+pub mod freeze;
 pub mod hosted;
-pub mod lagged;
 pub mod link;
 pub mod load;
 pub mod platform;
@@ -27,25 +27,25 @@
 use tokio::net::TcpListener;
 use viz::Router;
 
-use crate::gate::{Gate, Gated};
+use crate::freeze::{FreezableListener, FreezeSwitch};
 
 /// Listens and gives the address together with the server to be awaited.
 pub async fn listen(
     at: impl tokio::net::ToSocketAddrs,
     router: Router,
 ) -> io::Result<(SocketAddr, impl Future<Output = io::Result<()>>)> {
-    listen_gated(at, router, Arc::default()).await
+    listen_freezable(at, router, Arc::default()).await
 }
 
-/// Listens behind a gate.
-pub async fn listen_gated(
+/// Like [`listen`], with connections that `freeze_switch` can freeze.
+pub async fn listen_freezable(
     at: impl tokio::net::ToSocketAddrs,
     router: Router,
-    gate: Arc<Gate>,
+    freeze_switch: Arc<FreezeSwitch>,
 ) -> io::Result<(SocketAddr, impl Future<Output = io::Result<()>>)> {
     let listener = TcpListener::bind(at).await?;
     let addr = listener.local_addr()?;
-    let server = viz::serve(Gated::new(listener, gate), router);
+    let server = viz::serve(FreezableListener::new(listener, freeze_switch), router);
     Ok((addr, std::future::IntoFuture::into_future(server)))
 }
 
--- a/crates/standin/src/load/drive.rs
+++ b/crates/standin/src/load/drive.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep_until, timeout, Instant};
 
 use crate::call::{Call, CallError};
-use crate::engine::word;
+use crate::engine::answer_token;
 use crate::load::trace::{Arrival, Texts};
 
 /// Requests on their way at a time; beyond it the tool itself would be what is measured.
@@ -25,7 +25,7 @@
 
 /// Where and how a trace is sent.
 #[derive(Clone, Debug)]
-pub struct Drive {
+pub struct DriveConfig {
     /// Callers' addresses of the entries.
     pub entries: Vec<SocketAddr>,
     /// Engines that get every other completion directly; none to leave that out.
@@ -66,7 +66,7 @@
 
 /// What became of a request.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct RequestResult {
     /// Its place in the trace.
     pub n: usize,
     /// Its id.
@@ -89,14 +89,14 @@
 struct Attempt {
     arrival: Arrival,
     prompt: String,
-    done: Done,
+    done: RequestResult,
     to: SocketAddr,
     key: String,
     due: Instant,
 }
 
 /// Sends all of a trace; ends when the last answer is in or given up.
-pub async fn drive(set: &Drive, trace: &[Arrival]) -> Vec<Done> {
+pub async fn drive(set: &DriveConfig, trace: &[Arrival]) -> Vec<RequestResult> {
     let start = Instant::now() + Duration::from_millis(50);
     let free = Arc::new(Semaphore::new(IN_FLIGHT));
     let mut texts = Texts::default();
@@ -107,7 +107,7 @@
         let attempt = set.prepare(n, arrival, texts.prompt(n, arrival), due);
         sleep_until(due).await;
         match Arc::clone(&free).try_acquire_owned() {
-            Err(_) => done.push(Done {
+            Err(_) => done.push(RequestResult {
                 ending: Ending::Unsent,
                 ..attempt.done
             }),
@@ -126,14 +126,14 @@
     done
 }
 
-impl Drive {
+impl DriveConfig {
     fn prepare(&self, n: usize, arrival: &Arrival, prompt: String, due: Instant) -> Attempt {
         let direct = !self.direct.is_empty() && arrival.completes() && n % 2 == 1;
         let to = match direct {
             true => self.direct[n / 2 % self.direct.len()],
             false => self.entries[n / 2 % self.entries.len()],
         };
-        let done = Done {
+        let done = RequestResult {
             n,
             id: format!("{}-{n}", self.run),
             class: arrival.class,
@@ -161,7 +161,7 @@
 }
 
 impl Attempt {
-    async fn run(mut self, limit: Duration) -> Done {
+    async fn run(mut self, limit: Duration) -> RequestResult {
         self.done.late = self.due.elapsed();
         // Given up, it keeps the times it has and counts as lost.
         let ending = match timeout(limit, self.answer()).await {
@@ -173,7 +173,7 @@
     }
 
     async fn answer(&mut self) -> Result<Ending, CallError> {
-        let res = self.call().open().await?;
+        let res = self.call().send().await?;
         let own = match res.headers().get("x-request-id") {
             Some(id) => id.as_bytes() == self.done.id.as_bytes(),
             None => self.done.direct,
@@ -215,7 +215,7 @@
 
     async fn stream(&mut self, res: Response<Incoming>) -> Result<Ending, CallError> {
         let mut body = res.into_body();
-        let mut reader = Reader::default();
+        let mut reader = StreamChecker::default();
         let mut last = None;
         let broken = loop {
             let data = match body.frame().await {
@@ -268,7 +268,7 @@
 
 /// Reads a stream of events and compares its words with those that the prompt must give.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct StreamChecker {
     rest: Vec<u8>,
     words: usize,
     done: bool,
@@ -276,7 +276,7 @@
     crossed: bool,
 }
 
-impl Reader {
+impl StreamChecker {
     /// Takes what came; gives the number of words in it.
     pub fn feed(&mut self, data: &[u8], prompt: &str) -> usize {
         let before = self.words;
@@ -303,7 +303,7 @@
     fn data(&mut self, data: &[u8], prompt: &str) {
         let v: Value = serde_json::from_slice(data).unwrap_or_default();
         if let Some(w) = v["choices"][0]["text"].as_str() {
-            self.crossed |= w != word(prompt, self.words);
+            self.crossed |= w != answer_token(prompt, self.words);
             self.words += 1;
         }
     }
--- a/crates/standin/src/load/fleet.rs
+++ b/crates/standin/src/load/fleet.rs
@@ -275,7 +275,7 @@
                 [quota, words].map(|c| c.header("authorization", &key))
             };
             for n in 0..calls().len() {
-                while !matches!(calls()[n].clone().whole().await, Ok((s, _)) if s.is_success()) {
+                while !matches!(calls()[n].clone().fetch().await, Ok((s, _)) if s.is_success()) {
                     if Instant::now() > until {
                         return Err(failed("entry", "it doesn't serve"));
                     }
@@ -331,7 +331,7 @@
     let Some(at) = admin else {
         return BTreeMap::new();
     };
-    let text = match Call::get(at, "/metrics").whole().await {
+    let text = match Call::get(at, "/metrics").fetch().await {
         Ok((s, body)) if s.is_success() => String::from_utf8_lossy(&body).into_owned(),
         _ => String::new(),
     };
--- a/crates/standin/src/load/generate.rs
+++ b/crates/standin/src/load/generate.rs
@@ -10,11 +10,11 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::load::trace::{Arrival, MOST};
+use crate::load::trace::{Arrival, MAX_ARRIVALS};
 
 /// Whose traffic is made up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum User {
+pub enum Workload {
     /// Short answers while a respondent waits, many codebooks of a few thousand tokens.
     Association,
     /// Long regulation texts, few but dear; reports that nobody waits for.
@@ -26,17 +26,17 @@
 /// A word that names no user.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is none of association, alpen, hops")]
-pub struct UserError(String);
+pub struct WorkloadError(String);
 
-impl FromStr for User {
-    type Err = UserError;
+impl FromStr for Workload {
+    type Err = WorkloadError;
 
-    fn from_str(s: &str) -> Result<Self, UserError> {
+    fn from_str(s: &str) -> Result<Self, WorkloadError> {
         match s {
             "association" => Ok(Self::Association),
             "alpen" => Ok(Self::Alpen),
             "hops" => Ok(Self::Hops),
-            _ => Err(UserError(s.to_owned())),
+            _ => Err(WorkloadError(s.to_owned())),
         }
     }
 }
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     /// Whose traffic.
-    pub user: User,
+    pub user: Workload,
     /// Seed of all chance.
     pub seed: u64,
     /// Requests a second on the average.
@@ -114,9 +114,9 @@
 pub fn generate(plan: &Plan) -> Vec<Arrival> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let mix = match plan.user {
-        User::Association => ASSOCIATION,
-        User::Alpen => ALPEN,
-        User::Hops => return even(plan),
+        Workload::Association => ASSOCIATION,
+        Workload::Alpen => ALPEN,
+        Workload::Hops => return even(plan),
     };
     let mut generator = Generator {
         mix,
@@ -142,7 +142,7 @@
         output: 4,
         idempotent: true,
     };
-    (0..count.min(MOST)).map(arrival).collect()
+    (0..count.min(MAX_ARRIVALS)).map(arrival).collect()
 }
 
 /// Times of arrival in seconds: a Poisson process thinned outside the bursts.
@@ -152,7 +152,7 @@
     let peak = base * BURST_FACTOR;
     let mut out = Vec::new();
     let mut t = 0.0;
-    while out.len() < MOST {
+    while out.len() < MAX_ARRIVALS {
         t += -(1.0 - rng.random::<f64>()).ln() / peak;
         if t >= plan.seconds as f64 {
             break;
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -7,14 +7,14 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::engine::Ran;
-use crate::load::drive::{Done, Ending};
+use crate::engine::RunRecord;
+use crate::load::drive::{Ending, RequestResult};
 use crate::load::reuse::Reuse;
 use crate::load::usage::Usage;
 use crate::service;
 
 /// Longest time that histograms tell apart.
-const LONGEST: u64 = 600_000_000;
+const MAX_MICROS: u64 = 600_000_000;
 
 /// How a run was made.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -132,24 +132,24 @@
 
 /// What a run gave, before it is judged.
 #[derive(Debug, Default)]
-pub struct Evidence<'a> {
+pub struct RunData<'a> {
     /// What became of each request.
-    pub done: &'a [Done],
+    pub done: &'a [RequestResult],
     /// Whether each arrival is a completion.
     pub completes: &'a [bool],
     /// Whether each arrival may run more than once.
     pub idempotent: &'a [bool],
     /// What the engines ran.
-    pub ran: &'a [Ran],
+    pub runs: &'a [RunRecord],
     /// What the services ran.
-    pub calls: &'a [service::Call],
+    pub calls: &'a [service::RecordedCall],
     /// Longest time to a first token that counts as in time.
     pub limit: Duration,
 }
 
 impl Report {
     /// Judges a run.
-    pub fn new(run: Run, e: &Evidence<'_>) -> Self {
+    pub fn new(run: Run, e: &RunData<'_>) -> Self {
         let mut r = Self {
             offered: e.done.len(),
             late_p99: Times::of(e.done.iter().map(|d| d.late)).p99,
@@ -164,7 +164,7 @@
         r
     }
 
-    fn count(&mut self, d: &Done, limit: Duration) {
+    fn count(&mut self, d: &RequestResult, limit: Duration) {
         match &d.ending {
             Ending::Whole => {
                 self.served += 1;
@@ -182,7 +182,7 @@
         }
     }
 
-    fn times(&mut self, e: &Evidence<'_>) {
+    fn times(&mut self, e: &RunData<'_>) {
         let words = || e.done.iter().filter(|d| e.completes[d.n]);
         let routed = || words().filter(|d| !d.direct);
         for class in model::Class::ALL {
@@ -196,7 +196,7 @@
         self.plain = Times::of(plain.filter_map(|d| d.first));
         if e.done.iter().any(|d| d.direct) {
             // From the sending on: the tool's own lateness is no part of the way.
-            let sent = |d: &Done| d.first.map(|t| t.saturating_sub(d.late));
+            let sent = |d: &RequestResult| d.first.map(|t| t.saturating_sub(d.late));
             let direct = Times::of(words().filter(|d| d.direct).filter_map(sent));
             let routed = Times::of(routed().filter_map(sent));
             self.hops = Some(Hops {
@@ -209,10 +209,10 @@
     }
 
     /// Counts what ran twice, and what ran although its caller was told otherwise.
-    fn repeats(&mut self, e: &Evidence<'_>) {
+    fn repeats(&mut self, e: &RunData<'_>) {
         let mut whole = BTreeMap::<&str, usize>::new();
         let mut begun = BTreeMap::<&str, usize>::new();
-        for r in e.ran {
+        for r in e.runs {
             *whole.entry(&r.request).or_default() += usize::from(r.whole);
             *begun.entry(&r.request).or_default() += usize::from(r.arrived > 0);
         }
@@ -220,7 +220,8 @@
             *whole.entry(&c.request).or_default() += 1;
             *begun.entry(&c.request).or_default() += 1;
         }
-        let of = |map: &BTreeMap<&str, usize>, d: &Done| map.get(&*d.id).copied().unwrap_or(0);
+        let of =
+            |map: &BTreeMap<&str, usize>, d: &RequestResult| map.get(&*d.id).copied().unwrap_or(0);
         for d in e.done {
             let once = !e.idempotent[d.n];
             // What may run only once mustn't even begin twice.
@@ -238,7 +239,7 @@
     /// The distribution of some times.
     pub fn of(times: impl Iterator<Item = Duration>) -> Self {
         // The bounds are constants within what the library allows.
-        let Ok(mut h) = Histogram::<u64>::new_with_bounds(1, LONGEST, 3) else {
+        let Ok(mut h) = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, 3) else {
             return Self::default();
         };
         times.for_each(|t| h.saturating_record(t.as_micros() as u64));
--- a/crates/standin/src/load/reuse.rs
+++ b/crates/standin/src/load/reuse.rs
@@ -9,18 +9,18 @@
 
 use serde::Serialize;
 
-use crate::cache::BLOCK;
-use crate::engine::{Change, Ran};
-use crate::load::trace::TOKEN;
+use crate::cache::BLOCK_BYTES;
+use crate::engine::{Change, RunRecord};
+use crate::load::trace::TOKEN_BYTES;
 
 /// Tokens a block.
-const TOKENS: u64 = (BLOCK / TOKEN) as u64;
+const TOKENS: u64 = (BLOCK_BYTES / TOKEN_BYTES) as u64;
 
 /// One engine's logs.
 #[derive(Clone, Debug, Default)]
-pub struct Logs {
+pub struct EngineLogs {
     /// What it ran.
-    pub ran: Vec<Ran>,
+    pub runs: Vec<RunRecord>,
     /// How its cache changed.
     pub history: Vec<Change>,
 }
@@ -50,12 +50,12 @@
 
 /// What happened at a moment.
 enum Step<'a> {
-    Look(&'a Ran),
+    Look(&'a RunRecord),
     Change(&'a Change),
 }
 
 /// Works it out; `chain` gives the blocks of a request by its id, if it is one of this run.
-pub fn reuse(logs: &[Logs], chain: impl Fn(&str) -> Option<Vec<u64>>) -> Reuse {
+pub fn reuse(logs: &[EngineLogs], chain: impl Fn(&str) -> Option<Vec<u64>>) -> Reuse {
     let mut caches = vec![HashSet::new(); logs.len()];
     let mut all = Union::default();
     let mut seen = HashSet::new();
@@ -83,10 +83,10 @@
 }
 
 /// Searches and changes in order of time; a search comes before changes of the same moment.
-fn steps(logs: &[Logs]) -> Vec<(u64, usize, Step<'_>)> {
+fn steps(logs: &[EngineLogs]) -> Vec<(u64, usize, Step<'_>)> {
     let mut out = Vec::new();
     for (i, l) in logs.iter().enumerate() {
-        let looked = l.ran.iter().filter(|r| r.looked > 0);
+        let looked = l.runs.iter().filter(|r| r.looked > 0);
         out.extend(looked.map(|r| (r.looked, i, Step::Look(r))));
         out.extend(l.history.iter().map(|c| (c.at, i, Step::Change(c))));
     }
@@ -104,7 +104,14 @@
 }
 
 impl Reuse {
-    fn look(&mut self, caches: &[HashSet<u64>], all: &Union, own: usize, r: &Ran, chain: &[u64]) {
+    fn look(
+        &mut self,
+        caches: &[HashSet<u64>],
+        all: &Union,
+        own: usize,
+        r: &RunRecord,
+        chain: &[u64],
+    ) {
         let others = caches.iter().enumerate().filter(|(i, _)| *i != own);
         let best = others
             .map(|(_, c)| front(chain, |h| c.contains(h)))
--- a/crates/standin/src/load/trace.rs
+++ b/crates/standin/src/load/trace.rs
@@ -11,12 +11,12 @@
 use crate::load::LoadError;
 
 /// Bytes that stand for a token.
-pub const TOKEN: usize = 4;
+pub const TOKEN_BYTES: usize = 4;
 
 /// Most arrivals of one run.
-pub const MOST: usize = 200_000;
+pub const MAX_ARRIVALS: usize = 200_000;
 /// Milliseconds after which arrivals of a trace are left out.
-pub const LONGEST: u64 = 3_600_000;
+pub const MAX_AT_MS: u64 = 3_600_000;
 
 /// One request of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -74,8 +74,8 @@
         })
         .collect::<Result<Vec<_>, _>>()?;
     all.sort_by_key(|a| a.at_ms);
-    all.retain(|a| a.at_ms <= LONGEST);
-    all.truncate(MOST);
+    all.retain(|a| a.at_ms <= MAX_AT_MS);
+    all.truncate(MAX_ARRIVALS);
     Ok(all)
 }
 
@@ -114,7 +114,7 @@
 /// A text of so many tokens; a longer one of the same id begins with it.
 pub fn text(id: &str, tokens: usize) -> String {
     let seed = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
-    let mut out = String::with_capacity(tokens * TOKEN);
+    let mut out = String::with_capacity(tokens * TOKEN_BYTES);
     for i in 0..tokens as u64 {
         let h = xxhash_rust::xxh3::xxh3_64_with_seed(&i.to_le_bytes(), seed);
         // Three hexadecimal digits and a space are one token; writing to a string can't fail.
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 use viz::{Method, Request, RequestExt, Response, Result, Router, StatusCode};
 
-use crate::lagged::Lagged;
+use crate::delayed_value::DelayedValue;
 use crate::{lock, reply};
 
 /// How the platform misbehaves; what a `POST /faults` leaves out is back at its default.
@@ -89,7 +89,7 @@
 struct State {
     rows: HashMap<String, (u64, String)>,
     objects: HashMap<String, Vec<u8>>,
-    hosts: Lagged<Vec<serde_json::Value>>,
+    hosts: DelayedValue<Vec<serde_json::Value>>,
     faults: Faults,
     counts: Counts,
 }
@@ -142,7 +142,7 @@
     }
 
     /// Sets how it misbehaves.
-    pub fn misbehave(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
@@ -254,7 +254,7 @@
 
     fn set(&self, body: &[u8]) -> Result<Response> {
         match serde_json::from_slice(body) {
-            Ok(f) => self.misbehave(f),
+            Ok(f) => self.set_faults(f),
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
         }
         reply::json(StatusCode::OK, &json!({}))
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -37,7 +37,7 @@
 
 /// One call that was run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Call {
+pub struct RecordedCall {
     /// Microseconds since 1970.
     pub at: u64,
     /// Request id.
@@ -59,7 +59,7 @@
     incarnation: u64,
     running: AtomicUsize,
     faults: Mutex<Faults>,
-    runs: Mutex<Vec<Call>>,
+    runs: Mutex<Vec<RecordedCall>>,
 }
 
 impl Service {
@@ -88,12 +88,12 @@
     }
 
     /// Every call that was run.
-    pub fn runs(&self) -> Vec<Call> {
+    pub fn runs(&self) -> Vec<RecordedCall> {
         lock(&self.runs).clone()
     }
 
     /// Sets how it misbehaves.
-    pub fn misbehave(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         *lock(&self.faults) = faults;
     }
 
@@ -122,7 +122,11 @@
     }
 
     /// Runs a call: its effect comes at once, its answer after the delay.
-    async fn run(&self, call: Call, answer: fn(&Call, &[Call]) -> Answer) -> Result<Response> {
+    async fn run(
+        &self,
+        call: RecordedCall,
+        answer: fn(&RecordedCall, &[RecordedCall]) -> Answer,
+    ) -> Result<Response> {
         let faults = &self.faults;
         if take(faults, |f| &mut f.errors) {
             return reply::json(
@@ -150,7 +154,7 @@
 
     fn set(&self, body: &[u8]) -> Result<Response> {
         match serde_json::from_slice::<Faults>(body) {
-            Ok(f) => self.misbehave(f),
+            Ok(f) => self.set_faults(f),
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
         }
         reply::json(StatusCode::OK, &json!({}))
@@ -159,12 +163,12 @@
 
 type Answer = (StatusCode, serde_json::Value);
 
-fn quota(call: &Call, _: &[Call]) -> Answer {
+fn quota(call: &RecordedCall, _: &[RecordedCall]) -> Answer {
     let district = call.path.rsplit('/').next().unwrap_or_default();
     (StatusCode::OK, json!({"district": district, "left": 12}))
 }
 
-fn record(_: &Call, runs: &[Call]) -> Answer {
+fn record(_: &RecordedCall, runs: &[RecordedCall]) -> Answer {
     let n = runs
         .iter()
         .filter(|c| c.path.starts_with("/records"))
@@ -172,9 +176,9 @@
     (StatusCode::CREATED, json!({ "record": n }))
 }
 
-fn call(req: &Request, body: &[u8]) -> Call {
+fn call(req: &Request, body: &[u8]) -> RecordedCall {
     let header = |name| req.header::<_, String>(name).unwrap_or_default();
-    Call {
+    RecordedCall {
         at: micros(),
         request: header("x-request-id"),
         idempotency: header("idempotency-key"),
--- a/crates/standin/tests/cache.rs
+++ b/crates/standin/tests/cache.rs
@@ -2,19 +2,19 @@
 
 use std::time::{Duration, Instant};
 
-use standin::cache::{chain, Cache, Event, Piece, BLOCK};
+use standin::cache::{chain, BlockRange, Cache, Event, BLOCK_BYTES};
 
 const AGE: Duration = Duration::from_secs(5);
 
 fn text(blocks: &str) -> String {
-    blocks.chars().flat_map(|c| [c; BLOCK]).collect()
+    blocks.chars().flat_map(|c| [c; BLOCK_BYTES]).collect()
 }
 
 fn store(cache: &mut Cache, now: Instant, blocks: &str) -> Vec<Event> {
     let prompt = text(blocks);
     let chain = chain("s", prompt.as_bytes());
     let mut out = Vec::new();
-    let piece = Piece {
+    let piece = BlockRange {
         scope: "s",
         prompt: prompt.as_bytes(),
         chain: &chain,
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -28,7 +28,8 @@
 
 pub(crate) async fn start(set: Settings) -> (Arc<Engine>, SocketAddr) {
     let engine = Engine::new(set);
-    let listening = standin::listen_gated("127.0.0.1:0", engine.router(), engine.gate()).await;
+    let listening =
+        standin::listen_freezable("127.0.0.1:0", engine.router(), engine.freeze_switch()).await;
     let (at, server) = listening.unwrap();
     tokio::spawn(server);
     (engine, at)
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use serde_json::{json, Value};
 use standin::call::{Call, CallError};
-use standin::engine::{word, Engine, Faults, Queue, Rank, Settings};
+use standin::engine::{answer_token, Engine, Faults, Queue, Rank, Settings};
 
 use common::{completion, eventually, quick, start, words};
 
@@ -36,12 +36,12 @@
     for c in cases {
         let body =
             json!({"prompt": "p", "max_tokens": c.tokens, "stream": true, "resume": c.resume});
-        let (_, text) = completion(at, "a", &body).whole().await.unwrap();
-        let want: Vec<_> = (c.resume..c.tokens).map(|i| word("p", i)).collect();
+        let (_, text) = completion(at, "a", &body).fetch().await.unwrap();
+        let want: Vec<_> = (c.resume..c.tokens).map(|i| answer_token("p", i)).collect();
         assert_eq!(words(&text), want);
         assert!(text.ends_with(b"data: [DONE]\n\n"));
     }
-    assert!(engine.ran().iter().all(|r| r.whole));
+    assert!(engine.run_log().iter().all(|r| r.whole));
 }
 
 #[tokio::test]
@@ -123,12 +123,12 @@
     for stream in [true, false] {
         let (engine, at) = start(set.clone()).await;
         let long = json!({"prompt": "p", "max_tokens": 1_000_000, "stream": stream});
-        let call = tokio::spawn(completion(at, "gone", &long).whole());
+        let call = tokio::spawn(completion(at, "gone", &long).fetch());
         eventually(|| engine.running() == 1).await;
         call.abort();
         let body = json!({"prompt": "q", "max_tokens": 1});
-        completion(at, "next", &body).whole().await.unwrap();
-        let ran = engine.ran();
+        completion(at, "next", &body).fetch().await.unwrap();
+        let ran = engine.run_log();
         assert_matches!(ran.as_slice(), [a, b] if a.request == "gone" && !a.whole
             && b.request == "next" && b.whole);
     }
@@ -144,23 +144,23 @@
     };
     let (engine, at) = start(set).await;
     let body = json!({"prompt": "p", "max_tokens": 200, "stream": true});
-    let mut res = completion(at, "a", &body).open().await.unwrap();
+    let mut res = completion(at, "a", &body).send().await.unwrap();
     res.body_mut().frame().await.unwrap().unwrap();
     let (status, _) = Call::post(at, "/faults", r#"{"freeze":true}"#)
-        .whole()
+        .fetch()
         .await
         .unwrap();
     assert_eq!(status, 200);
     let rest = json!({"prompt": "p", "max_tokens": 200, "stream": true, "resume": 199});
-    let (_, text) = completion(at, "a", &rest).whole().await.unwrap();
-    assert_eq!(words(&text), [word("p", 199)]);
-    eventually(|| engine.ran().iter().filter(|r| r.whole).count() == 2).await;
+    let (_, text) = completion(at, "a", &rest).fetch().await.unwrap();
+    assert_eq!(words(&text), [answer_token("p", 199)]);
+    eventually(|| engine.run_log().iter().filter(|r| r.whole).count() == 2).await;
     let silent = async {
         // What was on its way before the freeze may still come; the end never does.
         let whole = res.into_body().collect().await;
         panic!("ended: {whole:?}");
     };
-    let ping = Call::get(at, "/load").whole();
+    let ping = Call::get(at, "/load").fetch();
     tokio::select! {
         () = silent => (),
         r = ping => assert_eq!(r.unwrap().0, 200),
@@ -172,17 +172,21 @@
 #[tokio::test]
 async fn streams_are_cut_as_often_as_asked() {
     let (engine, at) = start(quick()).await;
-    engine.misbehave(Faults {
+    engine.set_faults(Faults {
         drop: 1,
         after: 2,
         ..Faults::default()
     });
     let body = json!({"prompt": "p", "max_tokens": 5, "stream": true});
-    let cut = completion(at, "a", &body).whole().await;
+    let cut = completion(at, "a", &body).fetch().await;
     assert_matches!(cut, Err(CallError::Broken(_)));
-    let (_, text) = completion(at, "b", &body).whole().await.unwrap();
+    let (_, text) = completion(at, "b", &body).fetch().await.unwrap();
     assert_eq!(words(&text).len(), 5);
-    let ran: Vec<_> = engine.ran().iter().map(|r| (r.tokens, r.whole)).collect();
+    let ran: Vec<_> = engine
+        .run_log()
+        .iter()
+        .map(|r| (r.tokens, r.whole))
+        .collect();
     assert_eq!(ran, [(2, false), (5, true)]);
 }
 
@@ -190,14 +194,14 @@
 async fn requests_are_refused_as_often_as_asked() {
     let (engine, at) = start(quick()).await;
     let set = Call::post(at, "/faults", r#"{"errors":2,"status":500}"#);
-    set.whole().await.unwrap();
+    set.fetch().await.unwrap();
     let body = json!({"prompt": "p", "max_tokens": 1});
     let mut got = Vec::new();
     for _ in 0..3 {
-        got.push(completion(at, "a", &body).whole().await.unwrap().0.as_u16());
+        got.push(completion(at, "a", &body).fetch().await.unwrap().0.as_u16());
     }
     assert_eq!(got, [500, 500, 200]);
-    assert_eq!(engine.ran().len(), 1);
+    assert_eq!(engine.run_log().len(), 1);
 }
 
 #[tokio::test]
@@ -232,7 +236,7 @@
         };
         let (_, at) = start(set).await;
         let body = json!({"prompt": "x".repeat(256), "max_tokens": 1});
-        completion(at, "a", &body).whole().await.unwrap();
+        completion(at, "a", &body).fetch().await.unwrap();
         let (_, v) = Call::get(at, "/events?after=0")
             .json::<Value>()
             .await
@@ -262,10 +266,10 @@
 async fn a_poisonous_prompt_kills_the_process() {
     let mut engine = common::example("engine", &["--poison", "hemlock"]);
     let good = json!({"prompt": "parsley", "max_tokens": 1});
-    let (status, _) = completion(engine.at, "a", &good).whole().await.unwrap();
+    let (status, _) = completion(engine.at, "a", &good).fetch().await.unwrap();
     assert_eq!(status, 200);
     let bad = json!({"prompt": "some hemlock", "max_tokens": 1});
-    assert!(completion(engine.at, "b", &bad).whole().await.is_err());
+    assert!(completion(engine.at, "b", &bad).fetch().await.is_err());
     assert!(!engine.child.wait().unwrap().success());
 }
 
@@ -338,7 +342,7 @@
         };
         let (engine, at) = start(set).await;
         let long = json!({"prompt": "p", "max_tokens": 1_000_000, "stream": true});
-        let call = tokio::spawn(completion(at, "a", &long).whole());
+        let call = tokio::spawn(completion(at, "a", &long).fetch());
         eventually(|| engine.running() == 1).await;
         let (_, load) = Call::get(at, "/load").json::<Value>().await.unwrap();
         assert_eq!(load["running"], c.running);
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -4,14 +4,14 @@
 
 use assert_matches::assert_matches;
 use model::Class;
-use standin::cache::{chain, BLOCK};
-use standin::engine::{word, Change, Ran};
-use standin::load::drive::{Done, Ending, Reader};
-use standin::load::generate::{generate, Plan, User};
-use standin::load::report::{Evidence, Report, Run};
-use standin::load::reuse::{reuse, Logs};
-use standin::load::trace::{text, Arrival, Texts, TOKEN};
-use standin::service::Call;
+use standin::cache::{chain, BLOCK_BYTES};
+use standin::engine::{answer_token, Change, RunRecord};
+use standin::load::drive::{Ending, RequestResult, StreamChecker};
+use standin::load::generate::{generate, Plan, Workload};
+use standin::load::report::{Report, Run, RunData};
+use standin::load::reuse::{reuse, EngineLogs};
+use standin::load::trace::{text, Arrival, Texts, TOKEN_BYTES};
+use standin::service::RecordedCall;
 
 #[test]
 fn reads_the_line_of_the_format() {
@@ -20,7 +20,7 @@
     let a: Arrival = serde_json::from_str(line).unwrap();
     assert_eq!((a.class, a.output, a.completes()), (Class::Call, 64, true));
     let prompt = Texts::default().prompt(0, &a);
-    assert_eq!(prompt.len(), (4_000 + 12_000 + 200) * TOKEN);
+    assert_eq!(prompt.len(), (4_000 + 12_000 + 200) * TOKEN_BYTES);
     let again: Arrival = serde_json::from_str(&serde_json::to_string(&a).unwrap()).unwrap();
     assert_eq!(again, a);
 }
@@ -50,20 +50,20 @@
 #[test]
 fn made_up_traffic_is_the_same_for_the_same_seed() {
     struct Case {
-        user: User,
+        user: Workload,
         rate: f64,
     }
     let cases = [
         Case {
-            user: User::Association,
+            user: Workload::Association,
             rate: 50.0,
         },
         Case {
-            user: User::Alpen,
+            user: Workload::Alpen,
             rate: 20.0,
         },
         Case {
-            user: User::Hops,
+            user: Workload::Hops,
             rate: 50.0,
         },
     ];
@@ -85,7 +85,7 @@
 #[test]
 fn a_few_teams_and_documents_take_most_of_the_traffic() {
     let plan = Plan {
-        user: User::Alpen,
+        user: Workload::Alpen,
         seed: 3,
         rate: 100.0,
         seconds: 10,
@@ -102,7 +102,7 @@
 }
 
 fn event(i: usize) -> String {
-    let w = word("p", i);
+    let w = answer_token("p", i);
     format!("data: {{\"choices\":[{{\"index\":0,\"text\":\"{w}\"}}]}}\n\n")
 }
 
@@ -156,7 +156,7 @@
     ];
     for c in cases {
         for size in [1, 7, 10_000] {
-            let mut reader = Reader::default();
+            let mut reader = StreamChecker::default();
             for piece in c.stream.as_bytes().chunks(size) {
                 reader.feed(piece, "p");
             }
@@ -165,13 +165,13 @@
     }
 }
 
-fn looked(at: u64, cached: usize) -> Ran {
-    Ran {
+fn looked(at: u64, cached: usize) -> RunRecord {
+    RunRecord {
         request: "r".to_owned(),
         looked: at,
         cached,
         blocks: 3,
-        ..Ran::default()
+        ..RunRecord::default()
     }
 }
 
@@ -234,7 +234,7 @@
             oracle: 0,
         },
     ];
-    let prompt = "x".repeat(3 * BLOCK);
+    let prompt = "x".repeat(3 * BLOCK_BYTES);
     let blocks = chain("t1", prompt.as_bytes());
     for c in cases {
         let history = c.other.iter().map(|(at, block, stored)| Change {
@@ -242,16 +242,16 @@
             hash: block.map(|b| blocks[b]),
             stored: *stored,
         });
-        let own = Logs {
-            ran: vec![looked(10, c.cached)],
+        let own = EngineLogs {
+            runs: vec![looked(10, c.cached)],
             history: Vec::new(),
         };
-        let other = Logs {
-            ran: Vec::new(),
+        let other = EngineLogs {
+            runs: Vec::new(),
             history: history.collect(),
         };
         let got = reuse(&[own, other], |_| Some(blocks.clone()));
-        let tokens = (BLOCK / TOKEN) as u64;
+        let tokens = (BLOCK_BYTES / TOKEN_BYTES) as u64;
         assert_eq!(got.prompt_tokens, 3 * tokens);
         assert_eq!(
             (got.wasted_tokens, got.oracle_tokens),
@@ -327,7 +327,7 @@
         },
     ];
     for c in cases {
-        let done = [Done {
+        let done = [RequestResult {
             n: 0,
             id: "r".to_owned(),
             class: Class::Call,
@@ -337,22 +337,22 @@
             gaps: Vec::new(),
             ending: c.ending,
         }];
-        let ran = c.runs.iter().map(|whole| Ran {
+        let ran = c.runs.iter().map(|whole| RunRecord {
             whole: *whole,
             arrived: 1,
             ..looked(2, 0)
         });
-        let call = Call {
+        let call = RecordedCall {
             request: "r".to_owned(),
-            ..Call::default()
+            ..RecordedCall::default()
         };
         let report = Report::new(
             Run::default(),
-            &Evidence {
+            &RunData {
                 done: &done,
                 completes: &[true],
                 idempotent: &[!c.once],
-                ran: &ran.collect::<Vec<_>>(),
+                runs: &ran.collect::<Vec<_>>(),
                 calls: &vec![call; c.calls],
                 limit: Duration::ZERO,
             },
--- a/crates/standin/tests/orders.rs
+++ b/crates/standin/tests/orders.rs
@@ -38,7 +38,7 @@
         .await;
         for (fence, weights) in [(7, "w2"), (6, "w0")] {
             let order = json!({"fence": fence, "order": "load", "weights": weights}).to_string();
-            Call::post(at, "/orders", order).whole().await.unwrap();
+            Call::post(at, "/orders", order).fetch().await.unwrap();
             eventually(|| engine.orders().iter().all(|g| g.status != Status::Running)).await;
         }
         let (_, orders) = Call::get(at, "/orders")
@@ -61,16 +61,16 @@
     };
     let (engine, at) = start(set).await;
     let long = json!({"prompt": "x".repeat(640), "max_tokens": 1_000_000, "stream": true});
-    let call = tokio::spawn(completion(at, "old", &long).whole());
+    let call = tokio::spawn(completion(at, "old", &long).fetch());
     eventually(|| engine.running() == 1).await;
     let order = r#"{"fence":1,"order":"load","weights":"w2"}"#;
-    let (status, _) = Call::post(at, "/orders", order).whole().await.unwrap();
+    let (status, _) = Call::post(at, "/orders", order).fetch().await.unwrap();
     assert_eq!(status, 202);
     assert_matches!(call.await.unwrap(), Err(CallError::Broken(_)));
     eventually(|| engine.orders()[0].status == Status::Done).await;
     let body = json!({"prompt": "x".repeat(640), "max_tokens": 1});
-    completion(at, "new", &body).whole().await.unwrap();
-    let ran = engine.ran();
+    completion(at, "new", &body).fetch().await.unwrap();
+    let ran = engine.run_log();
     let seen: Vec<_> = ran
         .iter()
         .map(|r| (&*r.weights, r.cached, r.whole))
@@ -99,13 +99,13 @@
     ];
     let (_, from) = start(quick()).await;
     let body = json!({"prompt": "x".repeat(640), "max_tokens": 1, "cache_salt": "s"});
-    completion(from, "a", &body).whole().await.unwrap();
+    completion(from, "a", &body).fetch().await.unwrap();
     let (_, v) = Call::get(from, "/cache").json::<Value>().await.unwrap();
     let last = v["blocks"].as_array().unwrap().last().unwrap()["hash"]
         .as_u64()
         .unwrap();
     let (_, kept) = Call::get(from, format!("/kv/{last}"))
-        .whole()
+        .fetch()
         .await
         .unwrap();
     for c in cases {
@@ -114,7 +114,7 @@
             ..quick()
         })
         .await;
-        let (status, _) = Call::post(to, "/kv", kept.clone()).whole().await.unwrap();
+        let (status, _) = Call::post(to, "/kv", kept.clone()).fetch().await.unwrap();
         assert_eq!(status, c.status);
         let (_, v) = completion(to, "a", &body).json::<Value>().await.unwrap();
         assert_eq!(
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -44,7 +44,7 @@
     let platform = Platform::new();
     let at = serve(platform.router()).await;
     for c in cases {
-        let (status, _) = transaction(at, c.writes).whole().await.unwrap();
+        let (status, _) = transaction(at, c.writes).fetch().await.unwrap();
         assert_eq!(status, c.status);
         let rows = ["a", "b"].map(|k| platform.row(k).map_or(0, |r| r.0));
         assert_eq!(rows, c.rows);
@@ -94,8 +94,8 @@
     for c in cases {
         let platform = Platform::new();
         let at = serve(platform.router()).await;
-        platform.misbehave(c.faults);
-        let call = tokio::spawn(transaction(at, &[("a", 0)]).whole());
+        platform.set_faults(c.faults);
+        let call = tokio::spawn(transaction(at, &[("a", 0)]).fetch());
         match c.status {
             Some(s) => assert_eq!(call.await.unwrap().unwrap().0, s),
             None => {
@@ -115,12 +115,12 @@
         writes: 1_000,
     });
     let at = serve(platform.router()).await;
-    let res = Call::get(at, "/table/a").open().await.unwrap();
+    let res = Call::get(at, "/table/a").send().await.unwrap();
     assert_eq!(res.status(), 503);
     assert_eq!(res.headers()["retry-after"], "1");
     let counts = platform.counts();
     assert_matches!((counts.reads, counts.refused), (0, 1));
-    let (status, _) = transaction(at, &[("a", 0)]).whole().await.unwrap();
+    let (status, _) = transaction(at, &[("a", 0)]).fetch().await.unwrap();
     assert_eq!(status, 200);
     assert_matches!(platform.counts().seconds.as_slice(), [.., s] if s.writes == 1);
 }
@@ -136,12 +136,12 @@
         ..Call::post(at, "/hosts", list.to_string())
     };
     let hosts = || Call::get(at, "/hosts").json::<Value>();
-    put(json!(["a"])).whole().await.unwrap();
+    put(json!(["a"])).fetch().await.unwrap();
     assert_eq!(hosts().await.unwrap().1, json!(["a"]));
-    platform.misbehave(Faults {
+    platform.set_faults(Faults {
         hosts_lag_ms: 3_600_000,
         ..Faults::default()
     });
-    put(json!(["b"])).whole().await.unwrap();
+    put(json!(["b"])).fetch().await.unwrap();
     assert_eq!(hosts().await.unwrap().1, json!(["a"]));
 }
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -44,9 +44,9 @@
     for c in cases {
         let service = Service::new(Duration::ZERO);
         let at = serve(service.router()).await;
-        service.misbehave(c.faults.clone());
+        service.set_faults(c.faults.clone());
         let call = Call::post(at, "/records", "yes").header("idempotency-key", "k");
-        let call = tokio::spawn(call.header("x-request-id", "r").whole());
+        let call = tokio::spawn(call.header("x-request-id", "r").fetch());
         if c.answered {
             assert_eq!(call.await.unwrap().unwrap().0, 201);
         } else {
@@ -66,9 +66,9 @@
 async fn only_records_stand_in_the_log() {
     let service = Service::new(Duration::ZERO);
     let at = serve(service.router()).await;
-    Call::get(at, "/quota/anand").whole().await.unwrap();
-    Call::post(at, "/records", "yes").whole().await.unwrap();
-    let (_, log) = Call::get(at, "/log").whole().await.unwrap();
+    Call::get(at, "/quota/anand").fetch().await.unwrap();
+    Call::post(at, "/records", "yes").fetch().await.unwrap();
+    let (_, log) = Call::get(at, "/log").fetch().await.unwrap();
     assert_eq!(log, r#"["yes"]"#);
     let paths: Vec<_> = service.runs().into_iter().map(|r| r.path).collect();
     assert_eq!(paths, ["/quota/anand", "/records"]);
@@ -81,10 +81,10 @@
         let mut service = common::example("service", &[]);
         let body = format!("{{\"{fault}\":1}}");
         Call::post(service.at, "/faults", body)
-            .whole()
+            .fetch()
             .await
             .unwrap();
-        let got = Call::post(service.at, "/records", "yes").whole().await;
+        let got = Call::post(service.at, "/records", "yes").fetch().await;
         assert!(got.is_err());
         assert!(!service.child.wait().unwrap().success());
     }
