--- a/crates/daemon/tests/hosted/held.rs
+++ b/crates/daemon/tests/hosted/held.rs
@@ -112,7 +112,7 @@
     beside
         .hears(&[("a1", 20), ("c3", 10), ("d4", 40), ("e5", 50)])
         .await;
-    assert_eq!(beside.engine.with_cache(|c| c.listed()), 1);
+    assert_eq!(beside.engine.with_cache(|c| c.list_reads()), 1);
 }
 
 #[tokio::test]
--- a/crates/standin/src/engine/faults.rs
+++ b/crates/standin/src/engine/faults.rs
@@ -1,4 +1,4 @@
-//! How an engine misbehaves, set by `POST /faults`.
+//! Injected faults of an engine, set by `POST /faults`.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -7,25 +7,26 @@
 
 use crate::lock;
 
-/// How an engine misbehaves; what a `POST /faults` leaves out is back at its default.
+/// Injected faults of an engine. `POST /faults` resets the fields that it omits to their defaults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Makes every connection that is open now silent for good; new ones work.
+    /// Freezes every connection that is open now, for good; new connections work.
     pub freeze: bool,
-    /// All computing takes this many times as long.
+    /// Factor by which all computation is slowed down.
     pub slow: f64,
-    /// Streams still to be cut.
+    /// Number of streams still to be cut.
     pub drop: u32,
-    /// Events after which such a stream is cut.
+    /// Number of events after which such a stream is cut.
     pub after: usize,
-    /// Requests still to be answered with an error instead of being run.
+    /// Number of requests still to be answered with an error instead of being run.
     pub errors: u32,
-    /// Status of these answers.
+    /// HTTP status of these error answers.
     pub status: u16,
-    /// Replicas, this one included, that load weights at the same time; more than two slow it.
+    /// Number of replicas, this one included, that load weights at the same time; more than two
+    /// slow the load down.
     pub loads: u32,
-    /// Milliseconds that it takes to answer a call for its load.
+    /// Milliseconds by which answers to `GET /load` are delayed.
     pub late: u64,
 }
 
@@ -44,11 +45,11 @@
     }
 }
 
-/// The faults in force.
+/// The faults currently in force.
 #[derive(Debug, Default)]
-pub(super) struct Switch(Mutex<Faults>);
+pub(super) struct ActiveFaults(Mutex<Faults>);
 
-impl Switch {
+impl ActiveFaults {
     pub(super) fn set(&self, faults: Faults) {
         *lock(&self.0) = faults;
     }
@@ -57,23 +58,23 @@
         lock(&self.0).clone()
     }
 
-    /// The status with which the next request is refused.
-    pub(super) fn refusal(&self) -> Option<u16> {
+    /// Counts down the requests to refuse and returns the status for this one, if it is refused.
+    pub(super) fn take_error(&self) -> Option<u16> {
         let mut f = lock(&self.0);
         f.errors = f.errors.checked_sub(1)?;
         Some(f.status)
     }
 
-    /// Events after which the next stream is cut.
-    pub(super) fn cut(&self) -> Option<usize> {
+    /// Counts down the streams to cut and returns after how many events this one is cut, if at all.
+    pub(super) fn take_cut(&self) -> Option<usize> {
         let mut f = lock(&self.0);
         f.drop = f.drop.checked_sub(1)?;
         Some(f.after)
     }
 
-    /// A time as it is with the engine's present slowness.
-    pub(super) fn slowed(&self, time: Duration) -> Duration {
+    /// A duration multiplied by the current slowdown.
+    pub(super) fn slowed(&self, duration: Duration) -> Duration {
         let slow = lock(&self.0).slow;
-        time.mul_f64(slow.clamp(0.0, 1e6))
+        duration.mul_f64(slow.clamp(0.0, 1e6))
     }
 }
--- a/crates/standin/src/engine/feed.rs
+++ b/crates/standin/src/engine/feed.rs
@@ -1,4 +1,4 @@
-//! What an engine says of itself: cache events late and with gaps, load with a lag.
+//! The engine's published state: cache events with a delay and with gaps, load with a delay.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -10,12 +10,12 @@
 use crate::delayed_value::DelayedValue;
 use crate::{lock, micros};
 
-/// Events kept for those who fetch; whoever is further behind sees a gap.
-const KEPT: usize = 100_000;
-/// Changes kept for measurements, some tens of megabytes.
-const HISTORY: usize = 2_000_000;
+/// Number of events kept for readers of the feed; a reader that is further behind sees a gap.
+const MAX_EVENTS: usize = 100_000;
+/// Number of cache changes kept for measurements, some tens of megabytes.
+const MAX_HISTORY: usize = 2_000_000;
 
-/// One published event.
+/// A cache event, its sequence number and the time at which it becomes visible.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Published {
     seq: u64,
@@ -25,24 +25,25 @@
     due: Instant,
 }
 
-/// One change of the cache, without delay or loss; for measurements.
+/// One change of the cache, recorded without delay or loss for measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Microseconds since 1970.
+    /// Time of the change in microseconds since 1970.
     pub at: u64,
-    /// The block; none if all went.
+    /// The block; none if the whole cache was cleared.
     pub hash: Option<u64>,
-    /// Whether it came.
+    /// Whether the block was stored; otherwise it was removed.
     pub stored: bool,
 }
 
-/// How much an engine has to do.
+/// Number of running and waiting requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Load {
     pub(super) running: usize,
     pub(super) waiting: usize,
 }
 
+/// Events and load of an engine, as it publishes them.
 #[derive(Debug, Default)]
 pub(super) struct Feed {
     state: Mutex<State>,
@@ -54,10 +55,10 @@
     events: VecDeque<Published>,
     history: Vec<Change>,
     load: Load,
-    reported: DelayedValue<Load>,
+    reported_load: DelayedValue<Load>,
 }
 
-/// How events are published.
+/// Delay, loss and reordering of published events.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Publishing {
     pub(super) lag: Duration,
@@ -66,12 +67,13 @@
 }
 
 impl Feed {
+    /// Publishes events; one in `how.lose` is lost but still uses up a sequence number.
     pub(super) fn publish(&self, how: Publishing, events: Vec<Event>) {
         let due = Instant::now() + how.lag;
         let at = micros();
         let mut s = lock(&self.state);
         for event in events {
-            s.remember(at, &event);
+            s.record(at, &event);
             s.seq += 1;
             let seq = s.seq;
             let lost = how.lose > 0 && seq.is_multiple_of(how.lose);
@@ -79,11 +81,11 @@
                 s.events.push_back(Published { seq, event, due });
             }
         }
-        let surplus = s.events.len().saturating_sub(KEPT);
+        let surplus = s.events.len().saturating_sub(MAX_EVENTS);
         s.events.drain(..surplus);
     }
 
-    /// Events due after a number, and the highest number due.
+    /// The visible events after a sequence number, and the highest visible sequence number.
     pub(super) fn after(&self, how: Publishing, after: u64) -> (u64, Vec<Published>) {
         let now = Instant::now();
         let s = lock(&self.state);
@@ -97,7 +99,7 @@
         (next, events)
     }
 
-    /// The number of the last event, published or not.
+    /// Sequence number of the last event, visible or not.
     pub(super) fn seq(&self) -> u64 {
         lock(&self.state).seq
     }
@@ -106,33 +108,33 @@
         lock(&self.state).history.clone()
     }
 
-    /// Changes the load by a function; reported after `lag`.
-    pub(super) fn load(&self, lag: Duration, change: impl FnOnce(&mut Load)) {
+    /// Changes the load; the change is reported after `lag`.
+    pub(super) fn change_load(&self, lag: Duration, change: impl FnOnce(&mut Load)) {
         let s = &mut *lock(&self.state);
         change(&mut s.load);
-        s.reported.set(Instant::now(), lag, s.load);
+        s.reported_load.set(Instant::now(), lag, s.load);
     }
 
-    /// The load as it is.
+    /// Number of running requests at this moment, without delay.
     pub(super) fn running(&self) -> usize {
         lock(&self.state).load.running
     }
 
-    /// The load as it is reported.
-    pub(super) fn reported(&self) -> Load {
-        *lock(&self.state).reported.get(Instant::now())
+    /// The load as reported, with its delay.
+    pub(super) fn reported_load(&self) -> Load {
+        *lock(&self.state).reported_load.get(Instant::now())
     }
 }
 
 impl State {
-    fn remember(&mut self, at: u64, event: &Event) {
+    fn record(&mut self, at: u64, event: &Event) {
         let (hash, stored) = match event {
             Event::Stored { hash, .. } => (Some(*hash), true),
             Event::Removed { hash } => (Some(*hash), false),
             Event::Cleared => (None, false),
             Event::Weights { .. } => return,
         };
-        if self.history.len() < HISTORY {
+        if self.history.len() < MAX_HISTORY {
             self.history.push(Change { at, hash, stored });
         }
     }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -7,16 +7,16 @@
 use serde_json::json;
 use viz::{Method, Request, RequestExt, Response, Result, Router, StatusCode};
 
-use crate::engine::ask::Ask;
+use crate::engine::request::CompletionRequest;
 use crate::engine::run::Job;
 use crate::engine::{Engine, Faults};
 use crate::{lock, reply};
 
 impl Engine {
-    /// Its HTTP interface.
+    /// The HTTP interface of the engine.
     pub fn router(self: &Arc<Self>) -> Router {
-        let this = Arc::clone(self);
-        Router::new().any("/*", move |r: Request| Arc::clone(&this).serve(r))
+        let engine = Arc::clone(self);
+        Router::new().any("/*", move |r: Request| Arc::clone(&engine).serve(r))
     }
 
     async fn serve(self: Arc<Self>, mut req: Request) -> Result<Response> {
@@ -30,10 +30,10 @@
             (&Method::GET, "/load") => {
                 let late = Duration::from_millis(self.faults.get().late);
                 tokio::time::sleep(late).await;
-                self.load()
+                self.report_load()
             }
             (&Method::GET, "/events") => self.events(req.query_string().unwrap_or_default()),
-            (&Method::GET, "/cache") => self.blocks(),
+            (&Method::GET, "/cache") => self.list_blocks(),
             (&Method::GET, "/log") => reply::json(StatusCode::OK, &self.run_log()),
             (&Method::GET, "/history") => reply::json(StatusCode::OK, &self.feed.history()),
             (&Method::POST, "/kv") => self.import(&body).await,
@@ -43,7 +43,7 @@
             (&Method::POST, "/faults") => {
                 let peer = req.extensions().get::<Option<Arc<SocketAddr>>>();
                 let peer = peer.and_then(|p| p.as_deref().copied());
-                self.fault(&body, peer)
+                self.post_faults(&body, peer)
             }
             (&Method::GET, "/faults") => reply::json(StatusCode::OK, &self.faults.get()),
             _ => reply::json(StatusCode::NOT_FOUND, &json!({})),
@@ -51,11 +51,11 @@
     }
 
     async fn complete(self: Arc<Self>, id: String, body: &[u8]) -> Result<Response> {
-        let ask = match serde_json::from_slice::<Ask>(body) {
+        let request = match serde_json::from_slice::<CompletionRequest>(body) {
             Ok(a) => a,
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
         };
-        if let Some(status) = self.faults.refusal() {
+        if let Some(status) = self.faults.take_error() {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
             return reply::json(status, &json!({"error": "fault"}));
         }
@@ -65,21 +65,26 @@
                 &json!({"error": "loading"}),
             );
         };
-        let prompt = ask.text();
-        if self.set.poison.as_ref().is_some_and(|p| prompt.contains(p)) {
+        let prompt = request.prompt_text();
+        if self
+            .settings
+            .poison
+            .as_ref()
+            .is_some_and(|p| prompt.contains(p))
+        {
             std::process::abort();
         }
         let job = Job {
             id,
             prompt,
-            ask,
+            request,
             weights,
             cuts,
         };
         self.answer(job).await
     }
 
-    /// The weights that it serves and how often running work was cut; none while it loads.
+    /// The weights in use and the number of times that running work was cut; none while loading.
     fn serving(&self) -> Option<(String, u64)> {
         let s = lock(&self.served);
         match s.loading {
@@ -88,9 +93,9 @@
         }
     }
 
-    fn load(&self) -> Result<Response> {
-        let blocks = self.change(|c, _| c.len());
-        let load = self.feed.reported();
+    fn report_load(&self) -> Result<Response> {
+        let blocks = self.with_cache(|c, _| c.len());
+        let load = self.feed.reported_load();
         let served = lock(&self.served);
         reply::json(
             StatusCode::OK,
@@ -110,7 +115,7 @@
 
     fn events(&self, query: &str) -> Result<Response> {
         let after = query.strip_prefix("after=").and_then(|n| n.parse().ok());
-        self.change(|_, _| ());
+        self.with_cache(|_, _| ());
         let (next, events) = self.feed.after(self.publishing(), after.unwrap_or(0));
         reply::json(
             StatusCode::OK,
@@ -118,7 +123,7 @@
         )
     }
 
-    fn blocks(&self) -> Result<Response> {
+    fn list_blocks(&self) -> Result<Response> {
         let (seq, blocks) = {
             let cache = lock(&self.cache);
             (self.feed.seq(), cache.list())
@@ -129,7 +134,7 @@
         )
     }
 
-    fn fault(&self, body: &[u8], peer: Option<SocketAddr>) -> Result<Response> {
+    fn post_faults(&self, body: &[u8], peer: Option<SocketAddr>) -> Result<Response> {
         match serde_json::from_slice::<Faults>(body) {
             Ok(f) => self.set_faults_except(f, peer),
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -1,7 +1,8 @@
-//! Export and import of kept KV, so that another replica needn't compute a prompt's front again.
+//! Export and import of cached KV blocks, so that another replica needn't compute the first blocks
+//! of a prompt again.
 //!
-//! An entry bears the model, weights and life that computed it. Another model's or other weights'
-//! entries are refused: what was computed with them would give wrong words.
+//! An export names the model, weights and incarnation that computed it. An export of another model
+//! or of other weights is refused: its blocks would lead to wrong tokens.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,18 +15,18 @@
 use crate::engine::Engine;
 use crate::{lock, reply};
 
-/// A prompt's front, exported.
+/// The exported first blocks of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExport {
-    /// The model that computed it.
+    /// The model that computed the blocks.
     pub model: String,
-    /// The weights that computed it.
+    /// The weights that computed the blocks.
     pub weights: String,
-    /// The life that computed it.
+    /// The engine incarnation that computed the blocks.
     pub incarnation: u64,
     /// Cache salt.
     pub scope: String,
-    /// Texts of its blocks.
+    /// Texts of the blocks, in order.
     pub texts: Vec<String>,
 }
 
@@ -36,47 +37,47 @@
         let Some(path) = path else {
             return reply::json(StatusCode::NOT_FOUND, &json!({"error": "not cached"}));
         };
-        let kept = KvExport {
+        let export = KvExport {
             model: served.model.clone(),
             weights: served.weights.clone(),
             incarnation: self.incarnation,
             scope: path.scope,
             texts: path.texts,
         };
-        reply::json(StatusCode::OK, &kept)
+        reply::json(StatusCode::OK, &export)
     }
 
     pub(super) async fn import(self: Arc<Self>, body: &[u8]) -> Result<Response> {
-        let kept = match serde_json::from_slice::<KvExport>(body) {
+        let export = match serde_json::from_slice::<KvExport>(body) {
             Ok(k) => k,
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
         };
-        if kept.texts.iter().any(|t| t.len() != BLOCK_BYTES) {
+        if export.texts.iter().any(|t| t.len() != BLOCK_BYTES) {
             let text = format!("blocks have {BLOCK_BYTES} bytes");
             return reply::json(StatusCode::BAD_REQUEST, &json!({ "error": text }));
         }
-        let time = self.set.import * kept.texts.len() as u32;
+        let time = self.settings.import * export.texts.len() as u32;
         tokio::time::sleep(self.faults.slowed(time)).await;
-        self.add(&kept)
+        self.add(&export)
     }
 
-    fn add(&self, kept: &KvExport) -> Result<Response> {
-        // Held until the blocks are in, so that no load order comes between check and import.
+    fn add(&self, export: &KvExport) -> Result<Response> {
+        // Locked until the blocks are stored, so that no load order starts between check and import.
         let served = lock(&self.served);
-        if served.loading || served.weights != kept.weights || served.model != kept.model {
+        if served.loading || served.weights != export.weights || served.model != export.model {
             let text = format!("serves {} {}", served.model, served.weights);
             return reply::json(StatusCode::CONFLICT, &json!({ "error": text }));
         }
-        let prompt = kept.texts.concat();
-        let chain = chain(&kept.scope, prompt.as_bytes());
+        let prompt = export.texts.concat();
+        let chain = chain(&export.scope, prompt.as_bytes());
         let piece = BlockRange {
-            scope: &kept.scope,
+            scope: &export.scope,
             prompt: prompt.as_bytes(),
             chain: &chain,
             from: 0,
             to: chain.len(),
         };
-        self.change(|c, out| c.store(Instant::now(), &piece, out));
+        self.with_cache(|c, out| c.store(Instant::now(), &piece, out));
         reply::json(StatusCode::OK, &json!({"blocks": chain.len()}))
     }
 }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,4 +1,5 @@
-//! A model engine: completions as server-sent events, a bounded prefix cache, late cache events.
+//! A model engine: completions as server-sent events, a bounded prefix cache, and cache events that
+//! are published with a delay.
 //!
 //! | call | answer |
 //! | --- | --- |
@@ -6,31 +7,32 @@
 //! | `GET /load` | `{"incarnation","running","waiting","model","weights","blocks",…}` |
 //! | `GET /events?after=N` | `{"incarnation","next","events":[{"seq","kind",…}]}` |
 //! | `GET /cache` | `{"incarnation","seq","blocks":[…]}` |
-//! | `GET /log` | what it ran |
-//! | `GET /history` | every change of its cache, for measurements |
-//! | `GET /kv/{hash}`, `POST /kv` | kept KV out and in |
-//! | `POST /orders`, `GET /orders` | carry out an order; those that came |
-//! | `POST /faults`, `GET /faults` | how it misbehaves |
+//! | `GET /log` | the requests that ran |
+//! | `GET /history` | every change of the cache, for measurements |
+//! | `GET /kv/{hash}`, `POST /kv` | export and import of cached KV blocks |
+//! | `POST /orders`, `GET /orders` | carry out an order; list the orders received |
+//! | `POST /faults`, `GET /faults` | set or show the injected faults |
 //!
 //! Besides the usual fields a request may have `cache_salt` (cache entries of one salt are never
-//! found under another), `priority` (lower first) and `resume` (events that the caller has).
-//! The answer to a prompt is always the same words, so that a resumed one can be compared.
+//! found under another), `priority` (lower runs first) and `resume` (number of events that the caller
+//! already has). The answer to a prompt always consists of the same tokens, so that a resumed answer
+//! can be checked.
 
-mod ask;
 mod faults;
 mod feed;
 mod http;
 mod kv;
 mod orders;
+mod request;
 mod run;
 mod schedule;
 mod settings;
 
-pub use ask::answer_token;
 pub use faults::Faults;
 pub use feed::Change;
 pub use kv::KvExport;
 pub use orders::{Order, OrderKind, OrderRecord, Status};
+pub use request::answer_token;
 pub use schedule::{Permit, Queue, Rank};
 pub use settings::{Fencing, FencingError, Settings};
 
@@ -46,45 +48,45 @@
 use crate::freeze::FreezeSwitch;
 use crate::{lock, micros};
 
-use self::faults::Switch;
+use self::faults::ActiveFaults;
 use self::feed::{Feed, Publishing};
-use self::orders::Serving;
+use self::orders::ServingState;
 
-/// One request that the engine ran; times are microseconds since 1970, 0 if not reached.
+/// Log entry of one request. Times are microseconds since 1970, 0 for steps that were not reached.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
     /// Request id.
     pub request: String,
-    /// Its priority.
+    /// Priority; lower runs first.
     pub priority: i64,
-    /// The weights it met.
+    /// The weights in use when the request arrived.
     pub weights: String,
-    /// Blocks found in the cache.
+    /// Number of the prompt's blocks found in the cache.
     pub cached: usize,
-    /// Blocks of the prompt.
+    /// Number of blocks of the prompt.
     pub blocks: usize,
-    /// Tokens that its caller already had.
+    /// Number of tokens that the caller already had.
     pub resumed: usize,
-    /// Tokens computed.
+    /// Number of tokens computed.
     pub tokens: usize,
     /// Whether the answer was computed to its end.
     pub whole: bool,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: u64,
-    /// When it got a slot.
+    /// When the request got a slot.
     pub started: u64,
     /// When the cache was searched.
     pub looked: u64,
-    /// When its prompt was computed.
+    /// When the prompt had been computed.
     pub computed: u64,
-    /// When it ended.
+    /// When the request ended, complete or not.
     pub ended: u64,
 }
 
-/// One life of an engine.
+/// One incarnation of an engine.
 #[derive(Debug)]
 pub struct Engine {
-    set: Settings,
+    settings: Settings,
     incarnation: u64,
     cache: Mutex<Cache>,
     feed: Feed,
@@ -92,60 +94,61 @@
     prefill: Arc<Queue>,
     arrivals: AtomicU64,
     cuts: watch::Sender<u64>,
-    served: Mutex<Serving>,
-    faults: Switch,
+    served: Mutex<ServingState>,
+    faults: ActiveFaults,
     freeze_switch: Arc<FreezeSwitch>,
     log: Mutex<Vec<RunRecord>>,
 }
 
-/// Lives begun in this process, so that two of one microsecond differ.
-static LIVES: AtomicU64 = AtomicU64::new(0);
+/// Number of engines started in this process; keeps the incarnations of two that start within one
+/// microsecond apart.
+static STARTED: AtomicU64 = AtomicU64::new(0);
 
 impl Engine {
-    /// A new life with an empty cache.
-    pub fn new(set: Settings) -> Arc<Self> {
+    /// Starts a new incarnation with an empty cache.
+    pub fn new(settings: Settings) -> Arc<Self> {
         Arc::new(Self {
-            incarnation: micros() + LIVES.fetch_add(1, Ordering::Relaxed),
-            cache: Mutex::new(Cache::new(set.blocks, set.age)),
+            incarnation: micros() + STARTED.fetch_add(1, Ordering::Relaxed),
+            cache: Mutex::new(Cache::new(settings.blocks, settings.age)),
             feed: Feed::default(),
-            slots: Queue::new(set.slots.max(1)),
+            slots: Queue::new(settings.slots.max(1)),
             prefill: Queue::new(1),
             arrivals: AtomicU64::new(0),
             cuts: watch::Sender::new(0),
-            served: Mutex::new(Serving::new(&set.model, &set.weights)),
-            faults: Switch::default(),
+            served: Mutex::new(ServingState::new(&settings.model, &settings.weights)),
+            faults: ActiveFaults::default(),
             freeze_switch: Arc::default(),
             log: Mutex::default(),
-            set,
+            settings,
         })
     }
 
-    /// What it ran, in the order of its ends.
+    /// Log of the requests that ran, in the order in which they ended.
     pub fn run_log(&self) -> Vec<RunRecord> {
         lock(&self.log).clone()
     }
 
-    /// Orders that came.
+    /// Orders received.
     pub fn orders(&self) -> Vec<OrderRecord> {
         lock(&self.served).orders.clone()
     }
 
-    /// Requests that it computes at this moment.
+    /// Number of requests being computed at this moment.
     pub fn running(&self) -> usize {
         self.feed.running()
     }
 
-    /// Which life it is.
+    /// The incarnation of this engine.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Sets how it misbehaves.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.set_faults_except(faults, None);
     }
 
-    /// Sets how it misbehaves, and spares one peer's connection if connections freeze.
+    /// Replaces the injected faults; if connections freeze, those of one peer are spared.
     fn set_faults_except(&self, faults: Faults, except: Option<SocketAddr>) {
         if faults.freeze {
             self.freeze_switch.freeze(except);
@@ -153,7 +156,7 @@
         self.faults.set(faults);
     }
 
-    /// The switch that freezes its connections; for its listener.
+    /// Freezes the connections of this engine; to be passed to its listener.
     pub fn freeze_switch(&self) -> Arc<FreezeSwitch> {
         Arc::clone(&self.freeze_switch)
     }
@@ -163,13 +166,13 @@
         Rank { priority, arrival }
     }
 
-    fn cut_all(&self) {
+    fn cut_running(&self) {
         self.cuts.send_modify(|n| *n += 1);
     }
 
-    /// Uses the cache and publishes what changes. Events are numbered while the cache is locked,
-    /// so that their order is that of the changes.
-    fn change<T>(&self, f: impl FnOnce(&mut Cache, &mut Vec<Event>) -> T) -> T {
+    /// Runs `f` on the cache and publishes the changes. Events get their sequence numbers while the
+    /// cache is locked, so that they have the order of the changes.
+    fn with_cache<T>(&self, f: impl FnOnce(&mut Cache, &mut Vec<Event>) -> T) -> T {
         let mut out = Vec::new();
         let mut cache = lock(&self.cache);
         cache.expire(Instant::now(), &mut out);
@@ -184,9 +187,9 @@
 
     fn publishing(&self) -> Publishing {
         Publishing {
-            lag: self.set.lag,
-            lose: self.set.lose,
-            reorder: self.set.reorder,
+            lag: self.settings.lag,
+            lose: self.settings.lose,
+            reorder: self.settings.reorder,
         }
     }
 }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to load weights or an adapter or to change role.
+//! Orders to load weights, to load an adapter or to change the role.
 //!
-//! Some engines refuse an order whose fencing number is older than the highest that they have
-//! seen; others carry out whatever comes. Which of the two is a setting.
+//! Some engines refuse an order whose fencing number is lower than the highest one received; others
+//! carry out every order. The setting [`Fencing`] chooses between the two.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,74 +14,74 @@
 use crate::engine::{Engine, Fencing};
 use crate::{lock, micros, reply};
 
-/// Replicas that may load at once without slowing one another.
-const LOADS: u32 = 2;
-/// An adapter is this many times smaller than the weights.
-const ADAPTER: u32 = 8;
+/// Number of replicas that can load weights at the same time without slowing one another down.
+const FAST_LOADS: u32 = 2;
+/// Ratio of the load time of the weights to that of an adapter.
+const WEIGHTS_TO_ADAPTER: u32 = 8;
 
-/// An order as it is sent.
+/// An order and its fencing number, as sent to the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of whoever sends it.
+    /// Fencing number of the sender.
     pub fence: u64,
-    /// What is to be done.
+    /// What to do.
     #[serde(flatten)]
     pub what: OrderKind,
 }
 
-/// What an engine can be ordered to do.
+/// The kinds of orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "lowercase")]
 pub enum OrderKind {
-    /// Load weights, and another model if one is named.
+    /// Load weights, of another model if one is named.
     Load {
-        /// Their name.
+        /// Name of the weights.
         weights: String,
-        /// The model's name, if it changes.
+        /// Name of the model, if it changes.
         #[serde(default)]
         model: Option<String>,
     },
     /// Load an adapter.
     Adapter {
-        /// Its name.
+        /// Name of the adapter.
         adapter: String,
     },
-    /// Change role.
+    /// Change the role.
     Role {
-        /// Its name.
+        /// Name of the role.
         role: String,
     },
 }
 
-/// What became of an order.
+/// The status of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// It is being carried out.
+    /// The order is being carried out.
     Running,
-    /// It was carried out.
+    /// The order was carried out.
     Done,
-    /// Its number was old.
+    /// Refused because its fencing number was lower than an earlier one.
     Fenced,
-    /// Another order was being carried out.
+    /// Refused because another order was being carried out.
     Busy,
 }
 
-/// An order that arrived.
+/// An order that the engine received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRecord {
     /// Microseconds since 1970 when it arrived.
     pub at: u64,
-    /// What arrived.
+    /// The order as received.
     #[serde(flatten)]
     pub order: Order,
-    /// What became of it.
+    /// The current status of the order.
     pub status: Status,
 }
 
-/// What the orders have made of an engine.
+/// What an engine serves, as changed by orders, and the orders received.
 #[derive(Clone, Debug)]
-pub(super) struct Serving {
+pub(super) struct ServingState {
     pub(super) model: String,
     pub(super) weights: String,
     pub(super) adapters: Vec<String>,
@@ -91,7 +91,7 @@
     pub(super) orders: Vec<OrderRecord>,
 }
 
-impl Serving {
+impl ServingState {
     pub(super) fn new(model: &str, weights: &str) -> Self {
         Self {
             model: model.to_owned(),
@@ -111,31 +111,31 @@
             Ok(o) => o,
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
         };
-        let (status, at, seen) = self.receive(&order);
+        let (status, index, fence) = self.receive(&order);
         let code = match status {
             Status::Fenced => StatusCode::CONFLICT,
             Status::Busy => StatusCode::SERVICE_UNAVAILABLE,
             Status::Running | Status::Done => StatusCode::ACCEPTED,
         };
         if status == Status::Running {
-            let this = Arc::clone(self);
-            tokio::spawn(async move { this.carry_out(order.what, at).await });
+            let engine = Arc::clone(self);
+            tokio::spawn(async move { engine.carry_out(order.what, index).await });
         }
-        reply::json(code, &json!({"status": status, "fence": seen}))
+        reply::json(code, &json!({"status": status, "fence": fence}))
     }
 
     fn receive(&self, order: &Order) -> (Status, usize, u64) {
         let mut s = lock(&self.served);
-        let old = order.fence < s.fence && self.set.fencing == Fencing::Honour;
+        let outdated = order.fence < s.fence && self.settings.fencing == Fencing::Honour;
         let status = match () {
-            () if old => Status::Fenced,
+            () if outdated => Status::Fenced,
             () if s.loading => Status::Busy,
             () => Status::Running,
         };
         s.fence = s.fence.max(order.fence);
         s.loading |= status == Status::Running;
         if status == Status::Running && matches!(order.what, OrderKind::Load { .. }) {
-            self.cut_all();
+            self.cut_running();
         }
         s.orders.push(OrderRecord {
             at: micros(),
@@ -145,30 +145,31 @@
         (status, s.orders.len() - 1, s.fence)
     }
 
-    async fn carry_out(&self, what: OrderKind, at: usize) {
+    async fn carry_out(&self, what: OrderKind, index: usize) {
         match what {
             OrderKind::Load { weights, model } => {
-                tokio::time::sleep(self.loading(1)).await;
-                self.reload(weights, model);
+                tokio::time::sleep(self.load_time(1)).await;
+                self.finish_load(weights, model);
             }
             OrderKind::Adapter { adapter } => {
-                tokio::time::sleep(self.loading(ADAPTER)).await;
+                tokio::time::sleep(self.load_time(WEIGHTS_TO_ADAPTER)).await;
                 lock(&self.served).adapters.push(adapter);
             }
             OrderKind::Role { role } => lock(&self.served).role = role,
         }
         let mut s = lock(&self.served);
         s.loading = false;
-        s.orders[at].status = Status::Done;
+        s.orders[index].status = Status::Done;
     }
 
-    fn loading(&self, part: u32) -> Duration {
+    fn load_time(&self, divisor: u32) -> Duration {
         let faults = self.faults.get();
-        let slower = if faults.loads > LOADS { 2 } else { 1 };
-        self.faults.slowed(self.set.loading * slower / part)
+        let slowdown = if faults.loads > FAST_LOADS { 2 } else { 1 };
+        self.faults
+            .slowed(self.settings.loading * slowdown / divisor)
     }
 
-    fn reload(&self, weights: String, model: Option<String>) {
+    fn finish_load(&self, weights: String, model: Option<String>) {
         let mut s = lock(&self.served);
         let mut cache = lock(&self.cache);
         cache.clear();
--- a/crates/standin/src/engine/ask.rs
+++ b/crates/standin/src/engine/request.rs
@@ -1,17 +1,18 @@
-//! What a caller asks of an engine, and the words it gets.
+//! Completion requests, and the tokens that an engine answers with.
 
 use serde::Deserialize;
 
-/// Tokens of an answer whose request doesn't say.
-const OUTPUT: usize = 16;
+/// Tokens of an answer if the request has no `max_tokens`.
+const DEFAULT_MAX_TOKENS: usize = 16;
 
+/// The body of a completion request, with a prompt or with chat messages.
 #[derive(Debug, Deserialize)]
-pub(super) struct Ask {
+pub(super) struct CompletionRequest {
     #[serde(default)]
     prompt: Option<String>,
     #[serde(default)]
     messages: Vec<Message>,
-    #[serde(default = "output")]
+    #[serde(default = "default_max_tokens")]
     pub(super) max_tokens: usize,
     #[serde(default)]
     pub(super) stream: bool,
@@ -29,13 +30,14 @@
     content: String,
 }
 
-fn output() -> usize {
-    OUTPUT
+fn default_max_tokens() -> usize {
+    DEFAULT_MAX_TOKENS
 }
 
-impl Ask {
-    /// The text that is cached: a prompt as it is, messages as role, colon, content, newline.
-    pub(super) fn text(&self) -> String {
+impl CompletionRequest {
+    /// The prompt text, as used for the prefix cache: a prompt unchanged, each chat message as
+    /// `role:content` and a newline.
+    pub(super) fn prompt_text(&self) -> String {
         let chat = || {
             self.messages
                 .iter()
@@ -45,7 +47,7 @@
     }
 }
 
-/// The word at a place of a prompt's answer.
+/// Token `i` of the answer to a prompt. A prompt always has the same answer.
 pub fn answer_token(prompt: &str, i: usize) -> String {
     let h = xxhash_rust::xxh3::xxh3_64_with_seed(prompt.as_bytes(), i as u64);
     format!(" w{}", h % 10_000)
--- a/crates/standin/src/engine/schedule.rs
+++ b/crates/standin/src/engine/schedule.rs
@@ -1,4 +1,4 @@
-//! Queues that honour priorities: the lowest number goes first, equals in order of arrival.
+//! Permits granted by priority: the lowest number first, equal priorities in order of arrival.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,16 +8,16 @@
 
 use crate::lock;
 
-/// A request's rank in a queue: its priority, then its arrival.
+/// Rank of a request in a queue: by priority, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Lower goes first.
+    /// Lower numbers go first.
     pub priority: i64,
-    /// Number of arrival.
+    /// Sequence number of the arrival.
     pub arrival: u64,
 }
 
-/// A number of permits and the line of those who wait for one.
+/// A fixed number of permits and a priority queue of waiters.
 #[derive(Debug)]
 pub struct Queue {
     state: Mutex<State>,
@@ -43,14 +43,14 @@
     grant: oneshot::Sender<Permit>,
 }
 
-/// A permit; given to the next in line when it is dropped.
+/// A permit; granted to the first waiter in the queue when dropped.
 #[derive(Debug)]
 pub struct Permit {
-    line: Option<Arc<Queue>>,
+    queue: Option<Arc<Queue>>,
 }
 
 impl Queue {
-    /// A line for `permits` permits.
+    /// A queue with `permits` permits.
     pub fn new(permits: usize) -> Arc<Self> {
         let state = State {
             free: permits,
@@ -61,21 +61,21 @@
         })
     }
 
-    /// Waits for a permit. A waiter that is dropped leaves the line.
+    /// Waits for a permit. A waiter that is dropped leaves the queue.
     pub async fn acquire(self: &Arc<Self>, rank: Rank) -> Permit {
         let granted = {
             let mut s = lock(&self.state);
             if s.free > 0 {
                 s.free -= 1;
-                return self.granted();
+                return self.permit();
             }
             s.wait(rank)
         };
-        // The sender stays in the line until it grants, so that an error can't come.
-        granted.await.unwrap_or(Permit { line: None })
+        // The sender stays in the queue until the permit is granted, so this can't fail.
+        granted.await.unwrap_or(Permit { queue: None })
     }
 
-    /// Gives the permit up if somebody in line comes before `rank`, and waits for it again.
+    /// If a waiter ranks before `rank`, gives up the permit and waits for another one.
     pub async fn yield_to(self: &Arc<Self>, permit: Permit, rank: Rank) -> Permit {
         let granted = {
             let mut s = lock(&self.state);
@@ -85,10 +85,10 @@
             s.wait(rank)
         };
         drop(permit);
-        granted.await.unwrap_or(Permit { line: None })
+        granted.await.unwrap_or(Permit { queue: None })
     }
 
-    /// How many wait.
+    /// Number of waiters.
     pub fn waiting(&self) -> usize {
         lock(&self.state).waiting.len()
     }
@@ -98,9 +98,9 @@
         lock(&self.state).free == 0
     }
 
-    fn granted(self: &Arc<Self>) -> Permit {
+    fn permit(self: &Arc<Self>) -> Permit {
         Permit {
-            line: Some(Arc::clone(self)),
+            queue: Some(Arc::clone(self)),
         }
     }
 
@@ -116,19 +116,19 @@
                     }
                 }
             };
-            let Err(mut back) = next.send(self.granted()) else {
+            let Err(mut unclaimed) = next.send(self.permit()) else {
                 return;
             };
-            // The waiter has gone; its permit isn't released a second time by the drop.
-            back.line = None;
+            // The waiter was dropped; this disarms its permit, which would release a second time.
+            unclaimed.queue = None;
         }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(line) = self.line.take() {
-            line.release();
+        if let Some(queue) = self.queue.take() {
+            queue.release();
         }
     }
 }
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -1,23 +1,23 @@
-//! How an engine behaves.
+//! Settings of an engine.
 
 use std::time::Duration;
 
-/// How an engine behaves.
+/// Size, speed and faults of an engine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Model it serves.
+    /// Model served.
     pub model: String,
-    /// Weights it serves.
+    /// Weights served at the start.
     pub weights: String,
-    /// Blocks its cache holds.
+    /// Number of blocks that the cache holds.
     pub blocks: usize,
     /// Unused blocks are evicted after this time.
     pub age: Duration,
-    /// Requests it computes at a time.
+    /// Number of requests computed at a time.
     pub slots: usize,
     /// Time to compute one block of prompt.
     pub prefill: Duration,
-    /// Blocks of prompt computed in one go.
+    /// Number of prompt blocks computed without interruption.
     pub chunk: usize,
     /// Time to compute one token of answer.
     pub decode: Duration,
@@ -25,34 +25,34 @@
     pub batch_penalty: u32,
     /// Per cent by which a prompt that is being computed lengthens a token's time.
     pub prefill_penalty: u32,
-    /// How late cache events are published.
+    /// Delay of published cache events.
     pub lag: Duration,
-    /// How late load is reported.
+    /// Delay of the reported load.
     pub load_lag: Duration,
     /// One in this many cache events is lost; 0 for none.
     pub lose: u64,
-    /// Whether neighbouring cache events are published in the wrong order.
+    /// Whether adjacent cache events are published in swapped order.
     pub reorder: bool,
-    /// Time to import one block of kept KV.
+    /// Time to import one KV block.
     pub import: Duration,
     /// Time to load weights.
     pub loading: Duration,
-    /// Whether an order with an older fencing number is refused.
+    /// Whether an order with a lower fencing number than an earlier one is refused.
     pub fencing: Fencing,
-    /// A prompt with this text in it kills the process.
+    /// A prompt that contains this text aborts the process.
     pub poison: Option<String>,
 }
 
-/// What an engine makes of fencing numbers.
+/// How an engine treats fencing numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fencing {
-    /// Older numbers are refused.
+    /// Refuses orders with a lower number than an earlier order.
     Honour,
-    /// All orders are carried out.
+    /// Carries out all orders.
     Ignore,
 }
 
-/// A word that is neither `honour` nor `ignore`.
+/// The text is neither `honour` nor `ignore`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is neither honour nor ignore")]
 pub struct FencingError(String);
--- a/crates/standin/src/hosted/mod.rs
+++ b/crates/standin/src/hosted/mod.rs
@@ -1,8 +1,8 @@
-//! A platform that hosts the router: a store of rows, replicas that register themselves there, and
-//! the operator who writes to it.
+//! A platform that hosts the router: a row store, replicas listed in it, and the rows that the
+//! operator writes.
 //!
-//! It speaks the published protocol as its pages give it, written here by hand, so that the adapter is
-//! checked against the pages and not against itself.
+//! The published protocol is implemented here by hand from its documentation, so that the adapter is
+//! checked against the documentation and not against itself.
 
 pub mod prompt_cache;
 pub mod replica;
@@ -23,13 +23,13 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// An answer that breaks off.
+/// The error of an answer that is cut off deliberately.
 #[derive(Debug, thiserror::Error)]
-#[error("broken off on purpose")]
-pub struct Broken;
+#[error("cut off on purpose")]
+pub struct CutOff;
 
 /// The body of an answer.
-pub type Body = UnsyncBoxBody<Bytes, Broken>;
+pub type Body = UnsyncBoxBody<Bytes, CutOff>;
 
 /// A whole body.
 pub fn whole(bytes: impl Into<Bytes>) -> Body {
@@ -44,8 +44,8 @@
     response
 }
 
-/// Answers requests on a port of 127.0.0.1 until the returned set is dropped. A request for which
-/// `answer` gives nothing has its connection closed.
+/// Answers requests on a port of 127.0.0.1 until the returned task set is dropped. If `answer`
+/// returns `None`, the connection of the request is closed.
 pub async fn serve<F, A>(answer: F) -> std::io::Result<(SocketAddr, JoinSet<()>)>
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
@@ -63,10 +63,10 @@
             let answer = answer.clone();
             let service = service_fn(move |r| {
                 let answered = answer(r);
-                async move { answered.await.ok_or(Broken) }
+                async move { answered.await.ok_or(CutOff) }
             });
             connections.spawn(async move {
-                // A connection that is broken off ends with an error, as it should.
+                // A connection that is cut off deliberately ends with an error.
                 let _ = http1::Builder::new()
                     .serve_connection(TokioIo::new(tcp), service)
                     .await;
--- a/crates/standin/src/hosted/prompt_cache.rs
+++ b/crates/standin/src/hosted/prompt_cache.rs
@@ -1,22 +1,22 @@
-//! What a replica holds of prompts, and what it tells of that.
+//! The prompt parts that a replica holds, and the feed and list in which it reports them.
 
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
 
-/// Parts held, and the latest changes of them.
+/// The parts held and their latest changes.
 #[derive(Debug, Default)]
 pub struct PromptCache {
     held: BTreeMap<(String, String), u32>,
     changes: Vec<Value>,
     next: u64,
-    first: u64,
-    listed: usize,
+    first_kept: u64,
+    list_reads: usize,
     restarts: u64,
 }
 
 impl PromptCache {
-    /// Holds a part under a scope; no tokens drop it.
+    /// Stores a part under a scope; zero tokens remove it.
     pub fn store(&mut self, scope: &str, part: &str, tokens: u32) {
         let key = (scope.to_owned(), part.to_owned());
         let sign = match tokens {
@@ -34,13 +34,13 @@
         self.next += 1;
     }
 
-    /// Keeps no change of before for those who haven't asked yet.
+    /// Drops the recorded changes: a reader that has not fetched them is informed of the loss.
     pub fn drop_changes(&mut self) {
         self.changes.clear();
-        self.first = self.next;
+        self.first_kept = self.next;
     }
 
-    /// Holds nothing, as after another start.
+    /// Empties the cache, as a restart of the replica does.
     pub fn restart(&mut self) {
         *self = Self {
             restarts: self.restarts + 1,
@@ -48,23 +48,23 @@
         };
     }
 
-    /// The changes since one.
+    /// The changes from sequence number `since`, as JSON.
     pub fn changes(&self, since: u64) -> Value {
-        let seen = since.saturating_sub(self.first) as usize;
-        let new: Vec<_> = self.changes.iter().skip(seen).cloned().collect();
-        json!({"boot_epoch": self.restarts + 1, "next": self.next, "lost": since < self.first, "events": new})
+        let skipped = since.saturating_sub(self.first_kept) as usize;
+        let new: Vec<_> = self.changes.iter().skip(skipped).cloned().collect();
+        json!({"boot_epoch": self.restarts + 1, "next": self.next, "lost": since < self.first_kept, "events": new})
     }
 
-    /// All that is held.
+    /// All parts held, as JSON.
     pub fn list(&mut self) -> Value {
-        self.listed += 1;
+        self.list_reads += 1;
         let held = self.held.iter();
         let held: Vec<_> = held.map(|((s, p), n)| json!([s, p, n, ""])).collect();
         json!({"boot_epoch": self.restarts + 1, "next": self.next, "held": held})
     }
 
-    /// Times that the whole list was read.
-    pub fn listed(&self) -> usize {
-        self.listed
+    /// Number of times that the whole list was read.
+    pub fn list_reads(&self) -> usize {
+        self.list_reads
     }
 }
--- a/crates/standin/src/hosted/replica.rs
+++ b/crates/standin/src/hosted/replica.rs
@@ -1,4 +1,4 @@
-//! A replica of a service or a model, with the faults that callers of it meet.
+//! A replica of a service or a model, with the faults that its callers encounter.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,73 +18,75 @@
 use tokio::time::sleep;
 
 use super::prompt_cache::PromptCache;
-use super::{reply, serve, Body, Broken};
+use super::{reply, serve, Body, CutOff};
 use crate::lock;
 
-/// How a replica misbehaves.
+/// A fault of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It doesn't.
+    /// No fault.
     #[default]
     None,
-    /// It refuses what comes and says that it did not run.
+    /// Refuses requests and states that they did not run.
     Full,
-    /// It answers 503 without saying whether the request ran.
+    /// Answers 503 without stating whether the request ran.
     Vague,
-    /// It answers 500.
+    /// Answers 500.
     Error,
-    /// It runs the request and closes the connection without an answer.
+    /// Runs the request and closes the connection without an answer.
     Lost,
-    /// It runs the request and never answers.
+    /// Runs the request and never answers.
     Hang,
-    /// It answers without a signature.
+    /// Answers without a signature.
     Unsigned,
-    /// It answers in another encoding.
+    /// Answers with `content-encoding: gzip`.
     Encoded,
-    /// It answers with another request's id.
+    /// Answers with the id of another request.
     Crossed,
-    /// It breaks its stream off after three events, in the middle of the fourth.
+    /// Cuts the stream off in the middle of the fourth event, with an error.
     Cut,
-    /// It ends its stream in order, but in the middle of the fourth event.
+    /// Ends the stream without an error, but in the middle of the fourth event.
     Short,
 }
 
-/// A request that a replica has seen.
+/// A request that a replica received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its path and query.
+    /// Path and query.
     pub path: String,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
     fault: Fault,
-    /// A fault that only the first request of several replicas meets, and whether one has met it.
-    first: Option<(Fault, Arc<AtomicBool>)>,
+    /// A fault for only the first request to any of several replicas, and whether it has occurred.
+    first_fault: Option<(Fault, Arc<AtomicBool>)>,
     crash_path: Option<String>,
     requests: Vec<ReceivedRequest>,
     cache: PromptCache,
     orders: Vec<Value>,
     versions: HashMap<String, u64>,
     seq: u64,
-    /// How long it takes to load weights, and the load under way.
+    /// How long a load of weights takes.
     load_time: Duration,
+    /// The load in progress, if any.
     load: Option<Load>,
     loads: Vec<Load>,
-    /// How long its answer to an order takes.
+    /// Delay of the answers to orders.
     order_delay: Duration,
     restarts: u64,
     addr: Option<SocketAddr>,
-    /// Requests at work, and those whose caller left before the end.
+    /// Number of requests being run.
     running: usize,
+    /// Number of requests whose caller disconnected before the end.
     abandoned: usize,
 }
 
@@ -95,32 +97,32 @@
     pub model: String,
     /// The version.
     pub version: u64,
-    /// When it began.
+    /// When the load started.
     pub started: Instant,
-    /// When it is there.
+    /// When the load is complete.
     pub ends: Instant,
 }
 
-/// A replica.
+/// A replica on the hosted platform.
 #[derive(Debug)]
 pub struct Replica {
-    /// Its id in the list.
+    /// Id of the replica in the list.
     pub id: String,
     events: u64,
     pause: Duration,
-    began: Instant,
+    created: Instant,
     state: Mutex<State>,
     changed: Notify,
 }
 
 impl Replica {
-    /// A replica that answers with so many events, a pause apart.
+    /// A replica that answers a stream request with `events` events, each after `pause`.
     pub fn new(id: &str, events: u64, pause: Duration) -> Arc<Self> {
         Arc::new(Self {
             id: id.to_owned(),
             events,
             pause,
-            began: Instant::now(),
+            created: Instant::now(),
             state: Mutex::default(),
             changed: Notify::new(),
         })
@@ -138,45 +140,46 @@
         Ok((addr, served))
     }
 
-    /// Misbehaves from now on.
+    /// Sets the fault of all requests from now on.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.state).fault = fault;
     }
 
-    /// The next request to any of some replicas meets a fault; those after it don't.
+    /// Sets a fault for only the next request to any of `replicas`.
     pub fn set_first_fault(replicas: &[Arc<Self>], fault: Fault) {
-        let met: Arc<AtomicBool> = Arc::default();
+        let occurred: Arc<AtomicBool> = Arc::default();
         for r in replicas {
-            lock(&r.state).first = Some((fault, Arc::clone(&met)));
+            lock(&r.state).first_fault = Some((fault, Arc::clone(&occurred)));
         }
     }
 
-    /// The fault that a request meets.
-    fn fault(&self) -> Fault {
+    /// The fault of the next request.
+    fn next_fault(&self) -> Fault {
         let state = lock(&self.state);
-        match &state.first {
-            Some((fault, met)) if !met.swap(true, Ordering::Relaxed) => *fault,
+        match &state.first_fault {
+            Some((fault, occurred)) if !occurred.swap(true, Ordering::Relaxed) => *fault,
             _ => state.fault,
         }
     }
 
-    /// From now on a request to a path breaks the connection as soon as it has begun to run, as if it
-    /// had crashed the replica. The test enters the replica's next life in the list.
+    /// From now on a request to `path` breaks the connection as soon as it has started to run, as if
+    /// it had crashed the replica. The test writes the next incarnation of the replica to the list.
     pub fn set_crash_path(&self, path: &str) {
         lock(&self.state).crash_path = Some(path.to_owned());
     }
 
-    /// Takes so long to load weights from now on; what comes meanwhile is refused.
+    /// Sets how long a load of weights takes from now on; requests that arrive during a load are
+    /// refused.
     pub fn set_load_time(&self, load_time: Duration) {
         lock(&self.state).load_time = load_time;
     }
 
-    /// Carries orders out at once from now on, and answers them so much later.
+    /// From now on carries out orders at once, but delays the answers to them.
     pub fn set_order_delay(&self, order_delay: Duration) {
         lock(&self.state).order_delay = order_delay;
     }
 
-    /// The load under way, if there is one; one that has ended is in force.
+    /// The load in progress, if any. A load whose time has passed is put in force first.
     pub fn loading(&self) -> Option<Load> {
         let mut state = lock(&self.state);
         let load = state.load.clone()?;
@@ -188,12 +191,12 @@
         None
     }
 
-    /// All loads that took some time.
+    /// All loads with a load time above zero.
     pub fn loads(&self) -> Vec<Load> {
         lock(&self.state).loads.clone()
     }
 
-    /// Starts again: it has the weights that it had, and knows nothing else of before.
+    /// Restarts the replica: it keeps its weights and loses all other state.
     pub fn restart(&self) {
         let mut state = lock(&self.state);
         state.seq = 0;
@@ -202,54 +205,55 @@
         state.cache.restart();
     }
 
-    /// Times that it has started again.
+    /// Number of restarts.
     pub fn restarts(&self) -> u64 {
         lock(&self.state).restarts
     }
 
-    /// Loads a model's weights, as after a start.
+    /// Sets the version of the weights of a model without a load, as after a start.
     pub fn load(&self, model: &str, version: u64) {
         let mut state = lock(&self.state);
         state.versions.insert(model.to_owned(), version);
     }
 
-    /// The version of a model's weights.
+    /// The version of the weights of a model; 0 if none are loaded.
     pub fn version(&self, model: &str) -> u64 {
         let state = lock(&self.state);
         state.versions.get(model).copied().unwrap_or_default()
     }
 
-    /// Does something with what it holds of prompts.
+    /// Calls `change` with the prompt cache.
     pub fn with_cache<T>(&self, change: impl FnOnce(&mut PromptCache) -> T) -> T {
         change(&mut lock(&self.state).cache)
     }
 
-    /// All requests seen.
+    /// All requests received.
     pub fn requests(&self) -> Vec<ReceivedRequest> {
         lock(&self.state).requests.clone()
     }
 
-    /// Where it answers, once it does.
+    /// The address of the replica, once started.
     pub fn addr(&self) -> Option<SocketAddr> {
         lock(&self.state).addr
     }
 
-    /// All orders taken; `meant` is the target that each named, `at_ms` when it came.
+    /// All orders accepted. In each, `meant` is the instance that the order named, and `at_ms` its
+    /// arrival in milliseconds since the replica was created.
     pub fn orders(&self) -> Vec<Value> {
         lock(&self.state).orders.clone()
     }
 
-    /// Requests at work.
+    /// Number of requests being run.
     pub fn running(&self) -> usize {
         lock(&self.state).running
     }
 
-    /// Requests whose caller left before the end.
+    /// Number of requests whose caller disconnected before the end.
     pub fn abandoned(&self) -> usize {
         lock(&self.state).abandoned
     }
 
-    /// Waits until a request is at work.
+    /// Waits until a request is being run.
     pub async fn wait_running(&self) {
         loop {
             let changed = self.changed.notified();
@@ -260,7 +264,7 @@
         }
     }
 
-    /// Waits until some caller has left.
+    /// Waits until a caller has disconnected before the end of its request.
     pub async fn wait_abandoned(&self) {
         loop {
             let changed = self.changed.notified();
@@ -277,11 +281,11 @@
         match parts.uri.path() {
             "/api/report" => return Some(reply(StatusCode::OK, self.report().to_string())),
             "/api/order" => {
-                let meant = parts.headers.get("expect-instance");
-                let meant = meant.and_then(|v| v.to_str().ok());
-                let answer = match meant {
+                let instance = parts.headers.get("expect-instance");
+                let instance = instance.and_then(|v| v.to_str().ok());
+                let answer = match instance {
                     Some(id) if id != self.id => reply(StatusCode::MISDIRECTED_REQUEST, ""),
-                    _ => self.order(&body, meant),
+                    _ => self.order(&body, instance),
                 };
                 let order_delay = lock(&self.state).order_delay;
                 sleep(order_delay).await;
@@ -307,18 +311,22 @@
         let id = text("attempt-id").unwrap_or_default();
         if text("expect-instance").is_some_and(|e| e != self.id) {
             let mut answer = reply(StatusCode::MISDIRECTED_REQUEST, "");
-            set(&mut answer, "instance-id", &self.id);
+            set_header(&mut answer, "instance-id", &self.id);
             return Some(answer);
         }
-        let wanted = text("expect-version").and_then(|v| v.parse::<u64>().ok());
+        let expected = text("expect-version").and_then(|v| v.parse::<u64>().ok());
         let model = text("model").unwrap_or_default();
-        if wanted.is_some_and(|v| v != self.version(&model)) {
+        if expected.is_some_and(|v| v != self.version(&model)) {
             let mut answer = reply(StatusCode::MISDIRECTED_REQUEST, "");
-            set(&mut answer, "instance-id", &self.id);
+            set_header(&mut answer, "instance-id", &self.id);
             return Some(answer);
         }
         let loading = !model.is_empty() && self.loading().is_some();
-        let fault = if loading { Fault::Full } else { self.fault() };
+        let fault = if loading {
+            Fault::Full
+        } else {
+            self.next_fault()
+        };
         lock(&self.state).requests.push(ReceivedRequest {
             id: id.clone(),
             headers: parts.headers.clone(),
@@ -332,13 +340,13 @@
         match fault {
             Fault::Full => {
                 let mut answer = reply(StatusCode::SERVICE_UNAVAILABLE, "");
-                set(&mut answer, "not-executed", "1");
-                set(&mut answer, "attempt-id", &id);
+                set_header(&mut answer, "not-executed", "1");
+                set_header(&mut answer, "attempt-id", &id);
                 return Some(answer);
             }
             Fault::Lost => return None,
             Fault::Hang => {
-                let _work = Work::new(self);
+                let _running = RunningRequest::new(self);
                 return std::future::pending().await;
             }
             _ => {}
@@ -355,50 +363,50 @@
         } else {
             &id
         };
-        set(&mut answer, "attempt-id", echoed);
+        set_header(&mut answer, "attempt-id", echoed);
         if fault != Fault::Unsigned {
-            set(
+            set_header(
                 &mut answer,
                 "response-signature",
                 &format!("sig.{}", self.id),
             );
         }
         if fault == Fault::Encoded {
-            set(&mut answer, "content-encoding", "gzip");
+            set_header(&mut answer, "content-encoding", "gzip");
         }
         Some(answer)
     }
 
     fn stream(self: &Arc<Self>, after: Option<String>, fault: Fault) -> Response<Body> {
         let first = after.and_then(|a| a.parse::<u64>().ok()).unwrap_or(0) + 1;
-        let work = Work::new(self);
+        let running = RunningRequest::new(self);
         let (last, pause) = (self.events, self.pause);
         let short = fault == Fault::Short;
         let cut = (short || fault == Fault::Cut).then_some(first + 3);
-        let events = stream::unfold((first, work), move |(n, work)| async move {
+        let events = stream::unfold((first, running), move |(n, running)| async move {
             if cut == Some(n) {
                 let half = Frame::data(Bytes::from(format!("id: {n}\nda")));
-                return Some((Ok(half), (u64::MAX, work)));
+                return Some((Ok(half), (u64::MAX, running)));
             }
             if n == u64::MAX && short {
                 return None;
             }
             if n == u64::MAX {
-                // What was sent is on its way before the connection breaks; the state ends with the
-                // error, and the work with it.
+                // The pause lets the half event leave before the connection breaks. The stream ends
+                // with the error, which drops `running`.
                 sleep(pause).await;
-                return Some((Err(Broken), (n, work)));
+                return Some((Err(CutOff), (n, running)));
             }
             if n > last {
-                work.end();
+                running.end();
                 return None;
             }
             sleep(pause).await;
             let event = Bytes::from(format!("id: {n}\ndata: token {n}\n\n"));
-            Some((Ok(Frame::data(event)), (n + 1, work)))
+            Some((Ok(Frame::data(event)), (n + 1, running)))
         });
         let mut answer = Response::new(StreamBody::new(events).boxed_unsync());
-        set(&mut answer, "content-type", "text/event-stream");
+        set_header(&mut answer, "content-type", "text/event-stream");
         answer
     }
 
@@ -414,7 +422,7 @@
             "queued": 0, "active": state.running, "kv_used": 0, "kv_total": 100_000, "runs": []})
     }
 
-    fn order(&self, body: &Bytes, meant: Option<&str>) -> Response<Body> {
+    fn order(&self, body: &Bytes, instance: Option<&str>) -> Response<Body> {
         let Ok(mut order) = serde_json::from_slice::<Value>(body) else {
             return reply(StatusCode::BAD_REQUEST, "");
         };
@@ -441,21 +449,22 @@
                 state.load = Some(load);
             }
         }
-        order["meant"] = meant.into();
-        let at = started.duration_since(self.began).as_millis() as u64;
+        order["meant"] = instance.into();
+        let at = started.duration_since(self.created).as_millis() as u64;
         order["at_ms"] = at.into();
         state.orders.push(order);
         reply(StatusCode::ACCEPTED, "")
     }
 }
 
-/// A request at work; dropped before its end if the caller leaves.
-struct Work {
+/// Counts a request as being run until dropped; if dropped before `end`, the caller has
+/// disconnected.
+struct RunningRequest {
     replica: Arc<Replica>,
     done: bool,
 }
 
-impl Work {
+impl RunningRequest {
     fn new(replica: &Arc<Replica>) -> Self {
         lock(&replica.state).running += 1;
         replica.changed.notify_waiters();
@@ -466,14 +475,14 @@
     }
 }
 
-impl Work {
-    /// The request has been worked on to its end.
+impl RunningRequest {
+    /// Marks the request as run to its end.
     fn end(mut self) {
         self.done = true;
     }
 }
 
-impl Drop for Work {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let mut state = lock(&self.replica.state);
         state.running -= 1;
@@ -485,7 +494,7 @@
     }
 }
 
-fn set(answer: &mut Response<Body>, name: &'static str, value: &str) {
+fn set_header(answer: &mut Response<Body>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::try_from(value) {
         answer.headers_mut().insert(name, value);
     }
