--- a/crates/standin/src/hosted/row_store.rs
+++ b/crates/standin/src/hosted/row_store.rs
@@ -1,4 +1,4 @@
-//! The store of rows: tables, a feed of changes, and its outages.
+//! The row store of the hosted platform: tables, a feed of changes, and injected outages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,40 +18,40 @@
 use crate::lock;
 use crate::switch::Switch;
 
-/// The table in which our processes enter themselves.
-const MEMBERS: &str = "members";
+/// The table in which processes of the router write their own addresses.
+const MEMBERS_TABLE: &str = "members";
 
-/// How the store misbehaves towards one caller or all.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It answers.
+    /// No fault.
     #[default]
     None,
-    /// It answers 503, and nothing was done.
+    /// Answers 503 without effect.
     Busy,
-    /// It says nothing.
+    /// Never answers.
     Silent,
-    /// It answers this much later.
+    /// Handles each call after this delay.
     Slow(Duration),
 }
 
-/// Rows by table and key, with their versions; none for rows that are gone.
+/// Version and value by table and key; no value for deleted rows.
 type Tables = BTreeMap<(String, String), (u64, Option<String>)>;
 
-/// A copy of the store.
+/// A backup of the store, from which it can be restored.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     rows: Tables,
     version: u64,
 }
 
-/// What the store's answers say of its era.
+/// The `store-era` header of the answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum EraHeader {
-    /// The era.
+    /// The current era.
     #[default]
     Current,
-    /// Nothing.
+    /// No header.
     Missing,
     /// This text.
     Value(&'static str),
@@ -61,10 +61,10 @@
 struct State {
     rows: Tables,
     version: u64,
-    /// Rises with each restore.
+    /// Incremented by each restore.
     era: u64,
     era_header: EraHeader,
-    /// Changes up to here can no longer be asked for.
+    /// The feed no longer has the changes up to this version.
     history_start: u64,
     fault: Fault,
     calls: u64,
@@ -84,13 +84,13 @@
     }
 }
 
-/// A store of rows.
+/// A row store.
 #[derive(Debug)]
 pub struct Store {
     state: Mutex<State>,
     changed: Notify,
-    began: Instant,
-    /// The network between the processes that enter themselves here.
+    created: Instant,
+    /// The network between the processes in the members table, if simulated.
     switch: Mutex<Option<Arc<Switch>>>,
 }
 
@@ -99,7 +99,7 @@
         Self {
             state: Mutex::default(),
             changed: Notify::new(),
-            began: Instant::now(),
+            created: Instant::now(),
             switch: Mutex::default(),
         }
     }
@@ -116,17 +116,17 @@
         .await
     }
 
-    /// Writes a row as the operator or a replica does.
+    /// Writes a row with a JSON value, as the operator or a replica does.
     pub fn write(&self, table: &str, key: &str, value: &Value) {
         self.write_raw(table, key, value.to_string().as_bytes());
     }
 
-    /// Writes any bytes.
+    /// Writes a row with arbitrary bytes.
     pub fn write_raw(&self, table: &str, key: &str, value: &[u8]) {
         self.put(table, key, Some(base64(value)));
     }
 
-    /// Reads a row's value, if it can be read.
+    /// Reads the value of a row, if the row exists and its value is JSON.
     pub fn read(&self, table: &str, key: &str) -> Option<Value> {
         use base64::Engine as _;
         let state = lock(&self.state);
@@ -135,7 +135,7 @@
         serde_json::from_slice(&bytes.ok()?).ok()
     }
 
-    /// Version of a row; 0 if there is none.
+    /// Version of a row; 0 if it does not exist.
     fn version(&self, table: &str, key: &str) -> u64 {
         let state = lock(&self.state);
         let row = state.rows.get(&(table.to_owned(), key.to_owned()));
@@ -158,13 +158,13 @@
         self.changed.notify_waiters();
     }
 
-    /// Processes that enter themselves from now on reach one another through a switch.
+    /// Processes that register in the members table from now on reach one another through `switch`.
     pub fn set_switch(&self, switch: Arc<Switch>) {
         *lock(&self.switch) = Some(switch);
     }
 
-    /// Where others reach a process that enters itself, if there is a switch.
-    fn switched(&self, name: &str, text: &str) -> Option<String> {
+    /// The value of a members row with the address at the switch in place of that of the process.
+    fn with_switch_address(&self, name: &str, text: &str) -> Option<String> {
         use base64::Engine as _;
         let switch = lock(&self.switch).clone()?;
         let bytes = base64::engine::general_purpose::STANDARD.decode(text);
@@ -175,19 +175,19 @@
         Some(base64(member.to_string().as_bytes()))
     }
 
-    /// Misbehaves from now on.
+    /// Sets the fault of all calls from now on.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.state).fault = fault;
         self.changed.notify_waiters();
     }
 
-    /// Drops the history of changes.
+    /// Drops the recorded changes; the feed answers 410 to readers that need them.
     pub fn drop_history(&self) {
         let mut state = lock(&self.state);
         state.history_start = state.version;
     }
 
-    /// A copy as of now.
+    /// Takes a backup of the current state.
     pub fn snapshot(&self) -> Snapshot {
         let state = lock(&self.state);
         Snapshot {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Comes back from a copy: what was written since is gone, and versions are given out again.
+    /// Restores a backup: later writes are lost, and their versions are assigned again.
     pub fn restore(&self, snapshot: &Snapshot) {
         let mut state = lock(&self.state);
         state.rows.clone_from(&snapshot.rows);
@@ -207,12 +207,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Names its era like this from now on.
+    /// Sets the `store-era` header of all answers from now on.
     pub fn set_era_header(&self, era_header: EraHeader) {
         lock(&self.state).era_header = era_header;
     }
 
-    /// Calls that arrived.
+    /// Number of calls received.
     pub fn calls(&self) -> u64 {
         lock(&self.state).calls
     }
@@ -244,7 +244,7 @@
         let query = query(request.uri().query().unwrap_or_default());
         let text = |name: &str| query.get(name).cloned().unwrap_or_default();
         match (request.method(), request.uri().path()) {
-            (&Method::GET, "/api/rows-get") => Some(self.all(&text("table"))),
+            (&Method::GET, "/api/rows-get") => Some(self.read_table(&text("table"))),
             (&Method::GET, "/api/rows-feed") => {
                 let after = text("after").parse().ok()?;
                 let wait = text("wait_ms").parse().ok()?;
@@ -261,7 +261,7 @@
         }
     }
 
-    fn all(&self, table: &str) -> Response<Body> {
+    fn read_table(&self, table: &str) -> Response<Body> {
         let state = lock(&self.state);
         let rows = rows(&state, table, 0).filter(|r| r["deleted"].is_null());
         self.page(rows.collect(), state.version)
@@ -296,7 +296,7 @@
     }
 
     fn page(&self, rows: Vec<Value>, version: u64) -> Response<Body> {
-        let now = self.began.elapsed().as_millis() as u64 + 1;
+        let now = self.created.elapsed().as_millis() as u64 + 1;
         let page = json!({"rows": rows, "has_more": false, "ver": version, "now_ms": now});
         reply(StatusCode::OK, page.to_string())
     }
@@ -315,11 +315,11 @@
         for put in tx["put"].as_array().into_iter().flatten() {
             let text = |name: &str| put[name].as_str().unwrap_or_default().to_owned();
             let (table, key, value) = (text("table"), text("key"), text("value"));
-            let switched = (table == MEMBERS).then(|| self.switched(&key, &value));
+            let switched = (table == MEMBERS_TABLE).then(|| self.with_switch_address(&key, &value));
             self.put(&table, &key, Some(switched.flatten().unwrap_or(value)));
         }
         let version = lock(&self.state).version;
-        let now = self.began.elapsed().as_millis() as u64 + 1;
+        let now = self.created.elapsed().as_millis() as u64 + 1;
         reply(
             StatusCode::OK,
             json!({"ver": version, "now_ms": now}).to_string(),
@@ -342,7 +342,7 @@
     pairs.map(|(k, v)| (k.to_owned(), v.to_owned())).collect()
 }
 
-/// Base64 with padding, as the store's rows have it.
+/// Base64 with padding, as in the rows of the store.
 fn base64(bytes: &[u8]) -> String {
     use base64::Engine as _;
     base64::engine::general_purpose::STANDARD.encode(bytes)
--- a/crates/standin/src/hosted/sample.rs
+++ b/crates/standin/src/hosted/sample.rs
@@ -1,4 +1,4 @@
-//! A small site: one host name with a route of each kind, a model and a plain service.
+//! A small sample site: one host name with a route of each kind, a model and a plain service.
 
 use std::net::SocketAddr;
 
@@ -6,14 +6,14 @@
 
 use super::replica::Replica;
 
-/// The host of all routes.
+/// The host name of all routes.
 pub const HOST: &str = "poll.example";
-/// The key of team `north`.
+/// The API key of team `north`.
 pub const KEY: &str = "key-north";
-/// The model.
+/// The model name.
 pub const MODEL: &str = "lekha";
 
-/// A replica's entry in the list.
+/// The entry of a replica in the list; `born` is its incarnation.
 pub fn entry(replica: &Replica, service: &str, at: SocketAddr, state: &str, born: u64) -> Value {
     let models = match service {
         "engines" => json!([{"name": MODEL, "version": replica.version(MODEL), "adapters": []}]),
@@ -23,7 +23,7 @@
         "slots": 8, "born": born, "state": state, "cold_left_ms": 0, "seq": 1, "models": models})
 }
 
-/// The lines of a process's settings that all roles have.
+/// The settings lines that are common to all roles.
 pub fn settings(name: &str, store: SocketAddr) -> Vec<String> {
     [
         format!("node={name}"),
@@ -41,7 +41,7 @@
     .to_vec()
 }
 
-/// A configuration of a version with a route of each kind.
+/// A configuration with the given version and a route of each kind.
 pub fn config(version: u64) -> Value {
     let route = |name: &str, prefix: &str, kind: &str, service: &str, resumable: bool| {
         json!({"name": name, "host": HOST, "prefix": prefix, "kind": kind, "service": service,
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,7 +1,7 @@
-//! A TCP link between two ends on this machine, with the troubles of real ones.
+//! A TCP proxy on this machine that injects the faults of real network links.
 //!
-//! What is cut is held back, not lost, as by the two ends' own repeats: once the link heals, it goes
-//! on where it was. A reset ends all connections of the link at once.
+//! Bytes are held back, not lost, just as TCP retransmits lost segments: once the fault is over, they
+//! are delivered. A reset ends all connections of the link at once.
 
 use std::future::Future;
 use std::io;
@@ -19,19 +19,19 @@
 
 use crate::lock;
 
-/// What is wrong with a link.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Each piece takes this much longer.
+    /// Each chunk of bytes is delayed by this much.
     Slow(Duration),
-    /// Nothing reaches the far end.
+    /// Bytes towards the far end are held back.
     HoldUp,
-    /// Nothing comes back.
+    /// Bytes towards the near end are held back.
     HoldDown,
-    /// Nothing passes either way; new connections are taken and get no answer.
+    /// Bytes are held back both ways; new connections are accepted but get no answer.
     HoldBoth,
     /// New connections are reset.
     Refuse,
@@ -48,17 +48,17 @@
     }
 }
 
-/// A link to one address.
+/// A link to one far end.
 #[derive(Debug)]
 pub struct Link {
     addr: SocketAddr,
-    to: Mutex<SocketAddr>,
+    far_addr: Mutex<SocketAddr>,
     fault: watch::Sender<LinkFault>,
     resets: watch::Sender<u64>,
 }
 
 impl Link {
-    /// Opens a link on a port of 127.0.0.1; it ends with the task set.
+    /// Starts a link on a port of 127.0.0.1; it ends when the task set is dropped.
     ///
     /// # Errors
     ///
@@ -71,7 +71,7 @@
         Ok((link, tasks))
     }
 
-    /// A link that takes connections from a listener, and the task that does so.
+    /// A link for the connections of a listener, and the task that accepts them.
     ///
     /// # Errors
     ///
@@ -82,7 +82,7 @@
     ) -> io::Result<(Arc<Self>, impl Future<Output = ()>)> {
         let link = Arc::new(Self {
             addr: listener.local_addr()?,
-            to: Mutex::new(to),
+            far_addr: Mutex::new(to),
             fault: watch::channel(LinkFault::None).0,
             resets: watch::channel(0).0,
         });
@@ -90,17 +90,17 @@
         Ok((link, accept))
     }
 
-    /// Where the near end connects to.
+    /// The address that the near end connects to.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// New connections go to another far end from now on.
+    /// Connects new connections to another far end from now on.
     pub fn redirect(&self, to: SocketAddr) {
-        *lock(&self.to) = to;
+        *lock(&self.far_addr) = to;
     }
 
-    /// Gets into some fault, or out of it.
+    /// Sets the fault of the link, or ends it with [`LinkFault::None`].
     pub fn set_fault(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
@@ -115,49 +115,49 @@
     let mut connections = JoinSet::new();
     while let Ok((near, _)) = listener.accept().await {
         if *link.fault.borrow() == LinkFault::Refuse {
-            abort(&near);
+            reset_on_close(&near);
             continue;
         }
-        connections.spawn(carry(Arc::clone(&link), near));
+        connections.spawn(forward(Arc::clone(&link), near));
         while connections.try_join_next().is_some() {}
     }
 }
 
-/// Has the connection end with a reset instead of an orderly close.
-fn abort(tcp: &TcpStream) {
-    // A connection that is gone already needs no reset.
+/// Makes the connection end with a reset instead of an orderly close.
+fn reset_on_close(tcp: &TcpStream) {
+    // The call fails only on a closed connection, which needs no reset.
     let _ = SockRef::from(tcp).set_linger(Some(Duration::ZERO));
 }
 
-async fn carry(link: Arc<Link>, mut near: TcpStream) {
+async fn forward(link: Arc<Link>, mut near: TcpStream) {
     let mut resets = link.resets.subscribe();
-    let to = *lock(&link.to);
+    let to = *lock(&link.far_addr);
     let Ok(mut far) = TcpStream::connect(to).await else {
-        abort(&near);
+        reset_on_close(&near);
         return;
     };
     for tcp in [&near, &far] {
-        // Only a connection that is gone refuses it.
+        // The call fails only on a closed connection.
         let _ = tcp.set_nodelay(true);
     }
     let ended = {
         let (near_in, near_out) = near.split();
         let (far_in, far_out) = far.split();
-        let up = pump(&link, near_in, far_out, true);
-        let down = pump(&link, far_in, near_out, false);
+        let up = copy_bytes(&link, near_in, far_out, true);
+        let down = copy_bytes(&link, far_in, near_out, false);
         tokio::select! {
             ended = async { tokio::try_join!(up, down) } => ended.is_ok(),
             _ = resets.changed() => false,
         }
     };
     if !ended {
-        abort(&near);
-        abort(&far);
+        reset_on_close(&near);
+        reset_on_close(&far);
     }
 }
 
-/// Carries bytes one way until their end.
-async fn pump(
+/// Forwards bytes one way until the sender closes.
+async fn copy_bytes(
     link: &Link,
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
@@ -167,11 +167,11 @@
     let mut buffer = vec![0; 16 << 10];
     loop {
         let n = from.read(&mut buffer).await?;
-        // Ends are held back like bytes.
-        let held = fault.wait_for(|t| !t.holds(up)).await;
-        held.map_err(io::Error::other)?;
-        let now = *fault.borrow();
-        if let LinkFault::Slow(delay) = now {
+        // The close of a connection is held back like its bytes.
+        let released = fault.wait_for(|f| !f.holds(up)).await;
+        released.map_err(io::Error::other)?;
+        let current = *fault.borrow();
+        if let LinkFault::Slow(delay) = current {
             sleep(delay).await;
         }
         match n {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,9 +1,9 @@
-//! The platform: a transactional table, an object store and a lagging host list.
+//! The platform: a transactional table, an object store and a host list that shows changes late.
 //!
 //! The calls are those of the `store` package. A transaction with several writes takes effect as
-//! a whole or not at all and counts as one write. `POST /faults` sets how it misbehaves,
-//! `GET /counts` says what it has answered. Beyond its budget of reads and writes in a second it
-//! answers 503 with `Retry-After`, without effect.
+//! a whole or not at all and counts as one write. `POST /faults` sets the injected faults and
+//! `GET /counts` returns the call counters. Calls beyond the budget of reads or writes per second are
+//! answered with 503 and `Retry-After`, without effect.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,28 +16,28 @@
 use crate::delayed_value::DelayedValue;
 use crate::{lock, reply};
 
-/// How the platform misbehaves; what a `POST /faults` leaves out is back at its default.
+/// Injected faults of the platform. `POST /faults` resets the fields that it omits to their defaults.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every call is answered 503 without effect.
+    /// Answers every call with 503, without effect.
     pub outage: bool,
-    /// Every call is accepted and never answered, without effect.
+    /// Accepts every call and never answers it, without effect.
     pub paused: bool,
-    /// Milliseconds before each answer.
+    /// Delay of each call in milliseconds.
     pub delay_ms: u64,
-    /// Answers still to be lost after their write took effect.
+    /// Number of answers still to be lost after their write took effect.
     pub lose: u64,
-    /// Milliseconds by which changes of the host list are shown late.
+    /// Delay in milliseconds after which changes of the host list are shown.
     pub hosts_lag_ms: u64,
 }
 
-/// What the platform bears.
+/// Number of calls that the platform answers per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Reads a second.
+    /// Reads per second.
     pub reads: u64,
-    /// Writes a second.
+    /// Writes per second.
     pub writes: u64,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Calls counted since the start.
+/// Counters of calls since the start.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// Calls that arrived, answered or not.
@@ -59,19 +59,19 @@
     pub reads: u64,
     /// Writes.
     pub writes: u64,
-    /// Writes that met another version.
+    /// Writes that expected another version than the current one.
     pub conflicts: u64,
-    /// Calls refused as over the budget.
+    /// Calls refused because they exceeded the budget.
     pub refused: u64,
     /// Most reads in one second.
     pub most_reads: u64,
     /// Most writes in one second.
     pub most_writes: u64,
-    /// Reads and writes of each second since the start in which there were any.
+    /// Reads and writes of each second with any, the latest `MAX_SECONDS` of them.
     pub seconds: Vec<Second>,
 }
 
-/// Calls within one second.
+/// Counters of calls within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Second {
     /// Seconds since the start.
@@ -82,8 +82,8 @@
     pub writes: u64,
 }
 
-/// Seconds that are kept.
-const SECONDS: usize = 3_600;
+/// Number of seconds whose counters are kept.
+const MAX_SECONDS: usize = 3_600;
 
 #[derive(Debug, Default)]
 struct State {
@@ -94,10 +94,10 @@
     counts: Counts,
 }
 
-/// All the platform knows.
+/// The platform and its state.
 #[derive(Debug)]
 pub struct Platform {
-    born: Instant,
+    started: Instant,
     budget: Budget,
     state: Mutex<State>,
 }
@@ -115,48 +115,48 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum CallKind {
     Read,
     Write,
 }
 
 impl Platform {
-    /// An empty platform with the usual budget.
+    /// An empty platform with the default budget.
     pub fn new() -> Arc<Self> {
         Self::with_budget(Budget::default())
     }
 
-    /// An empty platform.
+    /// An empty platform with the given budget.
     pub fn with_budget(budget: Budget) -> Arc<Self> {
         Arc::new(Self {
-            born: Instant::now(),
+            started: Instant::now(),
             budget,
             state: Mutex::default(),
         })
     }
 
-    /// Its HTTP interface.
+    /// The HTTP interface of the platform.
     pub fn router(self: &Arc<Self>) -> Router {
-        let this = Arc::clone(self);
-        Router::new().any("/*", move |r: Request| Arc::clone(&this).serve(r))
+        let platform = Arc::clone(self);
+        Router::new().any("/*", move |r: Request| Arc::clone(&platform).serve(r))
     }
 
-    /// Sets how it misbehaves.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Calls so far.
+    /// The call counters.
     pub fn counts(&self) -> Counts {
         self.lock().counts.clone()
     }
 
-    /// Calls that arrived, answered or not.
+    /// Number of calls that arrived, answered or not.
     pub fn arrived(&self) -> u64 {
         self.lock().counts.arrived
     }
 
-    /// A row's version and value.
+    /// The version and value of a row.
     pub fn row(&self, key: impl AsRef<str>) -> Option<(u64, String)> {
         self.lock().rows.get(key.as_ref()).cloned()
     }
@@ -169,7 +169,7 @@
         let body = req.bytes().await.map_err(viz::Error::boxed)?;
         let path = req.path().to_owned();
         match (req.method(), path.as_str()) {
-            (&Method::POST, "/faults") => return self.set(&body),
+            (&Method::POST, "/faults") => return self.post_faults(&body),
             (&Method::GET, "/faults") => {
                 let faults = self.lock().faults.clone();
                 return reply::json(StatusCode::OK, &faults);
@@ -193,13 +193,14 @@
     async fn answer(&self, method: &Method, path: &str, body: &[u8]) -> Result<Response> {
         let (area, key) = path.split_once('/').unwrap_or((path, ""));
         let kind = if method == Method::GET {
-            Kind::Read
+            CallKind::Read
         } else {
-            Kind::Write
+            CallKind::Write
         };
-        // The host list is changed by tests, not by the fleet, and costs it nothing.
+        // Calls for the host list do not count towards the budget: tests change the list, not the
+        // fleet.
         if area != "hosts" && !self.count(kind) {
-            return over();
+            return over_budget();
         }
         match (method, area) {
             (&Method::GET, "table") => self.read(key),
@@ -212,13 +213,13 @@
         }
     }
 
-    /// Counts a call; says whether it is within the budget.
-    fn count(&self, kind: Kind) -> bool {
-        let at = self.born.elapsed().as_secs();
+    /// Counts a call and returns whether it is within the budget.
+    fn count(&self, kind: CallKind) -> bool {
+        let at = self.started.elapsed().as_secs();
         let mut s = self.lock();
         let counts = &mut s.counts;
         if counts.seconds.last().is_none_or(|l| l.at != at) {
-            let surplus = (counts.seconds.len() + 1).saturating_sub(SECONDS);
+            let surplus = (counts.seconds.len() + 1).saturating_sub(MAX_SECONDS);
             counts.seconds.drain(..surplus);
             counts.seconds.push(Second {
                 at,
@@ -228,31 +229,31 @@
         let Some(now) = counts.seconds.last_mut() else {
             return true;
         };
-        let (here, all, most, budget) = match kind {
-            Kind::Read => (
+        let (in_second, total, most, budget) = match kind {
+            CallKind::Read => (
                 &mut now.reads,
                 &mut counts.reads,
                 &mut counts.most_reads,
                 self.budget.reads,
             ),
-            Kind::Write => (
+            CallKind::Write => (
                 &mut now.writes,
                 &mut counts.writes,
                 &mut counts.most_writes,
                 self.budget.writes,
             ),
         };
-        if *here >= budget {
+        if *in_second >= budget {
             counts.refused += 1;
             return false;
         }
-        *here += 1;
-        *all += 1;
-        *most = (*most).max(*here);
+        *in_second += 1;
+        *total += 1;
+        *most = (*most).max(*in_second);
         true
     }
 
-    fn set(&self, body: &[u8]) -> Result<Response> {
+    fn post_faults(&self, body: &[u8]) -> Result<Response> {
         match serde_json::from_slice(body) {
             Ok(f) => self.set_faults(f),
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
@@ -270,13 +271,13 @@
     }
 
     async fn transact(&self, body: &[u8]) -> Result<Response> {
-        let t = match serde_json::from_slice::<Transact>(body) {
+        let transaction = match serde_json::from_slice::<Transact>(body) {
             Ok(t) => t,
             Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
         };
-        match self.commit(&t.writes) {
+        match self.commit(&transaction.writes) {
             Err(key) => reply::json(StatusCode::CONFLICT, &json!({"conflict": key})),
-            // The write took effect; its answer never comes.
+            // The write took effect, but its answer is lost.
             Ok((_, true)) => std::future::pending().await,
             Ok((versions, false)) => reply::json(StatusCode::OK, &json!({"versions": versions})),
         }
@@ -328,7 +329,7 @@
     }
 }
 
-fn over() -> Result<Response> {
+fn over_budget() -> Result<Response> {
     let mut res = reply::json(StatusCode::SERVICE_UNAVAILABLE, &json!({"error": "budget"}))?;
     let headers = res.headers_mut();
     headers.insert(
--- a/crates/standin/src/switch.rs
+++ b/crates/standin/src/switch.rs
@@ -1,8 +1,9 @@
-//! The network between processes of ours: datagrams that are lost, delayed and overtake one another.
+//! A simulated network switch between processes of the router: it loses, delays and reorders
+//! datagrams.
 //!
-//! Each process is reached at an address of the switch. What arrives there is passed to the process from the
-//! sender's address at the switch, so that answers pass through it as well. Connections to such an address
-//! are passed on as they are.
+//! Each process has an address at the switch. A datagram to that address is forwarded to the process
+//! from the sender's address at the switch, so that answers pass through the switch as well.
+//! TCP connections to the address are forwarded without faults.
 
 use std::collections::HashMap;
 use std::io;
@@ -19,20 +20,20 @@
 use crate::link::Link;
 use crate::lock;
 
-/// Largest datagram that is passed on.
-const LARGEST: usize = 64 << 10;
+/// Size of the largest datagram forwarded.
+const MAX_DATAGRAM: usize = 64 << 10;
 
-/// What happens to datagrams.
+/// Loss and delay of datagrams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Conditions {
-    /// Part that is lost.
+    /// Fraction of the datagrams that is lost.
     pub loss: f64,
-    /// Longest delay; each datagram has its own, so that some overtake others.
+    /// Longest delay. Each datagram has a random delay up to this one, so that some overtake others.
     pub delay: Duration,
 }
 
 impl Conditions {
-    /// All datagrams pass at once.
+    /// All datagrams are delivered without delay.
     pub const IDEAL: Self = Self {
         loss: 0.0,
         delay: Duration::ZERO,
@@ -42,15 +43,15 @@
 /// A process behind the switch.
 #[derive(Debug)]
 struct Port {
-    /// Where the process is.
+    /// Address of the process.
     process: SocketAddr,
-    /// Where others reach it.
+    /// Address at the switch, to which other processes send.
     addr: SocketAddr,
     socket: Arc<UdpSocket>,
     link: Arc<Link>,
 }
 
-/// A switch.
+/// A switch and its ports.
 #[derive(Debug)]
 pub struct Switch {
     conditions: Mutex<Conditions>,
@@ -60,7 +61,7 @@
 }
 
 impl Switch {
-    /// A switch whose losses and delays are drawn from a seed.
+    /// A switch whose losses and delays are drawn from a random generator with `seed`.
     pub fn new(seed: u64) -> Arc<Self> {
         Arc::new(Self {
             conditions: Mutex::new(Conditions::IDEAL),
@@ -70,12 +71,13 @@
         })
     }
 
-    /// Treats datagrams like this from now on.
+    /// Sets loss and delay of datagrams from now on.
     pub fn set_conditions(&self, conditions: Conditions) {
         *lock(&self.conditions) = conditions;
     }
 
-    /// Enters where a process of a name is, again after each of its starts; gives where others reach it.
+    /// Registers the address of a process under a name, again after each start of the process.
+    /// Returns its address at the switch, which stays the same.
     ///
     /// # Errors
     ///
@@ -93,7 +95,11 @@
         let socket = Arc::new(udp);
         let mut tasks = lock(&self.tasks);
         tasks.spawn(accept);
-        tasks.spawn(pass(Arc::clone(self), name.to_owned(), Arc::clone(&socket)));
+        tasks.spawn(forward(
+            Arc::clone(self),
+            name.to_owned(),
+            Arc::clone(&socket),
+        ));
         let port = Port {
             process,
             addr,
@@ -104,16 +110,16 @@
         Ok(addr)
     }
 
-    /// How long a datagram takes; none if it is lost.
-    fn draw(&self) -> Option<Duration> {
+    /// Draws the delay of a datagram; none if it is lost.
+    fn draw_delay(&self) -> Option<Duration> {
         let conditions = *lock(&self.conditions);
         let mut rng = lock(&self.rng);
         let lost = rng.random_bool(conditions.loss.clamp(0.0, 1.0));
-        let part = rng.random::<f64>();
-        (!lost).then(|| conditions.delay.mul_f64(part))
+        let fraction = rng.random::<f64>();
+        (!lost).then(|| conditions.delay.mul_f64(fraction))
     }
 
-    /// The sender's socket at the switch, and where a process is.
+    /// The sender's socket at the switch, and the address of the receiving process.
     fn route(&self, from: SocketAddr, to: &str) -> Option<(Arc<UdpSocket>, SocketAddr)> {
         let ports = lock(&self.ports);
         let sender = ports.values().find(|p| p.process == from)?;
@@ -122,7 +128,7 @@
     }
 }
 
-/// Binds a port for connections and datagrams.
+/// Binds the same port for TCP connections and for datagrams.
 fn bind() -> io::Result<(TcpListener, UdpSocket)> {
     loop {
         let tcp = std::net::TcpListener::bind("127.0.0.1:0")?;
@@ -138,24 +144,24 @@
     }
 }
 
-/// Passes a process's datagrams on.
-async fn pass(switch: Arc<Switch>, to: String, socket: Arc<UdpSocket>) {
-    let mut buffer = vec![0; LARGEST];
+/// Forwards the datagrams to one process.
+async fn forward(switch: Arc<Switch>, to: String, socket: Arc<UdpSocket>) {
+    let mut buffer = vec![0; MAX_DATAGRAM];
     let mut delayed = JoinSet::new();
     loop {
-        // A port that is closed at a former receiver comes back as an error.
+        // A datagram sent to a closed port makes a later receive fail.
         let Ok((n, from)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         while delayed.try_join_next().is_some() {}
         let route = switch.route(from, &to);
-        let (Some((sender, process)), Some(delay)) = (route, switch.draw()) else {
+        let (Some((sender, process)), Some(delay)) = (route, switch.draw_delay()) else {
             continue;
         };
         let datagram = buffer[..n].to_vec();
         delayed.spawn(async move {
             sleep(delay).await;
-            // A process that has ended receives nothing.
+            // Sending fails if the process has ended; the datagram is lost then.
             let _ = sender.send_to(&datagram, process).await;
         });
     }
