--- a/crates/standin/src/call.rs
+++ b/crates/standin/src/call.rs
@@ -1,4 +1,5 @@
-//! A small HTTP client: a new connection for each call, so that nothing is shared or repeated.
+//! A small HTTP client. Each call uses a new connection, so that no connection is shared and no
+//! request is sent twice.
 
 use std::net::SocketAddr;
 
@@ -10,27 +11,27 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Why a call has no answer.
+/// The reason for which a call has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection.
-    #[error("can't connect: {0}")]
+    /// The connection failed.
+    #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// The connection broke, or what came isn't HTTP.
+    /// The connection broke, or the answer is not HTTP.
     #[error("connection broke: {0}")]
     Broken(#[from] hyper::Error),
-    /// The call can't be written down as HTTP.
-    #[error("no request: {0}")]
+    /// The call is not a valid HTTP request.
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The body isn't what was expected.
-    #[error("unreadable body: {0}")]
+    /// The body of the answer is not the expected JSON.
+    #[error("invalid body: {0}")]
     Body(#[from] serde_json::Error),
 }
 
-/// What is sent.
+/// An HTTP request and the address to send it to.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Where to.
+    /// Address of the server.
     pub to: SocketAddr,
     /// HTTP method.
     pub method: &'static str,
@@ -43,7 +44,7 @@
 }
 
 impl Call {
-    /// A call without body.
+    /// A GET request without body.
     pub fn get(to: SocketAddr, path: impl Into<String>) -> Self {
         Self {
             to,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// A call with a body.
+    /// A POST request with a body.
     pub fn post(to: SocketAddr, path: impl Into<String>, body: impl Into<Bytes>) -> Self {
         Self {
             method: "POST",
@@ -63,13 +64,13 @@
         }
     }
 
-    /// With a header besides.
+    /// Adds a header.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// Sends it; gives the answer once its head is there.
+    /// Sends the request and returns the answer once its headers are received.
     pub async fn send(self) -> Result<Response<Incoming>, CallError> {
         let tcp = TcpStream::connect(self.to).await?;
         tcp.set_nodelay(true)?;
@@ -87,14 +88,14 @@
         Ok(sender.send_request(req.body(Full::new(self.body))?).await?)
     }
 
-    /// Sends it and reads the whole answer.
+    /// Sends the request and reads the whole answer.
     pub async fn fetch(self) -> Result<(StatusCode, Bytes), CallError> {
         let res = self.send().await?;
         let status = res.status();
         Ok((status, res.into_body().collect().await?.to_bytes()))
     }
 
-    /// Sends it and reads the answer as JSON.
+    /// Sends the request and parses the answer as JSON.
     pub async fn json<T: serde::de::DeserializeOwned>(self) -> Result<(StatusCode, T), CallError> {
         let (status, body) = self.fetch().await?;
         Ok((status, serde_json::from_slice(&body)?))
--- a/crates/standin/src/delayed_value.rs
+++ b/crates/standin/src/delayed_value.rs
@@ -1,33 +1,33 @@
-//! A value whose changes are seen late.
+//! A value whose changes become visible after a delay.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// A value together with its changes that are not seen yet.
+/// A value and its changes that are not visible yet.
 #[derive(Debug, Default)]
 pub struct DelayedValue<T> {
-    seen: T,
-    coming: VecDeque<(Instant, T)>,
+    visible: T,
+    pending: VecDeque<(Instant, T)>,
 }
 
 impl<T> DelayedValue<T> {
-    /// Changes the value; seen once `lag` has passed.
+    /// Changes the value; the change becomes visible after `lag`.
     pub fn set(&mut self, now: Instant, lag: Duration, value: T) {
         self.advance(now);
-        self.coming.push_back((now + lag, value));
+        self.pending.push_back((now + lag, value));
         self.advance(now);
     }
 
-    /// What is seen at this moment.
+    /// The value visible at `now`.
     pub fn get(&mut self, now: Instant) -> &T {
         self.advance(now);
-        &self.seen
+        &self.visible
     }
 
     fn advance(&mut self, now: Instant) {
-        while self.coming.front().is_some_and(|c| c.0 <= now) {
-            if let Some((_, value)) = self.coming.pop_front() {
-                self.seen = value;
+        while self.pending.front().is_some_and(|c| c.0 <= now) {
+            if let Some((_, value)) = self.pending.pop_front() {
+                self.visible = value;
             }
         }
     }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -53,7 +53,7 @@
     async fn complete(self: Arc<Self>, id: String, body: &[u8]) -> Result<Response> {
         let request = match serde_json::from_slice::<CompletionRequest>(body) {
             Ok(a) => a,
-            Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
+            Err(e) => return reply::error(StatusCode::BAD_REQUEST, &e),
         };
         if let Some(status) = self.faults.take_error() {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
@@ -137,7 +137,7 @@
     fn post_faults(&self, body: &[u8], peer: Option<SocketAddr>) -> Result<Response> {
         match serde_json::from_slice::<Faults>(body) {
             Ok(f) => self.set_faults_except(f, peer),
-            Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
+            Err(e) => return reply::error(StatusCode::BAD_REQUEST, &e),
         }
         reply::json(StatusCode::OK, &self.faults.get())
     }
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -33,16 +33,16 @@
 impl Engine {
     pub(super) fn export(&self, hash: Option<u64>) -> Result<Response> {
         let served = lock(&self.served);
-        let path = hash.and_then(|h| lock(&self.cache).path(h));
-        let Some(path) = path else {
+        let prefix = hash.and_then(|h| lock(&self.cache).prefix(h));
+        let Some(prefix) = prefix else {
             return reply::json(StatusCode::NOT_FOUND, &json!({"error": "not cached"}));
         };
         let export = KvExport {
             model: served.model.clone(),
             weights: served.weights.clone(),
             incarnation: self.incarnation,
-            scope: path.scope,
-            texts: path.texts,
+            scope: prefix.scope,
+            texts: prefix.texts,
         };
         reply::json(StatusCode::OK, &export)
     }
@@ -50,7 +50,7 @@
     pub(super) async fn import(self: Arc<Self>, body: &[u8]) -> Result<Response> {
         let export = match serde_json::from_slice::<KvExport>(body) {
             Ok(k) => k,
-            Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
+            Err(e) => return reply::error(StatusCode::BAD_REQUEST, &e),
         };
         if export.texts.iter().any(|t| t.len() != BLOCK_BYTES) {
             let text = format!("blocks have {BLOCK_BYTES} bytes");
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -109,7 +109,7 @@
     pub(super) fn order(self: &Arc<Self>, body: &[u8]) -> Result<Response> {
         let order = match serde_json::from_slice::<Order>(body) {
             Ok(o) => o,
-            Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
+            Err(e) => return reply::error(StatusCode::BAD_REQUEST, &e),
         };
         let (status, index, fence) = self.receive(&order);
         let code = match status {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what the router meets: model engines, plain services and the platform.
+//! Stand-ins for the systems around the router: model engines, plain services and the platform.
 //!
-//! They speak published forms (OpenAI-style completions with server-sent events, plain HTTP and
-//! JSON) and misbehave on request. They are for development only and are not shipped; each is a
-//! library function that tests can start in their own process and an example program for
+//! They implement published interfaces (OpenAI-style completions with server-sent events, plain HTTP
+//! and JSON) and inject faults on request. They are for development only and are not shipped. Each is
+//! available as a library type that tests run in their own process, and as an example program for
 //! `scripts/try` and the load tool.
 
 pub mod cache;
@@ -29,7 +29,7 @@
 
 use crate::freeze::{FreezableListener, FreezeSwitch};
 
-/// Listens and gives the address together with the server to be awaited.
+/// Binds an address and returns the bound address and the server, which runs while awaited.
 pub async fn listen(
     at: impl tokio::net::ToSocketAddrs,
     router: Router,
@@ -49,14 +49,15 @@
     Ok((addr, std::future::IntoFuture::into_future(server)))
 }
 
-/// Microseconds since 1970; the clock that logs of several processes share.
+/// Microseconds since 1970. Unlike a monotonic clock, comparable between the logs of several
+/// processes.
 pub fn micros() -> u64 {
     SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .map_or(0, |t| t.as_micros() as u64)
 }
 
-/// Locks, also after another holder has panicked.
+/// Locks a mutex, also if another holder of the lock has panicked.
 pub(crate) fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -256,7 +256,7 @@
     fn post_faults(&self, body: &[u8]) -> Result<Response> {
         match serde_json::from_slice(body) {
             Ok(f) => self.set_faults(f),
-            Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
+            Err(e) => return reply::error(StatusCode::BAD_REQUEST, &e),
         }
         reply::json(StatusCode::OK, &json!({}))
     }
@@ -273,7 +273,7 @@
     async fn transact(&self, body: &[u8]) -> Result<Response> {
         let transaction = match serde_json::from_slice::<Transact>(body) {
             Ok(t) => t,
-            Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
+            Err(e) => return reply::error(StatusCode::BAD_REQUEST, &e),
         };
         match self.commit(&transaction.writes) {
             Err(key) => reply::json(StatusCode::CONFLICT, &json!({"conflict": key})),
@@ -307,7 +307,7 @@
     fn put_hosts(&self, body: &[u8]) -> Result<Response> {
         let hosts = match serde_json::from_slice(body) {
             Ok(h) => h,
-            Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
+            Err(e) => return reply::error(StatusCode::BAD_REQUEST, &e),
         };
         let mut s = self.lock();
         let lag = Duration::from_millis(s.faults.hosts_lag_ms);
@@ -323,7 +323,7 @@
     fn get(&self, key: &str) -> Result<Response> {
         let object = self.lock().objects.get(key).cloned();
         match object {
-            Some(o) => reply::full(StatusCode::OK, "application/octet-stream", o),
+            Some(o) => reply::with_body(StatusCode::OK, "application/octet-stream", o),
             None => reply::json(StatusCode::NOT_FOUND, &json!({})),
         }
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,13 +1,13 @@
-//! A plain service: quota checks that may be repeated, records that may not.
+//! A plain service with repeatable calls (quota checks) and calls that must run only once (records).
 //!
 //! | call | answer |
 //! | --- | --- |
 //! | `GET /quota/{district}` | `{"district","left"}` |
-//! | `POST /records/{poll}` | 201 `{"record":n}`; each call adds one |
+//! | `POST /records/{poll}` | 201 `{"record":n}`; each call adds a record |
 //! | `GET /log` | bodies of all records, in order |
-//! | `GET /runs` | every call that was run |
+//! | `GET /runs` | every call that ran |
 //! | `GET /load` | `{"incarnation","running"}` |
-//! | `POST /faults`, `GET /faults` | how it misbehaves |
+//! | `POST /faults`, `GET /faults` | set or show the injected faults |
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -19,26 +19,26 @@
 
 use crate::{lock, micros, reply};
 
-/// How the service misbehaves; what a `POST /faults` leaves out is back at its default.
+/// Injected faults of the service. `POST /faults` resets the fields that it omits to their defaults.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Calls still to be answered with 500 instead of being run.
+    /// Number of calls still to be answered with 500 instead of being run.
     pub errors: u32,
-    /// Calls still to kill the process before they run.
+    /// Number of calls still to abort the process before they run.
     pub die_before: u32,
-    /// Calls still to kill the process once they have run, before their answer.
+    /// Number of calls still to abort the process after they have run, before their answer.
     pub die_after: u32,
-    /// Calls still to hang for ever before they run.
+    /// Number of calls still to hang forever before they run.
     pub hang_before: u32,
-    /// Calls still to hang for ever once they have run.
+    /// Number of calls still to hang forever after they have run.
     pub hang_after: u32,
 }
 
-/// One call that was run.
+/// A call that ran.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedCall {
-    /// Microseconds since 1970.
+    /// Time of the call in microseconds since 1970.
     pub at: u64,
     /// Request id.
     pub request: String,
@@ -52,7 +52,7 @@
     pub body: String,
 }
 
-/// What the service has run.
+/// The service, its faults and the calls that ran.
 #[derive(Debug)]
 pub struct Service {
     delay: Duration,
@@ -74,30 +74,30 @@
         })
     }
 
-    /// Its HTTP interface.
+    /// The HTTP interface of the service.
     pub fn router(self: &Arc<Self>) -> Router {
-        let this = Arc::clone(self);
-        Router::new().any("/*", move |r: Request| Arc::clone(&this).serve(r))
+        let service = Arc::clone(self);
+        Router::new().any("/*", move |r: Request| Arc::clone(&service).serve(r))
     }
 
-    /// Bodies of all records.
+    /// The bodies of all records, in order.
     pub fn bodies(&self) -> Vec<String> {
         let runs = lock(&self.runs);
         let records = runs.iter().filter(|c| c.path.starts_with("/records"));
         records.map(|c| c.body.clone()).collect()
     }
 
-    /// Every call that was run.
+    /// Every call that ran.
     pub fn runs(&self) -> Vec<RecordedCall> {
         lock(&self.runs).clone()
     }
 
-    /// Sets how it misbehaves.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         *lock(&self.faults) = faults;
     }
 
-    /// Faults still to strike.
+    /// The injected faults that have not occurred yet.
     pub fn faults(&self) -> Faults {
         lock(&self.faults).clone()
     }
@@ -108,54 +108,54 @@
         match (req.method(), path.as_str()) {
             (&Method::GET, "/log") => reply::json(StatusCode::OK, &self.bodies()),
             (&Method::GET, "/runs") => reply::json(StatusCode::OK, &self.runs()),
-            (&Method::GET, "/load") => self.load(),
+            (&Method::GET, "/load") => self.report_load(),
             (&Method::GET, "/faults") => reply::json(StatusCode::OK, &self.faults()),
-            (&Method::POST, "/faults") => self.set(&body),
+            (&Method::POST, "/faults") => self.post_faults(&body),
             (&Method::GET, p) if p.starts_with("/quota/") => {
-                self.run(call(&req, &body), quota).await
+                self.run(recorded_call(&req, &body), check_quota).await
             }
             (&Method::POST, p) if p.starts_with("/records") => {
-                self.run(call(&req, &body), record).await
+                self.run(recorded_call(&req, &body), add_record).await
             }
             _ => reply::json(StatusCode::NOT_FOUND, &json!({})),
         }
     }
 
-    /// Runs a call: its effect comes at once, its answer after the delay.
+    /// Runs a call: it takes effect at once and is answered after the delay.
     async fn run(
         &self,
         call: RecordedCall,
         answer: fn(&RecordedCall, &[RecordedCall]) -> Answer,
     ) -> Result<Response> {
         let faults = &self.faults;
-        if take(faults, |f| &mut f.errors) {
+        if take_fault(faults, |f| &mut f.errors) {
             return reply::json(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 &json!({"error": "fault"}),
             );
         }
-        fail(faults, |f| &mut f.die_before, |f| &mut f.hang_before).await;
-        let _running = Running::new(&self.running);
+        abort_or_hang(faults, |f| &mut f.die_before, |f| &mut f.hang_before).await;
+        let _running = RunningCall::new(&self.running);
         let (status, body) = {
             let mut runs = lock(&self.runs);
             runs.push(call.clone());
             answer(&call, &runs)
         };
-        fail(faults, |f| &mut f.die_after, |f| &mut f.hang_after).await;
+        abort_or_hang(faults, |f| &mut f.die_after, |f| &mut f.hang_after).await;
         tokio::time::sleep(self.delay).await;
         reply::json(status, &body)
     }
 
-    fn load(&self) -> Result<Response> {
+    fn report_load(&self) -> Result<Response> {
         let running = self.running.load(Ordering::Relaxed);
         let body = json!({"incarnation": self.incarnation, "running": running});
         reply::json(StatusCode::OK, &body)
     }
 
-    fn set(&self, body: &[u8]) -> Result<Response> {
+    fn post_faults(&self, body: &[u8]) -> Result<Response> {
         match serde_json::from_slice::<Faults>(body) {
             Ok(f) => self.set_faults(f),
-            Err(e) => return reply::refused(StatusCode::BAD_REQUEST, &e),
+            Err(e) => return reply::error(StatusCode::BAD_REQUEST, &e),
         }
         reply::json(StatusCode::OK, &json!({}))
     }
@@ -163,12 +163,12 @@
 
 type Answer = (StatusCode, serde_json::Value);
 
-fn quota(call: &RecordedCall, _: &[RecordedCall]) -> Answer {
+fn check_quota(call: &RecordedCall, _: &[RecordedCall]) -> Answer {
     let district = call.path.rsplit('/').next().unwrap_or_default();
     (StatusCode::OK, json!({"district": district, "left": 12}))
 }
 
-fn record(_: &RecordedCall, runs: &[RecordedCall]) -> Answer {
+fn add_record(_: &RecordedCall, runs: &[RecordedCall]) -> Answer {
     let n = runs
         .iter()
         .filter(|c| c.path.starts_with("/records"))
@@ -176,7 +176,7 @@
     (StatusCode::CREATED, json!({ "record": n }))
 }
 
-fn call(req: &Request, body: &[u8]) -> RecordedCall {
+fn recorded_call(req: &Request, body: &[u8]) -> RecordedCall {
     let header = |name| req.header::<_, String>(name).unwrap_or_default();
     RecordedCall {
         at: micros(),
@@ -188,39 +188,40 @@
     }
 }
 
-/// Counts one fault down; says whether it strikes.
-fn take(faults: &Mutex<Faults>, which: impl Fn(&mut Faults) -> &mut u32) -> bool {
+/// Decrements the counter of a fault and returns whether the fault occurs.
+fn take_fault(faults: &Mutex<Faults>, counter: impl Fn(&mut Faults) -> &mut u32) -> bool {
     let mut f = lock(faults);
-    let left = which(&mut f);
-    let strikes = *left > 0;
-    *left = left.saturating_sub(1);
-    strikes
+    let remaining = counter(&mut f);
+    let occurs = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
+    occurs
 }
 
-async fn fail(
+/// Aborts the process or hangs if such a fault is due.
+async fn abort_or_hang(
     faults: &Mutex<Faults>,
     die: impl Fn(&mut Faults) -> &mut u32,
     hang: impl Fn(&mut Faults) -> &mut u32,
 ) {
-    if take(faults, die) {
+    if take_fault(faults, die) {
         std::process::abort();
     }
-    if take(faults, hang) {
+    if take_fault(faults, hang) {
         std::future::pending::<()>().await;
     }
 }
 
-/// Counts one for as long as it lives.
-struct Running<'a>(&'a AtomicUsize);
+/// Counts one running call until dropped.
+struct RunningCall<'a>(&'a AtomicUsize);
 
-impl<'a> Running<'a> {
+impl<'a> RunningCall<'a> {
     fn new(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningCall<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
