--- a/crates/standin/src/load/drive.rs
+++ b/crates/standin/src/load/drive.rs
@@ -1,8 +1,9 @@
-//! Sends each request at its time and reads its answer to the end.
+//! Sends each request at its scheduled time and reads its answer to the end.
 //!
-//! Arrivals are open-loop: a request is sent when the trace says so, whether or not those before
-//! it were answered. A tool that waited would send less just when the fleet is slow, and the
-//! callers' longest waits would never be seen. Times count from the moment that the trace names.
+//! The load is open-loop: a request is sent at the time given in the trace, whether or not earlier
+//! requests were answered. A tool that waited for answers would send less exactly when the fleet is
+//! slow, and would miss the longest waits of the callers. All times are measured from the scheduled
+//! time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,68 +21,68 @@
 use crate::engine::answer_token;
 use crate::load::trace::{Arrival, Texts};
 
-/// Requests on their way at a time; beyond it the tool itself would be what is measured.
-const IN_FLIGHT: usize = 4_096;
+/// Largest number of requests in flight; with more, the tool itself would be the bottleneck.
+const MAX_IN_FLIGHT: usize = 4_096;
 
-/// Where and how a trace is sent.
+/// Destinations, keys and timeout for sending a trace.
 #[derive(Clone, Debug)]
 pub struct DriveConfig {
-    /// Callers' addresses of the entries.
+    /// Addresses of the entries for callers.
     pub entries: Vec<SocketAddr>,
-    /// Engines that get every other completion directly; none to leave that out.
+    /// Engines to which every other completion is sent directly; empty to send all through entries.
     pub direct: Vec<SocketAddr>,
-    /// API key of a team; `{team}` stands for its name.
+    /// API key of a team; `{team}` is replaced by the name of the team.
     pub key: String,
-    /// Keys of single teams.
+    /// API keys of single teams, which take precedence.
     pub keys: Vec<(String, String)>,
     /// Longest wait for an answer.
     pub timeout: Duration,
-    /// Begins each request id, so that one run's ids differ from another's.
+    /// Prefix of the request ids, which keeps the ids of several runs apart.
     pub run: String,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole answer came, in order.
+    /// The whole answer arrived, in order.
     Whole,
-    /// It was refused or failed, as its answer says.
+    /// The answer states that the request was refused or failed.
     Refused {
-        /// Stable code.
+        /// Error code of the answer.
         code: String,
-        /// What the answer says of its effect.
+        /// What the answer states about the effect of the request, from its `x-outcome` header.
         outcome: String,
     },
-    /// No answer came.
+    /// No answer arrived.
     Lost,
-    /// The answer broke off, and openly so.
+    /// The answer was cut off with an error.
     Cut,
-    /// The answer ended as if it were whole, but wasn't.
+    /// The answer ended without an error but was incomplete.
     Truncated,
-    /// What came belongs to another request.
+    /// The answer belongs to another request.
     Crossed,
-    /// The tool had too many on their way and didn't send it.
+    /// The tool did not send the request because too many were in flight.
     Unsent,
 }
 
-/// What became of a request.
+/// The result of a request.
 #[derive(Clone, Debug)]
 pub struct RequestResult {
-    /// Its place in the trace.
+    /// Index of the request in the trace.
     pub n: usize,
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// How urgent it was.
+    /// Class of the request.
     pub class: Class,
-    /// Whether it went to an engine directly.
+    /// Whether the request was sent directly to an engine.
     pub direct: bool,
-    /// How late the tool sent it.
+    /// Delay of the tool in sending the request.
     pub late: Duration,
     /// Time to the first token, or to the answer of a plain call.
     pub first: Option<Duration>,
     /// Times between tokens.
     pub gaps: Vec<Duration>,
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
 }
 
@@ -95,27 +96,27 @@
     due: Instant,
 }
 
-/// Sends all of a trace; ends when the last answer is in or given up.
-pub async fn drive(set: &DriveConfig, trace: &[Arrival]) -> Vec<RequestResult> {
+/// Sends all requests of a trace. Returns when each has been answered or has timed out.
+pub async fn drive(config: &DriveConfig, trace: &[Arrival]) -> Vec<RequestResult> {
     let start = Instant::now() + Duration::from_millis(50);
-    let free = Arc::new(Semaphore::new(IN_FLIGHT));
+    let in_flight = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
     let mut texts = Texts::default();
     let mut tasks = Vec::with_capacity(trace.len());
     let mut done = Vec::with_capacity(trace.len());
     for (n, arrival) in trace.iter().enumerate() {
         let due = start + Duration::from_millis(arrival.at_ms);
-        let attempt = set.prepare(n, arrival, texts.prompt(n, arrival), due);
+        let attempt = config.prepare(n, arrival, texts.prompt(n, arrival), due);
         sleep_until(due).await;
-        match Arc::clone(&free).try_acquire_owned() {
+        match Arc::clone(&in_flight).try_acquire_owned() {
             Err(_) => done.push(RequestResult {
                 ending: Ending::Unsent,
                 ..attempt.done
             }),
             Ok(permit) => {
-                let limit = set.timeout;
+                let timeout_after = config.timeout;
                 tasks.push(tokio::spawn(async move {
                     let _permit = permit;
-                    attempt.run(limit).await
+                    attempt.run(timeout_after).await
                 }));
             }
         }
@@ -155,16 +156,16 @@
 
     /// The API key of a team.
     pub fn key(&self, team: &str) -> String {
-        let own = self.keys.iter().find(|(t, _)| t == team);
-        own.map_or_else(|| self.key.replace("{team}", team), |(_, k)| k.clone())
+        let team_key = self.keys.iter().find(|(t, _)| t == team);
+        team_key.map_or_else(|| self.key.replace("{team}", team), |(_, k)| k.clone())
     }
 }
 
 impl Attempt {
-    async fn run(mut self, limit: Duration) -> RequestResult {
+    async fn run(mut self, timeout_after: Duration) -> RequestResult {
         self.done.late = self.due.elapsed();
-        // Given up, it keeps the times it has and counts as lost.
-        let ending = match timeout(limit, self.answer()).await {
+        // On a timeout the times recorded before are kept, and the request counts as lost.
+        let ending = match timeout(timeout_after, self.answer()).await {
             Ok(Ok(e)) => e,
             Ok(Err(_)) | Err(_) => Ending::Lost,
         };
@@ -174,15 +175,15 @@
 
     async fn answer(&mut self) -> Result<Ending, CallError> {
         let res = self.call().send().await?;
-        let own = match res.headers().get("x-request-id") {
+        let matches_request = match res.headers().get("x-request-id") {
             Some(id) => id.as_bytes() == self.done.id.as_bytes(),
             None => self.done.direct,
         };
         match res.status() {
-            s if !s.is_success() => refusal(res).await,
-            _ if !own => Ok(Ending::Crossed),
-            _ if self.arrival.completes() => self.stream(res).await,
-            s => self.plain(s, res).await,
+            s if !s.is_success() => read_refusal(res).await,
+            _ if !matches_request => Ok(Ending::Crossed),
+            _ if self.arrival.completes() => self.read_stream(res).await,
+            s => self.read_plain(s, res).await,
         }
     }
 
@@ -213,7 +214,7 @@
         body.to_string()
     }
 
-    async fn stream(&mut self, res: Response<Incoming>) -> Result<Ending, CallError> {
+    async fn read_stream(&mut self, res: Response<Incoming>) -> Result<Ending, CallError> {
         let mut body = res.into_body();
         let mut reader = StreamChecker::default();
         let mut last = None;
@@ -223,8 +224,8 @@
                 Some(Err(_)) => break true,
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
-            let fresh = reader.feed(&data, &self.prompt);
-            for _ in 0..fresh {
+            let new_tokens = reader.feed(&data, &self.prompt);
+            for _ in 0..new_tokens {
                 let now = Instant::now();
                 match last.replace(now) {
                     None => self.done.first = Some(now - self.due),
@@ -235,7 +236,11 @@
         Ok(reader.ending(broken, self.arrival.output))
     }
 
-    async fn plain(&mut self, s: StatusCode, res: Response<Incoming>) -> Result<Ending, CallError> {
+    async fn read_plain(
+        &mut self,
+        s: StatusCode,
+        res: Response<Incoming>,
+    ) -> Result<Ending, CallError> {
         let body = res.into_body().collect().await?.to_bytes();
         self.done.first = Some(self.due.elapsed());
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -252,7 +257,8 @@
     }
 }
 
-async fn refusal(res: Response<Incoming>) -> Result<Ending, CallError> {
+/// The ending of a request whose answer has an error status.
+async fn read_refusal(res: Response<Incoming>) -> Result<Ending, CallError> {
     let status = res.status();
     let header = res.headers().get("x-outcome");
     let outcome = header.and_then(|v| v.to_str().ok()).unwrap_or("unsaid");
@@ -266,54 +272,55 @@
     Ok(Ending::Refused { code, outcome })
 }
 
-/// Reads a stream of events and compares its words with those that the prompt must give.
+/// Reads a stream of events and compares its tokens with the expected answer to the prompt.
 #[derive(Debug, Default)]
 pub struct StreamChecker {
-    rest: Vec<u8>,
-    words: usize,
+    unparsed: Vec<u8>,
+    tokens: usize,
     done: bool,
     error: bool,
     crossed: bool,
 }
 
 impl StreamChecker {
-    /// Takes what came; gives the number of words in it.
+    /// Reads received bytes and returns the number of tokens completed by them.
     pub fn feed(&mut self, data: &[u8], prompt: &str) -> usize {
-        let before = self.words;
-        self.rest.extend_from_slice(data);
+        let before = self.tokens;
+        self.unparsed.extend_from_slice(data);
         let mut from = 0;
-        while let Some(n) = self.rest[from..].windows(2).position(|w| w == b"\n\n") {
-            let event = self.rest[from..from + n].to_vec();
-            self.event(&event, prompt);
+        while let Some(n) = self.unparsed[from..].windows(2).position(|w| w == b"\n\n") {
+            let event = self.unparsed[from..from + n].to_vec();
+            self.read_event(&event, prompt);
             from += n + 2;
         }
-        self.rest.drain(..from);
-        self.words - before
+        self.unparsed.drain(..from);
+        self.tokens - before
     }
 
-    fn event(&mut self, event: &[u8], prompt: &str) {
+    fn read_event(&mut self, event: &[u8], prompt: &str) {
         match event.strip_prefix(b"data: ") {
             None if event.starts_with(b"event: error") => self.error = true,
             None => (),
             Some(b"[DONE]") => self.done = true,
-            Some(data) => self.data(data, prompt),
+            Some(data) => self.read_data(data, prompt),
         }
     }
 
-    fn data(&mut self, data: &[u8], prompt: &str) {
+    fn read_data(&mut self, data: &[u8], prompt: &str) {
         let v: Value = serde_json::from_slice(data).unwrap_or_default();
         if let Some(w) = v["choices"][0]["text"].as_str() {
-            self.crossed |= w != answer_token(prompt, self.words);
-            self.words += 1;
+            self.crossed |= w != answer_token(prompt, self.tokens);
+            self.tokens += 1;
         }
     }
 
-    /// How the stream ended.
+    /// How the stream ended; `broken` if the connection broke, `output` is the expected number of
+    /// tokens.
     pub fn ending(&self, broken: bool, output: usize) -> Ending {
         match () {
             () if self.crossed => Ending::Crossed,
             () if broken || self.error => Ending::Cut,
-            () if self.done && self.words == output => Ending::Whole,
+            () if self.done && self.tokens == output => Ending::Whole,
             () => Ending::Truncated,
         }
     }
--- a/crates/standin/src/load/fleet.rs
+++ b/crates/standin/src/load/fleet.rs
@@ -1,7 +1,7 @@
-//! Starts a whole fleet as child processes on 127.0.0.1 and ends it by process id.
+//! Starts a whole fleet as child processes on 127.0.0.1.
 //!
-//! Each process prints where it listens; the next ones are told. The fleet goes when it is
-//! dropped, also on a failure half-way.
+//! Each process prints its addresses, which are passed to the processes started after it. Dropping
+//! the fleet kills its processes by their ids, also if the start fails half-way.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,51 +17,51 @@
 use crate::call::Call;
 use crate::load::LoadError;
 
-/// Longest wait for a process to listen.
-const START: Duration = Duration::from_secs(10);
-/// Longest wait for the fleet to serve.
-const READY: Duration = Duration::from_secs(15);
-/// Time for every entry to learn of every engine: an entry serves as soon as it knows of one. News
-/// of a member spreads within a second.
+/// Longest wait until a process listens.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest wait until all entries serve.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time for every entry to discover every engine, as an entry serves once it has discovered one.
+/// Gossip about a member propagates within a second.
 const SETTLE: Duration = Duration::from_secs(2);
-/// The fleet's key; a sample, since the fleet is gone after the run.
-const KEY: &str = "0000000000000000000000000000000000000000000000000000000000000001";
-/// The operators' key; a sample too.
-const OPERATOR: &str = "sample-operator-key";
-/// Teams of the configuration.
+/// The fleet key; a sample value is enough because the fleet ends with the run.
+const FLEET_KEY: &str = "0000000000000000000000000000000000000000000000000000000000000001";
+/// The operator key; also a sample value.
+const OPERATOR_KEY: &str = "sample-operator-key";
+/// Number of teams in the configuration.
 pub const TEAMS: usize = 8;
 
-/// What is started.
+/// Size and options of a fleet to start.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Engines, each with its sidecar.
+    /// Number of engines, each with a sidecar.
     pub engines: usize,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// How the entries choose replicas.
+    /// Policy by which entries choose replicas.
     pub policy: String,
-    /// Flags of the engines.
+    /// Additional flags of the engines.
     pub engine_args: Vec<String>,
-    /// Flags of the sidecars.
+    /// Additional flags of the sidecars.
     pub sidecar_args: Vec<String>,
-    /// Flags of the entries.
+    /// Additional flags of the entries.
     pub entry_args: Vec<String>,
-    /// API keys of the teams by pattern.
+    /// API key of a team; `{team}` is replaced by the name of the team.
     pub key: String,
-    /// Directory for what the processes log; nothing is kept without one.
+    /// Directory for the logs of the processes, which are discarded if none is given.
     pub logs: Option<PathBuf>,
 }
 
 /// A running process.
 #[derive(Debug)]
 pub struct Process {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
-    /// Its id.
+    /// Process id.
     pub pid: u32,
-    /// Whether it is one of ours and not a stand-in.
+    /// Whether it is a process of the router and not a stand-in.
     pub ours: bool,
-    /// Where it serves health and metrics.
+    /// Address of its health checks and metrics.
     pub admin: Option<SocketAddr>,
     _child: Child,
 }
@@ -71,7 +71,7 @@
 pub struct Fleet {
     /// All processes.
     pub processes: Vec<Process>,
-    /// Callers' addresses of the entries.
+    /// Addresses of the entries for callers.
     pub entries: Vec<SocketAddr>,
     /// Addresses of the engines.
     pub engines: Vec<SocketAddr>,
@@ -79,34 +79,39 @@
     pub services: Vec<SocketAddr>,
 }
 
-/// What a process of ours prints when it listens.
+/// The line that a process of the router prints once it listens.
 #[derive(Debug, Default, Deserialize)]
-struct Ready {
+struct Listening {
     callers: Option<SocketAddr>,
     admin: Option<SocketAddr>,
     gossip: Option<SocketAddr>,
 }
 
-/// Starts a fleet; its programs lie beside this one.
+/// Starts a fleet from the programs in the build directory of this one, and waits until it serves.
 pub async fn start(plan: &Plan) -> Result<Fleet, LoadError> {
-    let mut s = Starter::new(plan)?;
-    let platform = s.standin("platform", &[]).await?;
+    let mut starter = Starter::new(plan)?;
+    let platform = starter.standin("platform", &[]).await?;
     for n in 0..plan.engines {
-        let at = s.standin(&format!("engine-{n}"), &plan.engine_args).await?;
-        s.fleet.engines.push(at);
-        s.sidecar(platform, at, ["lekha-llm", "model"], n).await?;
+        let at = starter
+            .standin(&format!("engine-{n}"), &plan.engine_args)
+            .await?;
+        starter.fleet.engines.push(at);
+        starter
+            .sidecar(platform, at, ["lekha-llm", "model"], n)
+            .await?;
     }
-    let service = s.standin("service-0", &[]).await?;
-    s.fleet.services.push(service);
-    s.sidecar(platform, service, ["fieldops", "plain"], 0)
+    let service = starter.standin("service-0", &[]).await?;
+    starter.fleet.services.push(service);
+    starter
+        .sidecar(platform, service, ["fieldops", "plain"], 0)
         .await?;
     for n in 0..plan.entries {
-        s.entry(platform, n).await?;
+        starter.entry(platform, n).await?;
     }
-    s.apply().await?;
-    s.served().await?;
+    starter.apply().await?;
+    starter.wait_serving().await?;
     sleep(SETTLE).await;
-    Ok(s.fleet)
+    Ok(starter.fleet)
 }
 
 struct Starter<'a> {
@@ -123,7 +128,7 @@
             path: "this program".to_owned(),
             error,
         })?;
-        // This program is an example and lies in a directory below the others.
+        // Examples are built in a subdirectory of the directory of the other programs.
         let bin = own.ancestors().nth(2).unwrap_or(Path::new(".")).to_owned();
         Ok(Self {
             plan,
@@ -154,48 +159,52 @@
         n: usize,
     ) -> Result<(), LoadError> {
         let name = format!("sidecar-{kind}-{n}");
-        let mut command = self.ours("sidecar", &name, platform);
+        let mut command = self.router_command("sidecar", &name, platform);
         command.args(["--target", &format!("http://{target}")]);
         command.args(["--pool", pool, "--kind", kind]);
         command.args(&self.plan.sidecar_args);
-        self.ready(&name, &mut command).await.map(drop)
+        self.start_router(&name, &mut command).await.map(drop)
     }
 
     async fn entry(&mut self, platform: SocketAddr, n: usize) -> Result<(), LoadError> {
         let name = format!("entry-{n}");
-        let mut command = self.ours("entry", &name, platform);
+        let mut command = self.router_command("entry", &name, platform);
         command.args(["--policy", &self.plan.policy]);
         command.args(&self.plan.entry_args);
-        let ready = self.ready(&name, &mut command).await?;
-        let callers = ready
+        let listening = self.start_router(&name, &mut command).await?;
+        let callers = listening
             .callers
             .ok_or_else(|| failed(&name, "no callers' address"))?;
         self.fleet.entries.push(callers);
-        self.admins.extend(ready.admin);
+        self.admins.extend(listening.admin);
         Ok(())
     }
 
-    fn ours(&self, role: &str, name: &str, platform: SocketAddr) -> Command {
+    fn router_command(&self, role: &str, name: &str, platform: SocketAddr) -> Command {
         let mut c = Command::new(self.bin.join("clementinestepd"));
         c.args([role, "--platform", &format!("http://{platform}")])
             .args(["--host", name])
-            .args(joining(&self.members))
-            .env("CLEMENTINESTEP_KEY", KEY)
-            .env("CLEMENTINESTEP_OPERATOR_KEY", OPERATOR);
+            .args(seed_flags(&self.members))
+            .env("CLEMENTINESTEP_KEY", FLEET_KEY)
+            .env("CLEMENTINESTEP_OPERATOR_KEY", OPERATOR_KEY);
         c
     }
 
-    async fn ready(&mut self, name: &str, command: &mut Command) -> Result<Ready, LoadError> {
+    async fn start_router(
+        &mut self,
+        name: &str,
+        command: &mut Command,
+    ) -> Result<Listening, LoadError> {
         let line = self.spawn(name, command, true).await?;
-        let ready = serde_json::from_str::<Ready>(&line).map_err(|e| failed(name, e))?;
+        let listening = serde_json::from_str::<Listening>(&line).map_err(|e| failed(name, e))?;
         if let Some(p) = self.fleet.processes.last_mut() {
-            p.admin = ready.admin;
+            p.admin = listening.admin;
         }
-        self.members.extend(ready.gossip);
-        Ok(ready)
+        self.members.extend(listening.gossip);
+        Ok(listening)
     }
 
-    /// Starts a process and gives its first line of output.
+    /// Starts a process and returns its first line of output.
     async fn spawn(
         &mut self,
         name: &str,
@@ -221,16 +230,16 @@
             .spawn()
             .map_err(|e| failed(name, e))?;
         let (Some(out), Some(pid)) = (child.stdout.take(), child.id()) else {
-            return Err(failed(name, "it is gone"));
+            return Err(failed(name, "the process has already ended"));
         };
         let mut lines = BufReader::new(out).lines();
-        let line = match timeout(START, lines.next_line()).await {
+        let line = match timeout(START_TIMEOUT, lines.next_line()).await {
             Ok(Ok(Some(line))) => line,
-            Ok(Ok(None)) => return Err(failed(name, "it ended without a line")),
+            Ok(Ok(None)) => return Err(failed(name, "it ended without printing its address")),
             Ok(Err(e)) => return Err(failed(name, e)),
             Err(e) => return Err(failed(name, e)),
         };
-        // A full pipe would stop a process that goes on writing.
+        // A process that keeps writing would block on a full pipe.
         tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
         self.fleet.processes.push(Process {
             name: name.to_owned(),
@@ -242,7 +251,7 @@
         Ok(line)
     }
 
-    /// Puts the configuration in force, as an operator would.
+    /// Applies the configuration with the command line tool, as an operator would.
     async fn apply(&self) -> Result<(), LoadError> {
         let path = std::env::temp_dir().join(format!("standin-load-{}.toml", std::process::id()));
         std::fs::write(&path, configuration(&self.plan.key)).map_err(|error| LoadError::File {
@@ -254,7 +263,7 @@
         for admin in &self.admins {
             command.args(["--entry", &admin.to_string()]);
         }
-        command.env("CLEMENTINESTEP_OPERATOR_KEY", OPERATOR);
+        command.env("CLEMENTINESTEP_OPERATOR_KEY", OPERATOR_KEY);
         let out = command.kill_on_drop(true).output().await;
         let _ = std::fs::remove_file(&path);
         match out.map_err(|e| failed("apply", e))? {
@@ -264,8 +273,8 @@
     }
 
     /// Waits until every entry serves both pools.
-    async fn served(&self) -> Result<(), LoadError> {
-        let until = Instant::now() + READY;
+    async fn wait_serving(&self) -> Result<(), LoadError> {
+        let deadline = Instant::now() + READY_TIMEOUT;
         let key = format!("Bearer {}", self.plan.key.replace("{team}", "t1"));
         let body = r#"{"model":"lekha","prompt":"ready","max_tokens":1}"#;
         for &at in &self.fleet.entries {
@@ -276,8 +285,8 @@
             };
             for n in 0..calls().len() {
                 while !matches!(calls()[n].clone().fetch().await, Ok((s, _)) if s.is_success()) {
-                    if Instant::now() > until {
-                        return Err(failed("entry", "it doesn't serve"));
+                    if Instant::now() > deadline {
+                        return Err(failed("entry", "it does not serve"));
                     }
                     sleep(Duration::from_millis(100)).await;
                 }
@@ -287,17 +296,17 @@
     }
 }
 
-/// Members that a new one is told of; each tells it of all others.
-const SEEDS: usize = 3;
+/// Number of members given to a new one as seeds; it learns of all others by gossip.
+const MAX_SEEDS: usize = 3;
 
-/// How a process is told of those before it.
-fn joining(members: &[SocketAddr]) -> [String; 2] {
-    let seeds = members.iter().take(SEEDS).map(ToString::to_string);
+/// The flag that names some of the members as seeds.
+fn seed_flags(members: &[SocketAddr]) -> [String; 2] {
+    let seeds = members.iter().take(MAX_SEEDS).map(ToString::to_string);
     ["--seeds".to_owned(), seeds.collect::<Vec<_>>().join(",")]
 }
 
-/// The configuration: two pools, the teams, and rules that take class and repeatability from the
-/// load tool's headers.
+/// The configuration: two pools, the teams, and rules that read class and repeatability from the
+/// headers that the load tool sends.
 pub fn configuration(key: &str) -> String {
     let mut out = String::from(
         "[pool.lekha-llm]\nkind = \"model\"\nmodel = \"lekha\"\nweights = \"w1\"\n\
@@ -326,7 +335,8 @@
     out
 }
 
-/// What a process has counted so far, as far as it speaks of bytes, by metric and labels.
+/// The metrics of a process whose name contains `bytes`, by name and labels; empty if they cannot be
+/// fetched.
 pub async fn byte_counters(admin: Option<SocketAddr>) -> BTreeMap<String, f64> {
     let Some(at) = admin else {
         return BTreeMap::new();
@@ -343,9 +353,9 @@
         .collect()
 }
 
-fn failed(name: &str, why: impl std::fmt::Display) -> LoadError {
+fn failed(name: &str, reason: impl std::fmt::Display) -> LoadError {
     LoadError::Start {
         name: name.to_owned(),
-        why: why.to_string(),
+        reason: reason.to_string(),
     }
 }
--- a/crates/standin/src/load/generate.rs
+++ b/crates/standin/src/load/generate.rs
@@ -1,8 +1,9 @@
-//! Made-up traffic like that of the two users, the same for the same seed.
+//! Generated traffic that resembles that of the router's two users, deterministic for a seed.
 //!
-//! Prompts nest: a system text, a long document, a short one within it, a tail of its own. Which
-//! document is asked about follows Zipf's law; the hot ones change every few seconds. Arrivals
-//! are a Poisson process that bursts. Two of the eight teams send most of the traffic.
+//! Prompts have nested prefixes: a system text, a long document, a section of the document, then a
+//! tail that no other request shares. The popularity of documents follows Zipf's law, and the popular
+//! ones change every few seconds. Arrivals are a Poisson process with bursts. Two of the eight teams
+//! send most of the traffic.
 
 use std::str::FromStr;
 
@@ -12,18 +13,18 @@
 
 use crate::load::trace::{Arrival, MAX_ARRIVALS};
 
-/// Whose traffic is made up.
+/// The kinds of generated traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Workload {
-    /// Short answers while a respondent waits, many codebooks of a few thousand tokens.
+    /// Short answers for a waiting respondent; many codebooks of a few thousand tokens.
     Association,
-    /// Long regulation texts, few but dear; reports that nobody waits for.
+    /// Few but expensive requests about long regulation texts, and reports for which no caller waits.
     Alpen,
-    /// Tiny prompts at an even rate, to measure what lies between caller and engine.
+    /// Tiny prompts at an even rate, to measure the latency between caller and engine.
     Hops,
 }
 
-/// A word that names no user.
+/// The text names no kind of traffic.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is none of association, alpen, hops")]
 pub struct WorkloadError(String);
@@ -41,37 +42,38 @@
     }
 }
 
-/// How much is made up.
+/// Kind and amount of the traffic to generate.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Whose traffic.
+    /// Kind of traffic.
     pub user: Workload,
-    /// Seed of all chance.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Requests a second on the average.
+    /// Average number of requests per second.
     pub rate: f64,
-    /// Seconds.
+    /// Duration in seconds.
     pub seconds: u64,
 }
 
-/// Shares of the teams; a few are large.
-const TEAMS: [f64; 8] = [0.35, 0.25, 0.10, 0.08, 0.07, 0.06, 0.05, 0.04];
-/// Exponent of Zipf's law; measured popularity of shared texts lies near one.
-const ZIPF: f64 = 1.1;
-/// Seconds after which other documents are hot.
-const SHIFT: f64 = 10.0;
-/// Ranks by which the hot documents move on.
-const STRIDE: usize = 7;
-/// Seconds from burst to burst.
+/// Shares of the teams in the traffic.
+const TEAM_SHARES: [f64; 8] = [0.35, 0.25, 0.10, 0.08, 0.07, 0.06, 0.05, 0.04];
+/// Exponent of Zipf's law; the popularity of shared texts in practice has an exponent near one.
+const ZIPF_EXPONENT: f64 = 1.1;
+/// Seconds after which other documents become popular.
+const SHIFT_PERIOD: f64 = 10.0;
+/// Number of documents by which the popularity ranking shifts.
+const SHIFT_STEP: usize = 7;
+/// Seconds from the start of a burst to that of the next.
 const BURST_PERIOD: f64 = 5.0;
-/// Seconds that a burst lasts.
-const BURST: f64 = 0.5;
-/// Rate in a burst over the rate outside.
+/// Duration of a burst in seconds.
+const BURST_LENGTH: f64 = 0.5;
+/// Ratio of the rate in a burst to the rate outside.
 const BURST_FACTOR: f64 = 3.0;
 
-/// One user's mix.
+/// Sizes in tokens and shares of the requests of one kind of traffic. `call` and `normal` are the
+/// shares of these classes, the rest is batch; `plain` is the share of calls of the plain service.
 #[derive(Clone, Copy, Debug)]
-struct Mix {
+struct WorkloadMix {
     system: usize,
     documents: usize,
     document: (usize, usize),
@@ -84,7 +86,7 @@
     plain: f64,
 }
 
-const ASSOCIATION: Mix = Mix {
+const ASSOCIATION: WorkloadMix = WorkloadMix {
     system: 1_000,
     documents: 40,
     document: (2_000, 6_000),
@@ -97,7 +99,7 @@
     plain: 0.2,
 };
 
-const ALPEN: Mix = Mix {
+const ALPEN: WorkloadMix = WorkloadMix {
     system: 2_000,
     documents: 12,
     document: (8_000, 12_000),
@@ -110,19 +112,19 @@
     plain: 0.1,
 };
 
-/// Arrivals in order of time.
+/// Generates arrivals in order of time.
 pub fn generate(plan: &Plan) -> Vec<Arrival> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let mix = match plan.user {
         Workload::Association => ASSOCIATION,
         Workload::Alpen => ALPEN,
-        Workload::Hops => return even(plan),
+        Workload::Hops => return even_arrivals(plan),
     };
     let mut generator = Generator {
         mix,
-        documents: zipf(mix.documents),
-        sections: zipf(mix.sections),
-        teams: cumulate(TEAMS.iter().copied()),
+        documents: zipf_cumulated(mix.documents),
+        sections: zipf_cumulated(mix.sections),
+        teams: cumulated_sums(TEAM_SHARES.iter().copied()),
     };
     times(plan, &mut rng)
         .into_iter()
@@ -130,7 +132,7 @@
         .collect()
 }
 
-fn even(plan: &Plan) -> Vec<Arrival> {
+fn even_arrivals(plan: &Plan) -> Vec<Arrival> {
     let count = (plan.rate * plan.seconds as f64) as usize;
     let arrival = |i: usize| Arrival {
         at_ms: (i as f64 * 1_000.0 / plan.rate) as u64,
@@ -145,9 +147,9 @@
     (0..count.min(MAX_ARRIVALS)).map(arrival).collect()
 }
 
-/// Times of arrival in seconds: a Poisson process thinned outside the bursts.
+/// Times of arrival in seconds: a Poisson process at the burst rate, thinned outside the bursts.
 fn times(plan: &Plan, rng: &mut StdRng) -> Vec<f64> {
-    let share = BURST / BURST_PERIOD;
+    let share = BURST_LENGTH / BURST_PERIOD;
     let base = plan.rate / (1.0 - share + share * BURST_FACTOR);
     let peak = base * BURST_FACTOR;
     let mut out = Vec::new();
@@ -157,8 +159,8 @@
         if t >= plan.seconds as f64 {
             break;
         }
-        let bursts = t % BURST_PERIOD < BURST;
-        if bursts || rng.random::<f64>() < 1.0 / BURST_FACTOR {
+        let in_burst = t % BURST_PERIOD < BURST_LENGTH;
+        if in_burst || rng.random::<f64>() < 1.0 / BURST_FACTOR {
             out.push(t);
         }
     }
@@ -166,7 +168,7 @@
 }
 
 struct Generator {
-    mix: Mix,
+    mix: WorkloadMix,
     documents: Vec<f64>,
     sections: Vec<f64>,
     teams: Vec<f64>,
@@ -175,13 +177,13 @@
 impl Generator {
     fn arrival(&mut self, t: f64, rng: &mut StdRng) -> Arrival {
         let at_ms = (t * 1_000.0) as u64;
-        let team = format!("t{}", draw(&self.teams, rng) + 1);
+        let team = format!("t{}", draw_index(&self.teams, rng) + 1);
         if rng.random::<f64>() < self.mix.plain {
-            return plain(at_ms, team, rng);
+            return plain_call(at_ms, team, rng);
         }
-        let shift = (t / SHIFT) as usize * STRIDE;
-        let document = (draw(&self.documents, rng) + shift) % self.mix.documents;
-        let section = draw(&self.sections, rng);
+        let shift = (t / SHIFT_PERIOD) as usize * SHIFT_STEP;
+        let document = (draw_index(&self.documents, rng) + shift) % self.mix.documents;
+        let section = draw_index(&self.sections, rng);
         let name = format!("doc-{document}");
         let within = format!("doc-{document}-{section}");
         Arrival {
@@ -191,11 +193,11 @@
             path: "/v1/completions".to_owned(),
             prefix: vec![
                 ("sys".to_owned(), self.mix.system),
-                (name, self.length(document)),
+                (name, self.document_length(document)),
                 (within, self.mix.section),
             ],
-            tail: between(self.mix.tail, rng),
-            output: between(self.mix.output, rng),
+            tail: draw_between(self.mix.tail, rng),
+            output: draw_between(self.mix.output, rng),
             idempotent: true,
         }
     }
@@ -209,16 +211,16 @@
         }
     }
 
-    /// A document's length, the same each time.
-    fn length(&self, document: usize) -> usize {
+    /// Length of a document, always the same for the same document.
+    fn document_length(&self, document: usize) -> usize {
         let (low, high) = self.mix.document;
         let h = xxhash_rust::xxh3::xxh3_64(&document.to_le_bytes());
         low + (h % (high - low) as u64) as usize
     }
 }
 
-/// A quota check, or more rarely a record that may be made only once.
-fn plain(at_ms: u64, team: String, rng: &mut StdRng) -> Arrival {
+/// A quota check, or less often a record, which may be created only once.
+fn plain_call(at_ms: u64, team: String, rng: &mut StdRng) -> Arrival {
     let record = rng.random::<f64>() < 0.25;
     let path = match record {
         true => "/records".to_owned(),
@@ -236,11 +238,11 @@
     }
 }
 
-fn zipf(n: usize) -> Vec<f64> {
-    cumulate((1..=n).map(|rank| (rank as f64).powf(-ZIPF)))
+fn zipf_cumulated(n: usize) -> Vec<f64> {
+    cumulated_sums((1..=n).map(|rank| (rank as f64).powf(-ZIPF_EXPONENT)))
 }
 
-fn cumulate(weights: impl Iterator<Item = f64>) -> Vec<f64> {
+fn cumulated_sums(weights: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     weights
         .map(|w| {
@@ -250,13 +252,13 @@
         .collect()
 }
 
-fn draw(cumulated: &[f64], rng: &mut StdRng) -> usize {
+fn draw_index(cumulated: &[f64], rng: &mut StdRng) -> usize {
     let x = rng.random::<f64>() * cumulated.last().copied().unwrap_or(0.0);
     cumulated
         .partition_point(|c| *c <= x)
         .min(cumulated.len() - 1)
 }
 
-fn between((low, high): (usize, usize), rng: &mut StdRng) -> usize {
+fn draw_between((low, high): (usize, usize), rng: &mut StdRng) -> usize {
     rng.random_range(low..=high)
 }
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,9 +1,10 @@
-//! The load tool: replays a trace against a fleet and judges what the callers received.
+//! The load tool: replays a trace against a fleet and evaluates what the callers received.
 //!
-//! [`trace`] reads arrivals and [`generate`] makes them up; [`fleet`] starts the processes;
-//! [`drive`] sends each request at its time, whatever became of those before it; [`reuse`] works
-//! out from the engines' logs what was reused and what was computed in vain; [`report`] puts it
-//! all together.
+//! [`trace`] reads arrivals and [`generate`] generates them; [`fleet`] starts the processes;
+//! [`drive`] sends each request at its scheduled time, whether or not earlier ones were answered;
+//! [`reuse`] computes from the engines' logs which prompt tokens were reused and which were computed
+//! although another engine had them cached; [`usage`] reads the resource usage of the processes;
+//! [`report`] combines all figures of a run.
 
 pub mod drive;
 pub mod fleet;
@@ -15,47 +16,47 @@
 
 use crate::call::CallError;
 
-/// Why a run has no report.
+/// The reason for which a run has no report.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// A file can't be read or written.
+    /// Reading or writing a file failed.
     #[error("{path}: {error}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The error.
         error: std::io::Error,
     },
-    /// A line of a trace is no arrival.
+    /// A line of a trace is not an arrival.
     #[error("{path}:{line}: {error}")]
     Line {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// Number of the line, from one.
         line: usize,
-        /// Why.
+        /// The error.
         error: serde_json::Error,
     },
-    /// A process can't be started.
-    #[error("{name} did not start: {why}")]
+    /// A process did not start.
+    #[error("{name} did not start: {reason}")]
     Start {
-        /// The process.
+        /// Name of the process.
         name: String,
-        /// Why.
-        why: String,
+        /// The reason.
+        reason: String,
     },
-    /// A log can't be fetched.
+    /// Fetching a log failed.
     #[error("log of {at}: {error}")]
     Log {
-        /// Whose.
+        /// Address of the process.
         at: std::net::SocketAddr,
-        /// Why.
+        /// The error.
         error: CallError,
     },
-    /// It was told to stop.
+    /// The tool received a signal to stop.
     #[error("stopped before the end")]
     Stopped,
-    /// Nothing to send to.
+    /// Neither entries were given nor a fleet to start.
     #[error("neither entries nor a fleet to send to")]
     Nowhere,
 }
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! One run's figures, as an object and as a table.
+//! The figures of a run, as a JSON object and as a table.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,32 +13,32 @@
 use crate::load::usage::Usage;
 use crate::service;
 
-/// Longest time that histograms tell apart.
+/// Longest time that histograms resolve, in microseconds.
 const MAX_MICROS: u64 = 600_000_000;
 
-/// How a run was made.
+/// The parameters of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Run {
-    /// Trace file or generated user.
+    /// Trace file or kind of generated traffic.
     pub source: String,
-    /// Seed of a generated one.
+    /// Seed of generated traffic.
     pub seed: u64,
-    /// How replicas were chosen.
+    /// Policy by which entries chose replicas.
     pub policy: String,
     /// Seconds from the first arrival to the last.
     pub seconds: f64,
     /// Seconds from the first arrival to the last answer.
     pub elapsed: f64,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
 }
 
-/// Times in milliseconds.
+/// The distribution of some times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Times {
-    /// How many.
+    /// Number of times.
     pub count: u64,
     /// Median.
     pub p50: f64,
@@ -48,16 +48,16 @@
     pub p99: f64,
     /// 99.9th percentile.
     pub p999: f64,
-    /// Longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// What the way through the fleet adds to a first token.
+/// The latency that the route through the fleet adds to the first token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Hops {
-    /// First tokens through entry and sidecar.
+    /// Times to first token through entry and sidecar.
     pub routed: Times,
-    /// First tokens from engines directly.
+    /// Times to first token directly from engines.
     pub direct: Times,
     /// Difference of the medians in milliseconds.
     pub added_p50: f64,
@@ -65,102 +65,102 @@
     pub added_p99: f64,
 }
 
-/// A process and what it used in the run.
+/// A process and its resource usage in the run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Process {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
-    /// What it used.
+    /// Resources used.
     #[serde(flatten)]
     pub usage: Usage,
-    /// Processor time over the run's time.
+    /// Processor time over the duration of the run.
     pub cpu_share: f64,
-    /// Its own counters of bytes, a second.
+    /// Increase per second of the byte counters in its metrics.
     pub bytes_per_s: BTreeMap<String, f64>,
 }
 
 /// All figures of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// How it was made.
+    /// Parameters of the run.
     pub run: Run,
-    /// Requests of the trace.
+    /// Number of requests in the trace.
     pub offered: usize,
-    /// Answered whole and in order.
+    /// Requests answered whole and in order.
     pub served: usize,
-    /// Of these, with a first token within the limit.
+    /// Served requests whose first token arrived within the limit.
     pub in_time: usize,
-    /// Served a second, until the last answer.
+    /// Requests served per second, until the last answer.
     pub goodput: f64,
-    /// Served in time a second, until the last arrival.
+    /// Requests served in time per second, until the last arrival.
     pub goodput_in_time: f64,
-    /// Refused or failed, by code.
+    /// Requests refused or failed, by error code.
     pub refused: BTreeMap<String, usize>,
-    /// Refused or failed, by what the answers said of their effect.
+    /// Requests refused or failed, by the effect that the answer states.
     pub outcomes: BTreeMap<String, usize>,
-    /// Without an answer.
+    /// Requests without an answer.
     pub lost: usize,
-    /// Broken off openly.
+    /// Answers cut off with an error.
     pub cut: usize,
-    /// Ended as if whole, but weren't.
+    /// Answers that ended without an error but were incomplete.
     pub truncated: usize,
-    /// Answered with what belongs to another.
+    /// Requests that received the answer to another request.
     pub crossed: usize,
-    /// Run to the end more than once.
+    /// Requests that ran to the end more than once, or started twice though they may run only once.
     pub doubled: usize,
-    /// Of these, that might run only once.
+    /// Doubled requests that may run only once.
     pub doubled_once: usize,
-    /// Refused as not run, though a target began it.
+    /// Requests refused as not run although a target had started them.
     pub falsely_not_run: usize,
-    /// Not sent, since too many were on their way.
+    /// Requests not sent because too many were in flight.
     pub unsent: usize,
-    /// 99th percentile of the milliseconds by which the tool itself was late.
+    /// 99th percentile of the delay of the tool in sending requests, in milliseconds.
     pub late_p99: f64,
-    /// Reuse of prompts, if the engines' logs could be read.
+    /// Reuse of cached prompt tokens, if the engines' logs could be read.
     pub reuse: Option<Reuse>,
     /// Time to first token by class, in milliseconds.
     pub ttft: BTreeMap<String, Times>,
     /// Time between tokens by class, in milliseconds.
     pub gap: BTreeMap<String, Times>,
-    /// Time of plain calls, in milliseconds.
+    /// Time of calls to the plain service, in milliseconds.
     pub plain: Times,
-    /// What the way through the fleet adds, if it was measured.
+    /// Latency added by the fleet, if requests were sent directly to engines as well.
     pub hops: Option<Hops>,
-    /// Our processes, if this tool started them.
+    /// Processes of the router, if this tool started them.
     pub processes: Vec<Process>,
 }
 
-/// What a run gave, before it is judged.
+/// The results and logs from which a report is computed.
 #[derive(Debug, Default)]
 pub struct RunData<'a> {
-    /// What became of each request.
+    /// Result of each request.
     pub done: &'a [RequestResult],
     /// Whether each arrival is a completion.
     pub completes: &'a [bool],
     /// Whether each arrival may run more than once.
     pub idempotent: &'a [bool],
-    /// What the engines ran.
+    /// Requests that ran on engines.
     pub runs: &'a [RunRecord],
-    /// What the services ran.
+    /// Calls that ran on plain services.
     pub calls: &'a [service::RecordedCall],
-    /// Longest time to a first token that counts as in time.
+    /// Longest time to first token that counts as in time.
     pub limit: Duration,
 }
 
 impl Report {
-    /// Judges a run.
-    pub fn new(run: Run, e: &RunData<'_>) -> Self {
+    /// Computes the report of a run.
+    pub fn new(run: Run, data: &RunData<'_>) -> Self {
         let mut r = Self {
-            offered: e.done.len(),
-            late_p99: Times::of(e.done.iter().map(|d| d.late)).p99,
+            offered: data.done.len(),
+            late_p99: Times::of(data.done.iter().map(|d| d.late)).p99,
             run,
             ..Self::default()
         };
-        e.done.iter().for_each(|d| r.count(d, e.limit));
+        data.done.iter().for_each(|d| r.count(d, data.limit));
         r.goodput = r.served as f64 / r.run.elapsed.max(1e-3);
         r.goodput_in_time = r.in_time as f64 / r.run.seconds.max(1e-3);
-        r.times(e);
-        r.repeats(e);
+        r.add_times(data);
+        r.count_repeats(data);
         r
     }
 
@@ -182,22 +182,22 @@
         }
     }
 
-    fn times(&mut self, e: &RunData<'_>) {
-        let words = || e.done.iter().filter(|d| e.completes[d.n]);
-        let routed = || words().filter(|d| !d.direct);
+    fn add_times(&mut self, data: &RunData<'_>) {
+        let completions = || data.done.iter().filter(|d| data.completes[d.n]);
+        let routed = || completions().filter(|d| !d.direct);
         for class in model::Class::ALL {
-            let these = || routed().filter(|d| d.class == class);
-            let first = Times::of(these().filter_map(|d| d.first));
-            let gaps = Times::of(these().flat_map(|d| d.gaps.iter().copied()));
+            let of_class = || routed().filter(|d| d.class == class);
+            let first = Times::of(of_class().filter_map(|d| d.first));
+            let gaps = Times::of(of_class().flat_map(|d| d.gaps.iter().copied()));
             self.ttft.insert(class.to_string(), first);
             self.gap.insert(class.to_string(), gaps);
         }
-        let plain = e.done.iter().filter(|d| !e.completes[d.n]);
+        let plain = data.done.iter().filter(|d| !data.completes[d.n]);
         self.plain = Times::of(plain.filter_map(|d| d.first));
-        if e.done.iter().any(|d| d.direct) {
-            // From the sending on: the tool's own lateness is no part of the way.
+        if data.done.iter().any(|d| d.direct) {
+            // Measured from the actual sending, to exclude the delay of the tool itself.
             let sent = |d: &RequestResult| d.first.map(|t| t.saturating_sub(d.late));
-            let direct = Times::of(words().filter(|d| d.direct).filter_map(sent));
+            let direct = Times::of(completions().filter(|d| d.direct).filter_map(sent));
             let routed = Times::of(routed().filter_map(sent));
             self.hops = Some(Hops {
                 routed,
@@ -208,29 +208,29 @@
         }
     }
 
-    /// Counts what ran twice, and what ran although its caller was told otherwise.
-    fn repeats(&mut self, e: &RunData<'_>) {
+    /// Counts requests that ran twice, and requests that ran although refused as not run.
+    fn count_repeats(&mut self, data: &RunData<'_>) {
         let mut whole = BTreeMap::<&str, usize>::new();
-        let mut begun = BTreeMap::<&str, usize>::new();
-        for r in e.runs {
+        let mut started = BTreeMap::<&str, usize>::new();
+        for r in data.runs {
             *whole.entry(&r.request).or_default() += usize::from(r.whole);
-            *begun.entry(&r.request).or_default() += usize::from(r.arrived > 0);
+            *started.entry(&r.request).or_default() += usize::from(r.arrived > 0);
         }
-        for c in e.calls {
+        for c in data.calls {
             *whole.entry(&c.request).or_default() += 1;
-            *begun.entry(&c.request).or_default() += 1;
+            *started.entry(&c.request).or_default() += 1;
         }
         let of =
             |map: &BTreeMap<&str, usize>, d: &RequestResult| map.get(&*d.id).copied().unwrap_or(0);
-        for d in e.done {
-            let once = !e.idempotent[d.n];
-            // What may run only once mustn't even begin twice.
-            let doubled = of(&whole, d) > 1 || once && of(&begun, d) > 1;
+        for d in data.done {
+            let once = !data.idempotent[d.n];
+            // A request that may run only once must not even start twice.
+            let doubled = of(&whole, d) > 1 || once && of(&started, d) > 1;
             self.doubled += usize::from(doubled);
             self.doubled_once += usize::from(doubled && once);
-            let claimed =
+            let refused_as_not_run =
                 matches!(&d.ending, Ending::Refused { outcome, .. } if outcome == "not-run");
-            self.falsely_not_run += usize::from(claimed && of(&begun, d) > 0);
+            self.falsely_not_run += usize::from(refused_as_not_run && of(&started, d) > 0);
         }
     }
 }
@@ -238,7 +238,7 @@
 impl Times {
     /// The distribution of some times.
     pub fn of(times: impl Iterator<Item = Duration>) -> Self {
-        // The bounds are constants within what the library allows.
+        // Cannot fail: the bounds are constants in the range that the library accepts.
         let Ok(mut h) = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, 3) else {
             return Self::default();
         };
@@ -295,7 +295,7 @@
                 u.hit_rate, u.oracle_rate, u.seen_rate, u.waste_rate, u.prompt_tokens
             )?;
         }
-        self.table(f)?;
+        self.write_times(f)?;
         for p in &self.processes {
             writeln!(
                 f,
@@ -311,7 +311,7 @@
 }
 
 impl Report {
-    fn table(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_times(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
             "{:<13} {:>7} {:>9} {:>9} {:>9} {:>9} {:>9}",
--- a/crates/standin/src/load/reuse.rs
+++ b/crates/standin/src/load/reuse.rs
@@ -1,9 +1,9 @@
-//! What was reused and what was computed in vain, from the engines' own logs.
+//! Reuse of cached prompt tokens, computed from the engines' logs.
 //!
-//! All engines' changes of cache are replayed in order of time. When a request searched its
-//! engine's cache, the blocks at its front that any single other engine held at that moment and
-//! its own did not are wasted: another choice would have found them. The oracle is one cache that
-//! holds what all live ones held together at that moment.
+//! The cache changes of all engines are replayed in order of time. When a request searched the cache
+//! of its engine, the leading blocks that another single engine held at that moment, but its own did
+//! not, are counted as wasted: routing to that engine would have reused them. The oracle is a cache
+//! that holds the blocks of all live engines at that moment.
 
 use std::collections::{HashMap, HashSet};
 
@@ -13,48 +13,49 @@
 use crate::engine::{Change, RunRecord};
 use crate::load::trace::TOKEN_BYTES;
 
-/// Tokens a block.
-const TOKENS: u64 = (BLOCK_BYTES / TOKEN_BYTES) as u64;
+/// Number of tokens per block.
+const BLOCK_TOKENS: u64 = (BLOCK_BYTES / TOKEN_BYTES) as u64;
 
-/// One engine's logs.
+/// The logs of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineLogs {
-    /// What it ran.
+    /// Requests that ran.
     pub runs: Vec<RunRecord>,
-    /// How its cache changed.
+    /// Changes of the cache.
     pub history: Vec<Change>,
 }
 
-/// Tokens of all prompts that engines searched for.
+/// Token counts over all prompts for which an engine searched its cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Reuse {
-    /// Tokens of prompts, whole blocks only.
+    /// Tokens of the prompts, in whole blocks.
     pub prompt_tokens: u64,
-    /// Of these, found in the cache.
+    /// Tokens found in the cache.
     pub cached_tokens: u64,
-    /// Computed although another live replica held them.
+    /// Tokens computed although another live replica held them.
     pub wasted_tokens: u64,
-    /// Held by all live replicas together.
+    /// Tokens held by any live replica.
     pub oracle_tokens: u64,
-    /// Seen earlier in the run; what one cache that never evicts would give.
+    /// Tokens that occurred earlier in the run; a single cache without eviction would hold them.
     pub seen_tokens: u64,
-    /// Cached over all.
+    /// `cached_tokens` over `prompt_tokens`.
     pub hit_rate: f64,
-    /// Wasted over all.
+    /// `wasted_tokens` over `prompt_tokens`.
     pub waste_rate: f64,
-    /// The oracle's over all.
+    /// `oracle_tokens` over `prompt_tokens`.
     pub oracle_rate: f64,
-    /// Seen over all.
+    /// `seen_tokens` over `prompt_tokens`.
     pub seen_rate: f64,
 }
 
-/// What happened at a moment.
+/// An entry of an engine log, to be replayed.
 enum Step<'a> {
-    Look(&'a RunRecord),
+    Search(&'a RunRecord),
     Change(&'a Change),
 }
 
-/// Works it out; `chain` gives the blocks of a request by its id, if it is one of this run.
+/// Computes the reuse of a run. `chain` returns the blocks of a request by its id, if the request
+/// belongs to the run.
 pub fn reuse(logs: &[EngineLogs], chain: impl Fn(&str) -> Option<Vec<u64>>) -> Reuse {
     let mut caches = vec![HashSet::new(); logs.len()];
     let mut all = Union::default();
@@ -63,11 +64,12 @@
     for (_, engine, step) in steps(logs) {
         match step {
             Step::Change(c) => apply(&mut caches[engine], &mut all, c),
-            Step::Look(r) => {
+            Step::Search(r) => {
                 if let Some(chain) = chain(&r.request) {
-                    out.seen_tokens += front(&chain, |h| seen.contains(h)) as u64 * TOKENS;
+                    out.seen_tokens +=
+                        cached_prefix(&chain, |h| seen.contains(h)) as u64 * BLOCK_TOKENS;
                     seen.extend(chain.iter().copied());
-                    out.look(&caches, &all, engine, r, &chain);
+                    out.count_search(&caches, &all, engine, r, &chain);
                 }
             }
         }
@@ -82,12 +84,12 @@
     }
 }
 
-/// Searches and changes in order of time; a search comes before changes of the same moment.
+/// Searches and changes in order of time; a search is ordered before changes of the same moment.
 fn steps(logs: &[EngineLogs]) -> Vec<(u64, usize, Step<'_>)> {
     let mut out = Vec::new();
     for (i, l) in logs.iter().enumerate() {
         let looked = l.runs.iter().filter(|r| r.looked > 0);
-        out.extend(looked.map(|r| (r.looked, i, Step::Look(r))));
+        out.extend(looked.map(|r| (r.looked, i, Step::Search(r))));
         out.extend(l.history.iter().map(|c| (c.at, i, Step::Change(c))));
     }
     out.sort_by_key(|(at, _, s)| (*at, matches!(s, Step::Change(_))));
@@ -104,7 +106,7 @@
 }
 
 impl Reuse {
-    fn look(
+    fn count_search(
         &mut self,
         caches: &[HashSet<u64>],
         all: &Union,
@@ -114,22 +116,22 @@
     ) {
         let others = caches.iter().enumerate().filter(|(i, _)| *i != own);
         let best = others
-            .map(|(_, c)| front(chain, |h| c.contains(h)))
+            .map(|(_, c)| cached_prefix(chain, |h| c.contains(h)))
             .max()
             .unwrap_or(0);
-        let union = front(chain, |h| all.0.contains_key(h));
-        self.prompt_tokens += r.blocks as u64 * TOKENS;
-        self.cached_tokens += r.cached as u64 * TOKENS;
-        self.wasted_tokens += best.saturating_sub(r.cached) as u64 * TOKENS;
-        self.oracle_tokens += union.max(r.cached) as u64 * TOKENS;
+        let union = cached_prefix(chain, |h| all.0.contains_key(h));
+        self.prompt_tokens += r.blocks as u64 * BLOCK_TOKENS;
+        self.cached_tokens += r.cached as u64 * BLOCK_TOKENS;
+        self.wasted_tokens += best.saturating_sub(r.cached) as u64 * BLOCK_TOKENS;
+        self.oracle_tokens += union.max(r.cached) as u64 * BLOCK_TOKENS;
     }
 }
 
-fn front(chain: &[u64], held: impl Fn(&u64) -> bool) -> usize {
+fn cached_prefix(chain: &[u64], held: impl Fn(&u64) -> bool) -> usize {
     chain.iter().take_while(|h| held(h)).count()
 }
 
-/// Blocks that any cache holds, with the number of those that do.
+/// Blocks held by any cache, with the number of caches that hold them.
 #[derive(Debug, Default)]
 struct Union(HashMap<u64, usize>);
 
--- a/crates/standin/src/load/trace.rs
+++ b/crates/standin/src/load/trace.rs
@@ -1,4 +1,4 @@
-//! Arrivals as a trace spells them, and the texts that they stand for.
+//! Reads and writes traces of arrivals, and generates the prompt texts of arrivals.
 
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -10,12 +10,12 @@
 
 use crate::load::LoadError;
 
-/// Bytes that stand for a token.
+/// Bytes of prompt that count as a token.
 pub const TOKEN_BYTES: usize = 4;
 
-/// Most arrivals of one run.
+/// Largest number of arrivals of a run; later ones are omitted.
 pub const MAX_ARRIVALS: usize = 200_000;
-/// Milliseconds after which arrivals of a trace are left out.
+/// Latest arrival of a run in milliseconds; later ones are omitted.
 pub const MAX_AT_MS: u64 = 3_600_000;
 
 /// One request of a trace.
@@ -23,23 +23,23 @@
 pub struct Arrival {
     /// Milliseconds since the trace's start.
     pub at_ms: u64,
-    /// Who sends it.
+    /// Team that sends the request.
     pub team: String,
-    /// How urgent it is.
+    /// Class of the request.
     #[serde(default)]
     pub class: Class,
     /// Path; below `/v1/` a completion, else a call of the plain service.
     pub path: String,
-    /// Nested parts of the prompt's front, the outermost first: id and tokens.
+    /// Nested parts at the start of the prompt, the outermost first: id and number of tokens.
     #[serde(default)]
     pub prefix: Vec<(String, usize)>,
-    /// Tokens that no other request shares.
+    /// Number of tokens after the prefix, which no other request shares.
     #[serde(default)]
     pub tail: usize,
-    /// Tokens of the answer.
+    /// Number of tokens of the answer.
     #[serde(default)]
     pub output: usize,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     #[serde(default = "yes")]
     pub idempotent: bool,
 }
@@ -49,13 +49,13 @@
 }
 
 impl Arrival {
-    /// Whether a model engine answers it.
+    /// Whether the request is a completion, answered by a model engine.
     pub fn completes(&self) -> bool {
         self.path.starts_with("/v1/")
     }
 }
 
-/// Reads a trace and puts it in order of time.
+/// Reads a trace, sorted by time of arrival.
 pub fn read(path: &Path) -> Result<Vec<Arrival>, LoadError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| LoadError::File {
@@ -89,20 +89,20 @@
     })
 }
 
-/// Texts by id; the same id always gives the same text.
+/// Generated texts by id; the same id always has the same text.
 #[derive(Debug, Default)]
 pub struct Texts {
-    known: HashMap<(String, usize), Arc<str>>,
+    texts: HashMap<(String, usize), Arc<str>>,
 }
 
 impl Texts {
-    /// The whole prompt of the `n`th arrival.
+    /// The whole prompt of arrival `n`.
     pub fn prompt(&mut self, n: usize, a: &Arrival) -> String {
         let mut out = String::new();
         for (id, tokens) in &a.prefix {
             let key = (id.clone(), *tokens);
             let part = self
-                .known
+                .texts
                 .entry(key)
                 .or_insert_with(|| text(id, *tokens).into());
             out.push_str(part);
@@ -111,13 +111,13 @@
     }
 }
 
-/// A text of so many tokens; a longer one of the same id begins with it.
+/// A text of `tokens` tokens. A longer text of the same id starts with it.
 pub fn text(id: &str, tokens: usize) -> String {
     let seed = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
     let mut out = String::with_capacity(tokens * TOKEN_BYTES);
     for i in 0..tokens as u64 {
         let h = xxhash_rust::xxh3::xxh3_64_with_seed(&i.to_le_bytes(), seed);
-        // Three hexadecimal digits and a space are one token; writing to a string can't fail.
+        // Three hexadecimal digits and a space are one token. Writing to a string cannot fail.
         let _ = write!(out, "{:03x} ", h & 0xfff);
     }
     out
