--- a/crates/standin/tests/cache.rs
+++ b/crates/standin/tests/cache.rs
@@ -1,10 +1,11 @@
-//! The engine's cache: bounded by number and age; a chain goes from its end.
+//! Tests of the prefix cache of an engine: bounded by number of blocks and idle time; a chain is
+//! evicted from its end.
 
 use std::time::{Duration, Instant};
 
 use standin::cache::{chain, BlockRange, Cache, Event, BLOCK_BYTES};
 
-const AGE: Duration = Duration::from_secs(5);
+const MAX_IDLE: Duration = Duration::from_secs(5);
 
 fn text(blocks: &str) -> String {
     blocks.chars().flat_map(|c| [c; BLOCK_BYTES]).collect()
@@ -14,14 +15,14 @@
     let prompt = text(blocks);
     let chain = chain("s", prompt.as_bytes());
     let mut out = Vec::new();
-    let piece = BlockRange {
+    let range = BlockRange {
         scope: "s",
         prompt: prompt.as_bytes(),
         chain: &chain,
         from: 0,
         to: chain.len(),
     };
-    cache.store(now, &piece, &mut out);
+    cache.store(now, &range, &mut out);
     out
 }
 
@@ -30,72 +31,72 @@
 }
 
 #[test]
-fn is_bounded_and_evicts_the_least_recently_used() {
+fn least_recently_used_blocks_are_evicted_beyond_the_bound() {
     struct Case {
         stored: &'static [&'static str],
-        look: &'static str,
+        prompt: &'static str,
         found: usize,
     }
     let cases = [
         Case {
             stored: &["abc"],
-            look: "abc",
+            prompt: "abc",
             found: 3,
         },
         Case {
             stored: &["abc"],
-            look: "abx",
+            prompt: "abx",
             found: 2,
         },
         Case {
             stored: &["abc", "xy"],
-            look: "abc",
+            prompt: "abc",
             found: 2,
         },
         Case {
             stored: &["abc", "xy", "abz"],
-            look: "xy",
+            prompt: "xy",
             found: 2,
         },
         Case {
             stored: &["abc", "wxyz"],
-            look: "abc",
+            prompt: "abc",
             found: 0,
         },
     ];
     for c in cases {
         let now = Instant::now();
-        let mut cache = Cache::new(4, AGE);
+        let mut cache = Cache::new(4, MAX_IDLE);
         c.stored
             .iter()
             .for_each(|s| drop(store(&mut cache, now, s)));
         assert!(cache.len() <= 4);
-        assert_eq!(find(&mut cache, now, c.look), c.found, "{:?}", c.stored);
+        assert_eq!(find(&mut cache, now, c.prompt), c.found, "{:?}", c.stored);
     }
 }
 
 #[test]
-fn evicts_what_lies_unused_for_long() {
+fn idle_blocks_are_evicted() {
     let start = Instant::now();
-    let mut cache = Cache::new(100, AGE);
+    let mut cache = Cache::new(100, MAX_IDLE);
     store(&mut cache, start, "ab");
     store(&mut cache, start, "xy");
-    assert_eq!(find(&mut cache, start + AGE / 2, "xy"), 2);
+    assert_eq!(find(&mut cache, start + MAX_IDLE / 2, "xy"), 2);
     let mut out = Vec::new();
-    cache.expire(start + AGE, &mut out);
-    let gone: Vec<_> = chain("s", text("ab").as_bytes())
+    cache.expire(start + MAX_IDLE, &mut out);
+    let removed: Vec<_> = chain("s", text("ab").as_bytes())
         .into_iter()
         .rev()
         .map(|hash| Event::Removed { hash })
         .collect();
-    assert_eq!(out, gone);
-    assert_eq!(find(&mut cache, start + AGE, "xy"), 2);
+    assert_eq!(out, removed);
+    assert_eq!(find(&mut cache, start + MAX_IDLE, "xy"), 2);
 }
 
 #[test]
-fn lists_parents_before_children() {
+fn parents_are_listed_before_children() {
     let now = Instant::now();
-    let mut cache = Cache::new(100, AGE);
+    let mut cache = Cache::new(100, MAX_IDLE);
     let stored = store(&mut cache, now, "abc");
     assert_eq!(cache.list(), stored);
 }
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Shared by the tests: an engine in this process, and waiting for what is to come.
+//! Helpers shared by the tests: servers in this process, example programs as child processes, and
+//! waiting for a condition.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -10,10 +11,10 @@
 use standin::engine::{Engine, Settings};
 use viz::Router;
 
-/// Longest wait for an event; only a failing test comes near it.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Longest wait for a condition; only a failing test comes near it.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings with which nothing takes long and nothing is evicted by age.
+/// Settings with short computation times, no delays and no eviction by idle time.
 pub(crate) fn quick() -> Settings {
     Settings {
         prefill: Duration::from_micros(10),
@@ -26,8 +27,9 @@
     }
 }
 
-pub(crate) async fn start(set: Settings) -> (Arc<Engine>, SocketAddr) {
-    let engine = Engine::new(set);
+/// Starts an engine in this process.
+pub(crate) async fn start(settings: Settings) -> (Arc<Engine>, SocketAddr) {
+    let engine = Engine::new(settings);
     let listening =
         standin::listen_freezable("127.0.0.1:0", engine.router(), engine.freeze_switch()).await;
     let (at, server) = listening.unwrap();
@@ -35,27 +37,32 @@
     (engine, at)
 }
 
+/// Serves a router in this process.
 pub(crate) async fn serve(router: Router) -> SocketAddr {
     let (at, server) = standin::listen("127.0.0.1:0", router).await.unwrap();
     tokio::spawn(server);
     at
 }
 
+/// A completion request.
 pub(crate) fn completion(at: SocketAddr, id: &str, body: &Value) -> Call {
     Call::post(at, "/v1/completions", body.to_string()).header("x-request-id", id)
 }
 
+/// Waits until a condition holds.
 pub(crate) async fn eventually(mut holds: impl FnMut() -> bool) {
-    let all = async {
+    let polling = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(LIMIT, all).await.expect("never came");
+    tokio::time::timeout(TIMEOUT, polling)
+        .await
+        .expect("the condition did not become true in time");
 }
 
-/// The words of a stream.
-pub(crate) fn words(stream: &[u8]) -> Vec<String> {
+/// The tokens of a stream of events.
+pub(crate) fn answer_tokens(stream: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(stream);
     let data = text.lines().filter_map(|l| l.strip_prefix("data: "));
     data.filter_map(|d| serde_json::from_str::<Value>(d).ok())
@@ -63,7 +70,7 @@
         .collect()
 }
 
-/// An example program that runs until it is dropped.
+/// A running example program, killed when dropped.
 pub(crate) struct Example {
     pub(crate) child: std::process::Child,
     pub(crate) at: SocketAddr,
@@ -86,7 +93,7 @@
         .stdout(std::process::Stdio::piped())
         .stderr(std::process::Stdio::null())
         .spawn()
-        .expect("`cargo test` builds the examples, unless it was told to build one test only");
+        .expect("`cargo test` builds the examples, unless only one test target is built");
     let mut line = String::new();
     let out = child.stdout.take().unwrap();
     std::io::BufReader::new(out).read_line(&mut line).unwrap();
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in: schedule, cache, cancel, resume, faults.
+//! Tests of the engine stand-in: scheduling, cache, cancellation, resumption, faults.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use standin::call::{Call, CallError};
 use standin::engine::{answer_token, Engine, Faults, Queue, Rank, Settings};
 
-use common::{completion, eventually, quick, start, words};
+use common::{answer_tokens, completion, eventually, quick, start};
 
 #[tokio::test]
-async fn streams_the_words_after_those_that_the_caller_has() {
+async fn resumed_stream_starts_after_the_tokens_already_received() {
     struct Case {
         resume: usize,
         tokens: usize,
@@ -38,14 +38,14 @@
             json!({"prompt": "p", "max_tokens": c.tokens, "stream": true, "resume": c.resume});
         let (_, text) = completion(at, "a", &body).fetch().await.unwrap();
         let want: Vec<_> = (c.resume..c.tokens).map(|i| answer_token("p", i)).collect();
-        assert_eq!(words(&text), want);
+        assert_eq!(answer_tokens(&text), want);
         assert!(text.ends_with(b"data: [DONE]\n\n"));
     }
     assert!(engine.run_log().iter().all(|r| r.whole));
 }
 
 #[tokio::test]
-async fn finds_blocks_of_the_same_scope_only() {
+async fn cached_blocks_are_found_in_the_same_scope_only() {
     struct Case {
         scope: &'static str,
         prompt: String,
@@ -85,64 +85,64 @@
 }
 
 #[tokio::test]
-async fn the_line_seats_by_priority_then_arrival() {
-    let line = Queue::new(1);
-    let first = line
+async fn permits_are_granted_by_priority_then_arrival() {
+    let queue = Queue::new(1);
+    let first = queue
         .acquire(Rank {
             priority: 0,
             arrival: 0,
         })
         .await;
     let (tx, mut rx) = tokio::sync::mpsc::unbounded_channel();
-    let places = [(5, 1), (0, 2), (5, 3), (-1, 4)];
-    for (n, (priority, arrival)) in places.into_iter().enumerate() {
-        let (line, tx) = (line.clone(), tx.clone());
+    let ranks = [(5, 1), (0, 2), (5, 3), (-1, 4)];
+    for (n, (priority, arrival)) in ranks.into_iter().enumerate() {
+        let (queue, tx) = (queue.clone(), tx.clone());
         tokio::spawn(async move {
-            let _permit = line.acquire(Rank { priority, arrival }).await;
+            let _permit = queue.acquire(Rank { priority, arrival }).await;
             let _ = tx.send(n);
         });
     }
-    eventually(|| line.waiting() == places.len()).await;
+    eventually(|| queue.waiting() == ranks.len()).await;
     drop(first);
     let mut got = Vec::new();
-    for _ in places {
+    for _ in ranks {
         got.extend(rx.recv().await);
     }
     assert_eq!(got, [3, 1, 0, 2]);
 }
 
-/// A caller gives up while its answer is computed. If the engine went on, its slot would be lost
-/// to callers who still wait; they would notice a full engine that answers nobody.
+/// Guards against an engine that continues to compute for a caller that has disconnected: its slot
+/// would stay occupied while other callers wait.
 #[tokio::test]
-async fn a_caller_who_goes_frees_the_slot() {
-    let set = Settings {
+async fn disconnected_caller_frees_its_slot() {
+    let settings = Settings {
         slots: 1,
         decode: Duration::from_millis(5),
         ..quick()
     };
     for stream in [true, false] {
-        let (engine, at) = start(set.clone()).await;
+        let (engine, at) = start(settings.clone()).await;
         let long = json!({"prompt": "p", "max_tokens": 1_000_000, "stream": stream});
         let call = tokio::spawn(completion(at, "gone", &long).fetch());
         eventually(|| engine.running() == 1).await;
         call.abort();
         let body = json!({"prompt": "q", "max_tokens": 1});
         completion(at, "next", &body).fetch().await.unwrap();
-        let ran = engine.run_log();
-        assert_matches!(ran.as_slice(), [a, b] if a.request == "gone" && !a.whole
+        let log = engine.run_log();
+        assert_matches!(log.as_slice(), [a, b] if a.request == "gone" && !a.whole
             && b.request == "next" && b.whole);
     }
 }
 
-/// Something between sidecar and engine loses track of a connection. Its stream stands still
+/// A network device between sidecar and engine loses track of a connection: its stream stalls
 /// without an end or an error, while new connections work and can fetch the rest.
 #[tokio::test]
-async fn a_frozen_connection_says_nothing_while_new_ones_work() {
-    let set = Settings {
+async fn frozen_connection_stalls_while_new_ones_work() {
+    let settings = Settings {
         decode: Duration::from_millis(5),
         ..quick()
     };
-    let (engine, at) = start(set).await;
+    let (engine, at) = start(settings).await;
     let body = json!({"prompt": "p", "max_tokens": 200, "stream": true});
     let mut res = completion(at, "a", &body).send().await.unwrap();
     res.body_mut().frame().await.unwrap().unwrap();
@@ -153,24 +153,24 @@
     assert_eq!(status, 200);
     let rest = json!({"prompt": "p", "max_tokens": 200, "stream": true, "resume": 199});
     let (_, text) = completion(at, "a", &rest).fetch().await.unwrap();
-    assert_eq!(words(&text), [answer_token("p", 199)]);
+    assert_eq!(answer_tokens(&text), [answer_token("p", 199)]);
     eventually(|| engine.run_log().iter().filter(|r| r.whole).count() == 2).await;
-    let silent = async {
-        // What was on its way before the freeze may still come; the end never does.
+    let stalled_stream = async {
+        // Data sent before the freeze may still arrive, but the end of the stream never does.
         let whole = res.into_body().collect().await;
         panic!("ended: {whole:?}");
     };
     let ping = Call::get(at, "/load").fetch();
     tokio::select! {
-        () = silent => (),
+        () = stalled_stream => (),
         r = ping => assert_eq!(r.unwrap().0, 200),
     }
 }
 
-/// The connection to an engine breaks in mid-stream. Whoever relays it must not take the broken
-/// end for the end of the answer; here the stand-in breaks as many as were asked for.
+/// The connection to an engine breaks in mid-stream. A relay must not take that for the end of the
+/// answer, so the stand-in has to cut exactly the configured number of streams.
 #[tokio::test]
-async fn streams_are_cut_as_often_as_asked() {
+async fn streams_are_cut_as_often_as_configured() {
     let (engine, at) = start(quick()).await;
     engine.set_faults(Faults {
         drop: 1,
@@ -181,20 +181,20 @@
     let cut = completion(at, "a", &body).fetch().await;
     assert_matches!(cut, Err(CallError::Broken(_)));
     let (_, text) = completion(at, "b", &body).fetch().await.unwrap();
-    assert_eq!(words(&text).len(), 5);
-    let ran: Vec<_> = engine
+    assert_eq!(answer_tokens(&text).len(), 5);
+    let log: Vec<_> = engine
         .run_log()
         .iter()
         .map(|r| (r.tokens, r.whole))
         .collect();
-    assert_eq!(ran, [(2, false), (5, true)]);
+    assert_eq!(log, [(2, false), (5, true)]);
 }
 
 #[tokio::test]
-async fn requests_are_refused_as_often_as_asked() {
+async fn requests_are_refused_as_often_as_configured() {
     let (engine, at) = start(quick()).await;
-    let set = Call::post(at, "/faults", r#"{"errors":2,"status":500}"#);
-    set.fetch().await.unwrap();
+    let request = Call::post(at, "/faults", r#"{"errors":2,"status":500}"#);
+    request.fetch().await.unwrap();
     let body = json!({"prompt": "p", "max_tokens": 1});
     let mut got = Vec::new();
     for _ in 0..3 {
@@ -205,7 +205,7 @@
 }
 
 #[tokio::test]
-async fn cache_events_come_with_the_gaps_and_order_that_are_set() {
+async fn cache_events_have_the_configured_gaps_and_order() {
     struct Case {
         lose: u64,
         reorder: bool,
@@ -229,12 +229,12 @@
         },
     ];
     for c in cases {
-        let set = Settings {
+        let settings = Settings {
             lose: c.lose,
             reorder: c.reorder,
             ..quick()
         };
-        let (_, at) = start(set).await;
+        let (_, at) = start(settings).await;
         let body = json!({"prompt": "x".repeat(256), "max_tokens": 1});
         completion(at, "a", &body).fetch().await.unwrap();
         let (_, v) = Call::get(at, "/events?after=0")
@@ -252,18 +252,17 @@
     }
 }
 
-/// New weights are ordered while a request runs. Blocks of the old ones must not be found by
-/// anyone afterwards; a caller would get words that neither version would have said.
+/// Engines started in one process within a microsecond must not share an incarnation.
 #[test]
-fn each_life_has_its_own_incarnation() {
-    let lives = [(); 3].map(|()| Engine::new(quick()).incarnation());
-    assert!(lives[0] < lives[1] && lives[1] < lives[2]);
+fn each_engine_has_its_own_incarnation() {
+    let incarnations = [(); 3].map(|()| Engine::new(quick()).incarnation());
+    assert!(incarnations[0] < incarnations[1] && incarnations[1] < incarnations[2]);
 }
 
-/// A prompt crashes whatever engine runs it. Its caller sees a broken connection, like any other
-/// caller of that engine, and sends it again.
+/// A prompt crashes every engine that runs it. Its caller sees a broken connection, like any other
+/// caller of that engine, and retries.
 #[tokio::test]
-async fn a_poisonous_prompt_kills_the_process() {
+async fn poisonous_prompt_aborts_the_process() {
     let mut engine = common::example("engine", &["--poison", "hemlock"]);
     let good = json!({"prompt": "parsley", "max_tokens": 1});
     let (status, _) = completion(engine.at, "a", &good).fetch().await.unwrap();
@@ -274,50 +273,50 @@
 }
 
 #[tokio::test]
-async fn a_seat_is_passed_only_to_those_who_come_before() {
+async fn permit_is_yielded_only_to_waiters_that_rank_before() {
     struct Case {
         waiting: i64,
-        passed: bool,
+        yielded: bool,
     }
     let cases = [
         Case {
             waiting: -1,
-            passed: true,
+            yielded: true,
         },
         Case {
             waiting: 1,
-            passed: false,
+            yielded: false,
         },
     ];
     for c in cases {
-        let line = Queue::new(1);
+        let queue = Queue::new(1);
         let own = Rank {
             priority: 0,
             arrival: 0,
         };
-        let permit = line.acquire(own).await;
+        let permit = queue.acquire(own).await;
         let (tx, mut rx) = tokio::sync::mpsc::unbounded_channel();
         let other = Rank {
             priority: c.waiting,
             arrival: 1,
         };
         let task = tokio::spawn({
-            let line = line.clone();
+            let queue = queue.clone();
             async move {
-                let _permit = line.acquire(other).await;
+                let _permit = queue.acquire(other).await;
                 let _ = tx.send(());
             }
         });
-        eventually(|| line.waiting() == 1).await;
-        let permit = line.yield_to(permit, own).await;
-        assert_eq!(rx.try_recv().is_ok(), c.passed);
+        eventually(|| queue.waiting() == 1).await;
+        let permit = queue.yield_to(permit, own).await;
+        assert_eq!(rx.try_recv().is_ok(), c.yielded);
         drop(permit);
         task.await.unwrap();
     }
 }
 
-/// An engine says how busy it is with a delay. A router that believes the figure sends a whole
-/// burst to the engine that was idle a moment ago.
+/// An engine reports its load with a delay. A router that relies on the figure sends a whole burst to
+/// the engine that was idle a moment ago.
 #[tokio::test]
 async fn load_is_reported_late() {
     struct Case {
@@ -335,12 +334,12 @@
         },
     ];
     for c in cases {
-        let set = Settings {
+        let settings = Settings {
             load_lag: c.lag,
             decode: Duration::from_millis(5),
             ..quick()
         };
-        let (engine, at) = start(set).await;
+        let (engine, at) = start(settings).await;
         let long = json!({"prompt": "p", "max_tokens": 1_000_000, "stream": true});
         let call = tokio::spawn(completion(at, "a", &long).fetch());
         eventually(|| engine.running() == 1).await;
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool's judgement: traces, made-up traffic, streams, reuse, counts.
+//! Tests of the load tool: traces, generated traffic, streams, reuse, counts.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use standin::service::RecordedCall;
 
 #[test]
-fn reads_the_line_of_the_format() {
+fn trace_line_is_read_and_written() {
     let line = r#"{"at_ms":0,"team":"t1","class":"call","path":"/v1/completions",
         "prefix":[["sys",4000],["book-7",12000]],"tail":200,"output":64,"idempotent":true}"#;
     let a: Arrival = serde_json::from_str(line).unwrap();
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_id_always_gives_the_same_text() {
+fn same_id_always_has_the_same_text() {
     struct Case {
         ids: [&'static str; 2],
         same: bool,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn made_up_traffic_is_the_same_for_the_same_seed() {
+fn generated_traffic_is_the_same_for_the_same_seed() {
     struct Case {
         user: Workload,
         rate: f64,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_few_teams_and_documents_take_most_of_the_traffic() {
+fn few_teams_and_documents_have_most_of_the_traffic() {
     let plan = Plan {
         user: Workload::Alpen,
         seed: 3,
@@ -96,9 +96,16 @@
         .filter(|a| a.team == "t1" || a.team == "t2")
         .count();
     assert!(large * 2 > all.len());
-    let words: Vec<_> = all.iter().filter(|a| a.completes()).collect();
-    let hot = words.iter().filter(|a| a.prefix[1].0 == "doc-0").count();
-    assert!(hot * 4 > words.len(), "{hot} of {}", words.len());
+    let completions: Vec<_> = all.iter().filter(|a| a.completes()).collect();
+    let popular = completions
+        .iter()
+        .filter(|a| a.prefix[1].0 == "doc-0")
+        .count();
+    assert!(
+        popular * 4 > completions.len(),
+        "{popular} of {}",
+        completions.len()
+    );
 }
 
 fn event(i: usize) -> String {
@@ -106,10 +113,10 @@
     format!("data: {{\"choices\":[{{\"index\":0,\"text\":\"{w}\"}}]}}\n\n")
 }
 
-/// A stream reaches its caller in pieces of any size, and may be cut, mixed up or cut short as if
-/// it were whole. Only the last would go unnoticed by a caller who doesn't count.
+/// A stream arrives in chunks of any size and may be broken, mixed up with another, or truncated
+/// without an error, which a caller notices only if it counts the tokens.
 #[test]
-fn streams_are_told_apart_by_their_ends() {
+fn incomplete_streams_are_classified_by_how_they_end() {
     struct Case {
         stream: String,
         broken: bool,
@@ -156,16 +163,16 @@
     ];
     for c in cases {
         for size in [1, 7, 10_000] {
-            let mut reader = StreamChecker::default();
-            for piece in c.stream.as_bytes().chunks(size) {
-                reader.feed(piece, "p");
+            let mut checker = StreamChecker::default();
+            for chunk in c.stream.as_bytes().chunks(size) {
+                checker.feed(chunk, "p");
             }
-            assert_eq!(reader.ending(c.broken, 2), c.ending, "{}", c.stream);
+            assert_eq!(checker.ending(c.broken, 2), c.ending, "{}", c.stream);
         }
     }
 }
 
-fn looked(at: u64, cached: usize) -> RunRecord {
+fn searched(at: u64, cached: usize) -> RunRecord {
     RunRecord {
         request: "r".to_owned(),
         looked: at,
@@ -176,7 +183,7 @@
 }
 
 #[test]
-fn waste_is_what_another_live_replica_held_at_that_moment() {
+fn waste_is_what_another_replica_held_at_that_moment() {
     struct Case {
         other: &'static [(u64, Option<usize>, bool)],
         cached: usize,
@@ -208,7 +215,8 @@
             wasted: 1,
             oracle: 2,
         },
-        // It came too late, went before, went with all others, or has a gap at its front.
+        // Not wasted: stored too late, removed before, cleared with all others, or the first block is
+        // missing.
         Case {
             other: &[(11, Some(0), true)],
             cached: 0,
@@ -243,7 +251,7 @@
             stored: *stored,
         });
         let own = EngineLogs {
-            runs: vec![looked(10, c.cached)],
+            runs: vec![searched(10, c.cached)],
             history: Vec::new(),
         };
         let other = EngineLogs {
@@ -260,10 +268,10 @@
     }
 }
 
-/// A request that may run only once runs twice, or runs although its caller was told that it
-/// hadn't. Callers can't see either; only the targets' logs show it.
+/// A request that may run only once runs twice, or runs although it was refused as not run. Callers
+/// can't see either; only the logs of the targets show it.
 #[test]
-fn logs_show_what_callers_cannot_see() {
+fn repeated_and_falsely_refused_runs_are_counted_from_logs() {
     struct Case {
         once: bool,
         ending: Ending,
@@ -327,7 +335,7 @@
         },
     ];
     for c in cases {
-        let done = [RequestResult {
+        let results = [RequestResult {
             n: 0,
             id: "r".to_owned(),
             class: Class::Call,
@@ -337,10 +345,10 @@
             gaps: Vec::new(),
             ending: c.ending,
         }];
-        let ran = c.runs.iter().map(|whole| RunRecord {
+        let runs = c.runs.iter().map(|whole| RunRecord {
             whole: *whole,
             arrived: 1,
-            ..looked(2, 0)
+            ..searched(2, 0)
         });
         let call = RecordedCall {
             request: "r".to_owned(),
@@ -349,10 +357,10 @@
         let report = Report::new(
             Run::default(),
             &RunData {
-                done: &done,
+                done: &results,
                 completes: &[true],
                 idempotent: &[!c.once],
-                runs: &ran.collect::<Vec<_>>(),
+                runs: &runs.collect::<Vec<_>>(),
                 calls: &vec![call; c.calls],
                 limit: Duration::ZERO,
             },
@@ -363,7 +371,7 @@
 }
 
 #[test]
-fn a_line_that_is_no_arrival_is_named() {
+fn malformed_trace_line_is_reported_by_number() {
     let path = std::env::temp_dir().join(format!("standin-trace-{}.jsonl", std::process::id()));
     std::fs::write(
         &path,
--- a/crates/standin/tests/orders.rs
+++ b/crates/standin/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine stand-in, and kept KV out of one and into another.
+//! Tests of orders to the engine stand-in, and of export and import of cached KV blocks.
 
 mod common;
 
@@ -12,21 +12,21 @@
 use common::{completion, eventually, quick, start};
 
 #[tokio::test]
-async fn orders_are_fenced_where_the_engine_checks_numbers() {
+async fn outdated_orders_are_refused_only_if_the_engine_honours_fencing() {
     struct Case {
         fencing: Fencing,
-        late: Status,
+        second: Status,
         weights: &'static str,
     }
     let cases = [
         Case {
             fencing: Fencing::Honour,
-            late: Status::Fenced,
+            second: Status::Fenced,
             weights: "w2",
         },
         Case {
             fencing: Fencing::Ignore,
-            late: Status::Done,
+            second: Status::Done,
             weights: "w0",
         },
     ];
@@ -39,27 +39,29 @@
         for (fence, weights) in [(7, "w2"), (6, "w0")] {
             let order = json!({"fence": fence, "order": "load", "weights": weights}).to_string();
             Call::post(at, "/orders", order).fetch().await.unwrap();
-            eventually(|| engine.orders().iter().all(|g| g.status != Status::Running)).await;
+            eventually(|| engine.orders().iter().all(|o| o.status != Status::Running)).await;
         }
         let (_, orders) = Call::get(at, "/orders")
             .json::<Vec<OrderRecord>>()
             .await
             .unwrap();
-        let fates: Vec<_> = orders.iter().map(|g| g.status).collect();
-        assert_eq!(fates, [Status::Done, c.late]);
+        let statuses: Vec<_> = orders.iter().map(|o| o.status).collect();
+        assert_eq!(statuses, [Status::Done, c.second]);
         let (_, load) = Call::get(at, "/load").json::<Value>().await.unwrap();
         assert_eq!(load["weights"], c.weights);
     }
 }
 
+/// New weights are ordered while a request runs. Blocks of the old weights must not be found
+/// afterwards, or a caller would get tokens that neither version computes.
 #[tokio::test]
-async fn loading_weights_cuts_what_runs_and_empties_the_cache() {
-    let set = Settings {
+async fn loading_weights_cuts_running_requests_and_clears_the_cache() {
+    let settings = Settings {
         decode: Duration::from_millis(5),
         loading: Duration::from_millis(50),
         ..quick()
     };
-    let (engine, at) = start(set).await;
+    let (engine, at) = start(settings).await;
     let long = json!({"prompt": "x".repeat(640), "max_tokens": 1_000_000, "stream": true});
     let call = tokio::spawn(completion(at, "old", &long).fetch());
     eventually(|| engine.running() == 1).await;
@@ -70,16 +72,16 @@
     eventually(|| engine.orders()[0].status == Status::Done).await;
     let body = json!({"prompt": "x".repeat(640), "max_tokens": 1});
     completion(at, "new", &body).fetch().await.unwrap();
-    let ran = engine.run_log();
-    let seen: Vec<_> = ran
+    let log = engine.run_log();
+    let runs: Vec<_> = log
         .iter()
         .map(|r| (&*r.weights, r.cached, r.whole))
         .collect();
-    assert_eq!(seen, [("w1", 0, false), ("w2", 0, true)]);
+    assert_eq!(runs, [("w1", 0, false), ("w2", 0, true)]);
 }
 
 #[tokio::test]
-async fn kept_kv_is_imported_for_the_same_weights_only() {
+async fn kv_blocks_are_imported_for_the_same_weights_only() {
     struct Case {
         weights: &'static str,
         status: u16,
@@ -104,7 +106,7 @@
     let last = v["blocks"].as_array().unwrap().last().unwrap()["hash"]
         .as_u64()
         .unwrap();
-    let (_, kept) = Call::get(from, format!("/kv/{last}"))
+    let (_, export) = Call::get(from, format!("/kv/{last}"))
         .fetch()
         .await
         .unwrap();
@@ -114,7 +116,7 @@
             ..quick()
         })
         .await;
-        let (status, _) = Call::post(to, "/kv", kept.clone()).fetch().await.unwrap();
+        let (status, _) = Call::post(to, "/kv", export.clone()).fetch().await.unwrap();
         assert_eq!(status, c.status);
         let (_, v) = completion(to, "a", &body).json::<Value>().await.unwrap();
         assert_eq!(
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in: transactions, faults, budget, host list.
+//! Tests of the platform stand-in: transactions, faults, budget, host list.
 
 mod common;
 
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn a_transaction_is_carried_out_as_a_whole_or_not_at_all() {
+async fn transaction_is_atomic() {
     struct Case {
         writes: &'static [(&'static str, u64)],
         status: u16,
@@ -55,10 +55,10 @@
     );
 }
 
-/// The table is down, or its answer is lost after the write took effect. A writer that takes the
-/// second for the first would run a request twice.
+/// The table is unavailable, or its answer is lost after the write took effect. A writer that takes
+/// the second case for the first would run a request twice.
 #[tokio::test]
-async fn faults_differ_in_their_effect() {
+async fn only_a_lost_answer_leaves_the_write_in_effect() {
     struct Case {
         faults: Faults,
         status: Option<u16>,
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test]
-async fn beyond_its_budget_it_refuses_and_says_when_to_come_back() {
+async fn calls_beyond_the_budget_are_refused_with_retry_after() {
     let platform = Platform::with_budget(Budget {
         reads: 0,
         writes: 1_000,
@@ -125,8 +125,8 @@
     assert_matches!(platform.counts().seconds.as_slice(), [.., s] if s.writes == 1);
 }
 
-/// A host goes, and the platform's list shows it only later; callers meanwhile reach a host that
-/// is gone.
+/// A host leaves, and the list of the platform shows it only later; in the meantime callers are sent
+/// to a host that has left.
 #[tokio::test]
 async fn changes_of_the_host_list_are_shown_late() {
     let platform = Platform::new();
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: what it ran, and where it fails.
+//! Tests of the plain service stand-in: its log and its faults.
 
 mod common;
 
@@ -9,10 +9,10 @@
 
 use common::{eventually, serve};
 
-/// A service hangs before or after it has run a call. Its caller sees the same silence both
-/// times; only the service's log tells whether the record was made.
+/// A service hangs before or after it has run a call. The caller can't distinguish the two; only the
+/// log of the service shows whether the record was created.
 #[tokio::test]
-async fn a_call_hangs_before_or_after_it_ran() {
+async fn call_hangs_before_or_after_it_ran() {
     struct Case {
         faults: Faults,
         records: usize,
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn only_records_stand_in_the_log() {
+async fn log_has_only_records() {
     let service = Service::new(Duration::ZERO);
     let at = serve(service.router()).await;
     Call::get(at, "/quota/anand").fetch().await.unwrap();
@@ -74,9 +74,10 @@
     assert_eq!(paths, ["/quota/anand", "/records"]);
 }
 
-/// A service dies before or after it has run a call. Both times its caller's connection breaks.
+/// A service process aborts before or after it has run a call. Either way the caller's connection
+/// breaks.
 #[tokio::test]
-async fn a_call_kills_the_process() {
+async fn call_aborts_the_process() {
     for fault in ["die_before", "die_after"] {
         let mut service = common::example("service", &[]);
         let body = format!("{{\"{fault}\":1}}");
