--- a/crates/standin/examples/ask.rs
+++ b/crates/standin/examples/ask.rs
@@ -1,4 +1,4 @@
-//! Sends one request and prints the answer as it comes; for `scripts/try`.
+//! Sends one request and prints the answer as it arrives; for `scripts/try`.
 
 use std::io::Write as _;
 
@@ -36,7 +36,7 @@
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let a: Args = argh::from_env();
     let tcp = TcpStream::connect(&a.to).await?;
-    let (mut send, conn) = handshake(TokioIo::new(tcp)).await?;
+    let (mut sender, conn) = handshake(TokioIo::new(tcp)).await?;
     tokio::spawn(conn);
     let mut req = hyper::Request::builder()
         .method(a.method.as_str())
@@ -51,7 +51,7 @@
         req = req.header(name, value);
     }
     let req = req.body(Full::<Bytes>::from(a.body))?;
-    let mut res = send.send_request(req).await?;
+    let mut res = sender.send_request(req).await?;
     println!("status {}", res.status().as_u16());
     for name in ["x-rule", "x-request-id", "x-outcome", "retry-after"] {
         if let Some(v) = res.headers().get(name) {
--- a/crates/standin/examples/engine.rs
+++ b/crates/standin/examples/engine.rs
@@ -11,25 +11,25 @@
     /// address to listen on (default 127.0.0.1:0)
     #[argh(option, default = "String::from(\"127.0.0.1:0\")")]
     listen: String,
-    /// model it serves
+    /// model served
     #[argh(option, default = "Settings::default().model")]
     model: String,
-    /// weights it serves
+    /// weights served at the start
     #[argh(option, default = "Settings::default().weights")]
     weights: String,
-    /// blocks its cache holds (default 4096)
+    /// number of blocks that the cache holds (default 4096)
     #[argh(option, default = "Settings::default().blocks")]
     blocks: usize,
     /// milliseconds after which an unused block is evicted (default 8000)
     #[argh(option, default = "millis(Settings::default().age)")]
     age_ms: u64,
-    /// requests it computes at a time (default 8)
+    /// number of requests computed at a time (default 8)
     #[argh(option, default = "Settings::default().slots")]
     slots: usize,
     /// microseconds to compute one block of prompt (default 400)
     #[argh(option, default = "micros(Settings::default().prefill)")]
     prefill_us: u64,
-    /// blocks of prompt computed in one go (default 32)
+    /// number of prompt blocks computed without interruption (default 32)
     #[argh(option, default = "Settings::default().chunk")]
     chunk: usize,
     /// microseconds to compute one token of answer (default 5000)
@@ -50,19 +50,19 @@
     /// one in this many cache events is lost; 0 for none
     #[argh(option, default = "0")]
     lose: u64,
-    /// publish neighbouring cache events in the wrong order
+    /// publish adjacent cache events in swapped order
     #[argh(switch)]
     reorder: bool,
-    /// microseconds to import one block of kept KV (default 20)
+    /// microseconds to import one KV block (default 20)
     #[argh(option, default = "micros(Settings::default().import)")]
     import_us: u64,
     /// milliseconds to load weights (default 2000)
     #[argh(option, default = "millis(Settings::default().loading)")]
     load_ms: u64,
-    /// what it makes of old fencing numbers: honour or ignore (default honour)
+    /// how orders with outdated fencing numbers are treated: honour or ignore (default honour)
     #[argh(option, default = "Fencing::Honour")]
     fencing: Fencing,
-    /// a prompt with this text kills the process
+    /// a prompt that contains this text aborts the process
     #[argh(option)]
     poison: Option<String>,
 }
--- a/crates/standin/examples/hosted.rs
+++ b/crates/standin/examples/hosted.rs
@@ -1,6 +1,6 @@
 //! A hosted platform with two engines and two plain replicas; for `scripts/try --platform`.
 //!
-//! Prints its addresses, a line each: the store as `listening`, then each replica by its id.
+//! Prints one address per line: the row store as `listening`, then each replica by its id.
 
 use std::error::Error;
 use std::sync::Arc;
@@ -10,8 +10,9 @@
 use standin::hosted::row_store::Store;
 use standin::hosted::sample::{config, entry, MODEL};
 
-/// Events of a stream, and the pause before each.
+/// Number of events in a stream.
 const EVENTS: u64 = 4;
+/// Pause before each event.
 const PAUSE: Duration = Duration::from_millis(5);
 
 #[tokio::main]
--- a/crates/standin/examples/load.rs
+++ b/crates/standin/examples/load.rs
@@ -24,16 +24,16 @@
     /// trace to replay, JSON lines
     #[argh(option)]
     trace: Option<PathBuf>,
-    /// whose traffic to make up without a trace: association, alpen or hops (default association)
+    /// kind of traffic to generate without a trace: association, alpen or hops (default association)
     #[argh(option, default = "Workload::Association")]
     user: Workload,
-    /// seed of made-up traffic (default 1)
+    /// seed of generated traffic (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// made-up requests a second (default 40)
+    /// generated requests per second (default 40)
     #[argh(option, default = "40.0")]
     rate: f64,
-    /// seconds of made-up traffic, at most 600 (default 20)
+    /// seconds of generated traffic, at most 600 (default 20)
     #[argh(option, default = "20")]
     seconds: u64,
     /// write the trace to this file
@@ -63,13 +63,13 @@
     /// directory for the logs of the fleet to start
     #[argh(option)]
     log_dir: Option<PathBuf>,
-    /// callers' addresses of a running fleet, separated by commas
+    /// entry addresses for callers of a running fleet, separated by commas
     #[argh(option, default = "String::new()")]
     entries: String,
-    /// addresses of its engines, for their logs
+    /// engine addresses of the running fleet, to fetch their logs
     #[argh(option, default = "String::new()")]
     engines: String,
-    /// addresses of its plain services, for their logs
+    /// plain service addresses of the running fleet, to fetch their logs
     #[argh(option, default = "String::new()")]
     services: String,
     /// API key of a team by pattern (default sample-key-{{team}})
@@ -84,7 +84,7 @@
     /// seconds to wait for an answer (default 60)
     #[argh(option, default = "60")]
     timeout: u64,
-    /// milliseconds to a first token that count as in time (default 1500)
+    /// longest time to first token that counts as in time, in milliseconds (default 1500)
     #[argh(option, default = "1500")]
     limit_ms: u64,
     /// print one JSON object
@@ -99,10 +99,10 @@
     if let Some(path) = &a.write_trace {
         write(path, &trace)?;
     }
-    // Told to stop, the tool drops the fleet that it started and leaves no process behind.
+    // On a signal to stop, the fleet is dropped, so that no process is left behind.
     let report = tokio::select! {
-        r = all(&a, &trace) => r?,
-        () = stopped() => return Err(LoadError::Stopped),
+        r = start_and_run(&a, &trace) => r?,
+        () = stop_signal() => return Err(LoadError::Stopped),
     };
     match a.json {
         true => println!("{}", serde_json::to_string(&report).unwrap_or_default()),
@@ -111,18 +111,18 @@
     Ok(())
 }
 
-async fn all(a: &Args, trace: &[Arrival]) -> Result<Report, LoadError> {
+async fn start_and_run(a: &Args, trace: &[Arrival]) -> Result<Report, LoadError> {
     let fleet = match a.fleet {
-        true => fleet::start(&started(a)).await?,
-        false => running(a),
+        true => fleet::start(&fleet_plan(a)).await?,
+        false => running_fleet(a),
     };
     if fleet.entries.is_empty() {
-        return Err(LoadError::Nowhere);
+        return Err(LoadError::NoEntries);
     }
     run(a, trace, &fleet).await
 }
 
-async fn stopped() {
+async fn stop_signal() {
     let Ok(mut term) = signal(SignalKind::terminate()) else {
         return std::future::pending().await;
     };
@@ -144,7 +144,7 @@
     }
 }
 
-fn started(a: &Args) -> fleet::Plan {
+fn fleet_plan(a: &Args) -> fleet::Plan {
     fleet::Plan {
         engines: a.engine_count.clamp(1, 32),
         entries: a.entry_count.clamp(1, 16),
@@ -161,7 +161,7 @@
     text.split_whitespace().map(str::to_owned).collect()
 }
 
-fn running(a: &Args) -> Fleet {
+fn running_fleet(a: &Args) -> Fleet {
     Fleet {
         entries: addresses(&a.entries),
         engines: addresses(&a.engines),
@@ -178,7 +178,7 @@
 
 async fn run(a: &Args, trace: &[Arrival], fleet: &Fleet) -> Result<Report, LoadError> {
     let pairs = a.keys.split(',').filter_map(|p| p.split_once('='));
-    let set = DriveConfig {
+    let config = DriveConfig {
         entries: fleet.entries.clone(),
         direct: if a.direct {
             fleet.engines.clone()
@@ -190,37 +190,37 @@
         timeout: Duration::from_secs(a.timeout.clamp(1, 600)),
         run: format!("load-{:x}", standin::micros()),
     };
-    let before = usage(fleet).await;
+    let before = sample_processes(fleet).await;
     let clock = std::time::Instant::now();
-    let done = drive(&set, trace).await;
-    let took = clock.elapsed().as_secs_f64();
-    let after = usage(fleet).await;
-    let logs = engines(fleet).await?;
-    let ran: Vec<_> = logs.iter().flat_map(|l| l.runs.iter().cloned()).collect();
-    let calls = services(fleet).await?;
-    let evidence = RunData {
+    let done = drive(&config, trace).await;
+    let elapsed_s = clock.elapsed().as_secs_f64();
+    let after = sample_processes(fleet).await;
+    let logs = engine_logs(fleet).await?;
+    let runs: Vec<_> = logs.iter().flat_map(|l| l.runs.iter().cloned()).collect();
+    let calls = service_calls(fleet).await?;
+    let data = RunData {
         done: &done,
         completes: &trace.iter().map(Arrival::completes).collect::<Vec<_>>(),
         idempotent: &trace.iter().map(|a| a.idempotent).collect::<Vec<_>>(),
-        runs: &ran,
+        runs: &runs,
         calls: &calls,
         limit: Duration::from_millis(a.limit_ms),
     };
     let mut report = Report::new(
         Run {
-            elapsed: took,
-            ..described(a, trace, fleet)
+            elapsed: elapsed_s,
+            ..run_parameters(a, trace, fleet)
         },
-        &evidence,
+        &data,
     );
     if !logs.is_empty() {
-        report.reuse = Some(reuse(&logs, |id| blocks(&set.run, id, trace)));
+        report.reuse = Some(reuse(&logs, |id| blocks(&config.run, id, trace)));
     }
-    report.processes = processes(fleet, &before, &after, took);
+    report.processes = process_usage(fleet, &before, &after, elapsed_s);
     Ok(report)
 }
 
-fn described(a: &Args, trace: &[Arrival], fleet: &Fleet) -> Run {
+fn run_parameters(a: &Args, trace: &[Arrival], fleet: &Fleet) -> Run {
     let name = || format!("{:?}", a.user).to_lowercase();
     Run {
         source: a
@@ -236,42 +236,47 @@
     }
 }
 
-/// What a process has used and counted so far.
-struct Used {
+/// Resource usage and byte counters of a process at a moment.
+struct Sample {
     usage: Usage,
     bytes: BTreeMap<String, f64>,
 }
 
-async fn usage(fleet: &Fleet) -> Vec<Used> {
-    let used = fleet.processes.iter().map(|p| async {
-        Used {
+async fn sample_processes(fleet: &Fleet) -> Vec<Sample> {
+    let samples = fleet.processes.iter().map(|p| async {
+        Sample {
             usage: Usage::of(p.pid),
             bytes: byte_counters(p.admin).await,
         }
     });
-    futures::future::join_all(used).await
+    futures::future::join_all(samples).await
 }
 
-fn processes(fleet: &Fleet, before: &[Used], after: &[Used], took: f64) -> Vec<Process> {
+fn process_usage(
+    fleet: &Fleet,
+    before: &[Sample],
+    after: &[Sample],
+    elapsed_s: f64,
+) -> Vec<Process> {
     let all = fleet.processes.iter().zip(before.iter().zip(after));
     all.filter(|(p, _)| p.ours)
         .map(|(p, (before, after))| {
             let usage = after.usage.since(before.usage);
             let bytes = after.bytes.iter().map(|(name, n)| {
                 let earlier = before.bytes.get(name).copied().unwrap_or(0.0);
-                (name.clone(), (n - earlier) / took)
+                (name.clone(), (n - earlier) / elapsed_s)
             });
             Process {
                 name: p.name.clone(),
                 usage,
-                cpu_share: usage.cpu_ms as f64 / 1_000.0 / took,
+                cpu_share: usage.cpu_ms as f64 / 1_000.0 / elapsed_s,
                 bytes_per_s: bytes.collect(),
             }
         })
         .collect()
 }
 
-async fn engines(fleet: &Fleet) -> Result<Vec<EngineLogs>, LoadError> {
+async fn engine_logs(fleet: &Fleet) -> Result<Vec<EngineLogs>, LoadError> {
     let mut out = Vec::new();
     for &at in &fleet.engines {
         out.push(EngineLogs {
@@ -282,7 +287,7 @@
     Ok(out)
 }
 
-async fn services(fleet: &Fleet) -> Result<Vec<standin::service::RecordedCall>, LoadError> {
+async fn service_calls(fleet: &Fleet) -> Result<Vec<standin::service::RecordedCall>, LoadError> {
     let mut out = Vec::new();
     for &at in &fleet.services {
         out.extend(fetch::<Vec<_>>(at, "/runs").await?);
@@ -297,7 +302,7 @@
     }
 }
 
-/// The blocks of a request of this run; a team's name is its cache scope.
+/// The block hashes of a request of this run. The name of a team is its cache scope.
 fn blocks(run: &str, id: &str, trace: &[Arrival]) -> Option<Vec<u64>> {
     let n: usize = id.strip_prefix(run)?.strip_prefix('-')?.parse().ok()?;
     let arrival = trace.get(n)?;
--- a/crates/standin/examples/platform.rs
+++ b/crates/standin/examples/platform.rs
@@ -3,16 +3,16 @@
 use argh::FromArgs;
 use standin::platform::{Budget, Platform};
 
-/// The platform's services for development.
+/// The platform, for development.
 #[derive(FromArgs)]
 struct Args {
     /// address to listen on (default 127.0.0.1:0)
     #[argh(option, default = "String::from(\"127.0.0.1:0\")")]
     listen: String,
-    /// reads it answers in a second (default 2000)
+    /// reads answered per second (default 2000)
     #[argh(option, default = "Budget::default().reads")]
     reads: u64,
-    /// writes it answers in a second (default 400)
+    /// writes answered per second (default 400)
     #[argh(option, default = "Budget::default().writes")]
     writes: u64,
 }
--- a/crates/standin/examples/scale.rs
+++ b/crates/standin/examples/scale.rs
@@ -1,10 +1,10 @@
-//! Starts many real processes of ours before one plain service and measures them in concert.
+//! Starts many real router processes in front of one plain service and measures them together.
 //!
-//! Stages, each printed as one line: join (until every process knows all), steady (CPU, control
-//! CPU, memory and gossip bytes of a process), apply (until each change is in force everywhere),
-//! kill (a third of the sidecars at once, until no entry counts them as live), restart (every
-//! process killed and started anew, until each entry has served a request), and the same with the
-//! platform away. Callers' requests go on at an even rate meanwhile and are counted.
+//! Each stage prints one line: join (until every process has discovered all others), steady (CPU,
+//! control CPU, memory and gossip bytes per process), apply (until each change is in force in every
+//! process), kill (a third of the sidecars at once, until no process counts them as live), restart
+//! (all processes killed and started again, until each entry has served a request), and a restart
+//! during a platform outage. From apply to kill, callers send requests at an even rate.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -25,7 +25,7 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// Many processes on one machine.
+/// Measures many router processes on one machine.
 #[derive(FromArgs)]
 struct Args {
     /// sidecars (default 60)
@@ -48,16 +48,18 @@
     rate: u64,
 }
 
+/// Sample keys of the fleet, the operator and the callers.
 const KEY: &str = "0000000000000000000000000000000000000000000000000000000000000001";
 const OPERATOR: &str = "sample-operator-key";
 const CALLER: &str = "sample-key";
 /// Longest wait for any stage.
-const LIMIT: Duration = Duration::from_secs(60);
-/// How often it is looked.
-const LOOK: Duration = Duration::from_millis(20);
+const STAGE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// The line that a router process prints once it listens.
 #[derive(Clone, Copy, Debug, Deserialize)]
-struct Ready {
+struct Listening {
     callers: Option<SocketAddr>,
     admin: SocketAddr,
     gossip: SocketAddr,
@@ -66,12 +68,13 @@
 struct Process {
     name: String,
     args: Vec<String>,
-    ready: Ready,
+    listening: Listening,
     child: Child,
 }
 
+/// Counters of the callers' requests, and the signal to stop sending.
 #[derive(Default)]
-struct Served {
+struct Traffic {
     sent: AtomicU64,
     good: AtomicU64,
     stop: AtomicBool,
@@ -96,29 +99,37 @@
     let (target, server) = standin::listen(any, service.router()).await?;
     tokio::spawn(server);
     let mut f = Fleet {
-        bin: binary()?,
+        bin: daemon_path()?,
         platform: format!("http://{at}"),
         seeds: String::new(),
         sidecars: Vec::new(),
         entries: Vec::new(),
     };
-    let began = Instant::now();
+    let stage_start = Instant::now();
     f.start(&a, target).await?;
-    f.known(a.sidecars + a.entries).await?;
-    stage("join", began, json!({"processes": a.sidecars + a.entries}));
+    f.wait_members(a.sidecars + a.entries).await?;
+    print_stage(
+        "join",
+        stage_start,
+        json!({"processes": a.sidecars + a.entries}),
+    );
     f.apply(0).await?;
-    let served = Arc::new(Served::default());
-    let callers: Vec<_> = f.entries.iter().filter_map(|e| e.ready.callers).collect();
-    let calls = tokio::spawn(traffic(callers, a.rate, Arc::clone(&served)));
+    let traffic = Arc::new(Traffic::default());
+    let callers: Vec<_> = f
+        .entries
+        .iter()
+        .filter_map(|e| e.listening.callers)
+        .collect();
+    let calls = tokio::spawn(send_traffic(callers, a.rate, Arc::clone(&traffic)));
 
     f.steady(a.steady).await;
     f.changes(a.changes).await?;
     let before = platform.counts();
     f.kill_third().await?;
     f.changes(3).await?;
-    served.stop.store(true, Ordering::Relaxed);
+    traffic.stop.store(true, Ordering::Relaxed);
     calls.await?;
-    let (sent, good) = (&served.sent, &served.good);
+    let (sent, good) = (&traffic.sent, &traffic.good);
     println!(
         "served {}",
         json!({"sent": sent.load(Ordering::Relaxed), "good": good.load(Ordering::Relaxed)})
@@ -157,7 +168,7 @@
                 false => self.entries.push(p),
             }
             if i < 3 {
-                let all = self.sidecars.iter().map(|p| p.ready.gossip.to_string());
+                let all = self.sidecars.iter().map(|p| p.listening.gossip.to_string());
                 self.seeds = all.collect::<Vec<_>>().join(",");
             }
         }
@@ -185,77 +196,86 @@
             .spawn()?;
         let out = child.stdout.take().ok_or(std::io::ErrorKind::BrokenPipe)?;
         let mut lines = BufReader::new(out).lines();
-        let line = timeout(LIMIT, lines.next_line()).await??;
-        let ready = serde_json::from_str(&line.unwrap_or_default())?;
+        let line = timeout(STAGE_TIMEOUT, lines.next_line()).await??;
+        let listening = serde_json::from_str(&line.unwrap_or_default())?;
         Ok(Process {
             name: role.to_owned(),
             args,
-            ready,
+            listening,
             child,
         })
     }
 
-    fn all(&self) -> impl Iterator<Item = &Process> {
+    fn processes(&self) -> impl Iterator<Item = &Process> {
         self.sidecars.iter().chain(&self.entries)
     }
 
-    /// Waits until every process counts so many live members.
-    async fn known(&self, members: usize) -> std::io::Result<()> {
-        let want = members as f64;
-        self.until("clementinestep_members", |v| v >= want).await
+    /// Waits until every process counts `members` live members.
+    async fn wait_members(&self, members: usize) -> std::io::Result<()> {
+        let expected = members as f64;
+        self.wait_metric("clementinestep_members", |v| v >= expected)
+            .await
     }
 
-    async fn until(&self, name: &str, holds: impl Fn(f64) -> bool) -> std::io::Result<()> {
-        let waits = self.all().map(|p| async {
-            while !holds(metric(p.ready.admin, name).await) {
-                sleep(LOOK).await;
+    /// Waits until a metric of every process satisfies a condition.
+    async fn wait_metric(&self, name: &str, holds: impl Fn(f64) -> bool) -> std::io::Result<()> {
+        let waits = self.processes().map(|p| async {
+            while !holds(metric(p.listening.admin, name).await) {
+                sleep(POLL_INTERVAL).await;
             }
         });
-        let all = timeout(LIMIT, join_all(waits)).await;
+        let all = timeout(STAGE_TIMEOUT, join_all(waits)).await;
         all.map(|_| ())
-            .map_err(|_| std::io::Error::other(format!("{name} in vain")))
+            .map_err(|_| std::io::Error::other(format!("timed out waiting for {name}")))
     }
 
+    /// Applies a configuration. Returns the time until it was accepted and until it was in force in
+    /// every process.
     async fn apply(&self, n: usize) -> Result<(Duration, Duration), Box<dyn std::error::Error>> {
         let entry = &self.entries[n % self.entries.len()];
         let body = json!({"text": configuration(n), "author": "scale",
             "operation": format!("{:032x}", rand::random::<u128>())});
-        let began = Instant::now();
-        let mut call = Call::post(entry.ready.admin, "/admin/configuration", body.to_string());
+        let sent_at = Instant::now();
+        let mut call = Call::post(
+            entry.listening.admin,
+            "/admin/configuration",
+            body.to_string(),
+        );
         call.method = "PUT";
         let auth = format!("Bearer {OPERATOR}");
         let (status, body) = call.header("authorization", auth).fetch().await?;
-        let accepted = began.elapsed();
+        let accepted = sent_at.elapsed();
         let reply: Value = serde_json::from_slice(&body)?;
         let Some(version) = reply["version"].as_f64() else {
             return Err(format!("apply: {status} {reply}").into());
         };
-        self.until("clementinestep_configuration_version", |v| v >= version)
+        self.wait_metric("clementinestep_configuration_version", |v| v >= version)
             .await?;
-        Ok((accepted, began.elapsed()))
+        Ok((accepted, sent_at.elapsed()))
     }
 
+    /// Measures the resource usage of the router processes while only the callers' traffic runs.
     async fn steady(&self, seconds: u64) {
         let before: Vec<_> = self.samples().await;
         sleep(Duration::from_secs(seconds)).await;
         let after: Vec<_> = self.samples().await;
-        let span = seconds as f64;
+        let duration = seconds as f64;
         for role in ["sidecar", "entry"] {
             let of = |v: &[(String, Usage, f64)]| -> Vec<(Usage, f64)> {
                 let all = v.iter().filter(|(n, ..)| n == role);
                 all.map(|(_, u, b)| (*u, *b)).collect()
             };
             let (b, a) = (of(&before), of(&after));
-            let per = a.len().max(1) as f64 * span;
+            let process_seconds = a.len().max(1) as f64 * duration;
             let sum = |f: fn(&Usage) -> u64| a.iter().map(|(u, _)| f(u)).sum::<u64>();
             let cpu = sum(|u| u.cpu_ms) - b.iter().map(|(u, _)| u.cpu_ms).sum::<u64>();
             let control = sum(|u| u.control_ms) - b.iter().map(|(u, _)| u.control_ms).sum::<u64>();
             let bytes: f64 = a.iter().zip(&b).map(|(a, b)| a.1 - b.1).sum();
             println!(
                 "steady {role} {}",
-                json!({"processes": a.len(), "cpu_percent": cpu as f64 / per / 10.0,
-                    "control_percent": control as f64 / per / 10.0,
-                    "gossip_bytes_a_second_out": bytes / per,
+                json!({"processes": a.len(), "cpu_percent": cpu as f64 / process_seconds / 10.0,
+                    "control_percent": control as f64 / process_seconds / 10.0,
+                    "gossip_bytes_a_second_out": bytes / process_seconds,
                     "rss_kb_mean": sum(|u| u.rss_kb) / a.len().max(1) as u64,
                     "rss_kb_most": a.iter().map(|(u, _)| u.rss_kb).max()})
             );
@@ -263,10 +283,10 @@
     }
 
     async fn samples(&self) -> Vec<(String, Usage, f64)> {
-        let all = self.all().map(|p| async {
+        let all = self.processes().map(|p| async {
             let pid = p.child.id().unwrap_or_default();
             let bytes = metric(
-                p.ready.admin,
+                p.listening.admin,
                 "clementinestep_gossip_bytes_total{way=\"out\"}",
             );
             (p.name.clone(), Usage::of(pid), bytes.await)
@@ -291,44 +311,50 @@
         Ok(())
     }
 
+    /// Kills a third of the sidecars and waits until every process counts them as gone.
     async fn kill_third(&mut self) -> Result<(), Box<dyn std::error::Error>> {
         let third = self.sidecars.len() / 3;
-        let began = Instant::now();
+        let stage_start = Instant::now();
         for mut p in self.sidecars.drain(..third) {
             p.child.start_kill()?;
         }
         let left = (self.sidecars.len() + self.entries.len()) as f64;
-        self.until("clementinestep_members", |v| v <= left).await?;
-        stage("kill", began, json!({"killed": third}));
+        self.wait_metric("clementinestep_members", |v| v <= left)
+            .await?;
+        print_stage("kill", stage_start, json!({"killed": third}));
         Ok(())
     }
 
-    /// Kills every process, starts all together and waits until each entry has served.
+    /// Kills all processes, starts them again together and waits until each entry has served a request.
+    /// If `outage` is set, the platform is unavailable meanwhile.
     async fn restart(
         &mut self,
         name: &str,
         platform: &Platform,
-        away: bool,
+        outage: bool,
     ) -> Result<(), Box<dyn std::error::Error>> {
-        // Something has to know the configuration if the platform is away: one sidecar stays.
-        let kept = usize::from(away);
-        for p in self.sidecars[kept..].iter_mut().chain(&mut self.entries) {
+        // During a platform outage, one sidecar keeps running as the source of the configuration.
+        let survivors = usize::from(outage);
+        for p in self.sidecars[survivors..]
+            .iter_mut()
+            .chain(&mut self.entries)
+        {
             p.child.kill().await?;
         }
         platform.set_faults(Faults {
-            outage: away,
+            outage,
             ..Faults::default()
         });
-        if away {
-            self.seeds = self.sidecars[0].ready.gossip.to_string();
+        if outage {
+            self.seeds = self.sidecars[0].listening.gossip.to_string();
         } else {
             self.seeds = String::new();
         }
-        let began = Instant::now();
-        if !away {
+        let stage_start = Instant::now();
+        if !outage {
             let args = self.sidecars[0].args.clone();
             self.sidecars[0] = self.spawn("sidecar", args).await?;
-            self.seeds = self.sidecars[0].ready.gossip.to_string();
+            self.seeds = self.sidecars[0].listening.gossip.to_string();
         }
         let sidecars = join_all(
             self.sidecars[1..]
@@ -345,20 +371,20 @@
         self.sidecars
             .extend(sidecars.into_iter().collect::<Result<Vec<_>, _>>()?);
         self.entries = entries.into_iter().collect::<Result<_, _>>()?;
-        let started = began.elapsed();
-        let serve = self.entries.iter().filter_map(|e| e.ready.callers);
+        let started = stage_start.elapsed();
+        let serve = self.entries.iter().filter_map(|e| e.listening.callers);
         let serve = serve.map(|at| async move {
             while !call(at).await {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
-            began.elapsed()
+            stage_start.elapsed()
         });
-        let times = timeout(LIMIT, join_all(serve)).await?;
+        let times = timeout(STAGE_TIMEOUT, join_all(serve)).await?;
         platform.set_faults(Faults::default());
         let most = times.iter().max().copied().unwrap_or_default();
-        stage(
+        print_stage(
             name,
-            began,
+            stage_start,
             json!({"started_ms": started.as_millis() as u64,
                 "all_entries_served_ms": most.as_millis() as u64}),
         );
@@ -366,7 +392,7 @@
     }
 }
 
-fn binary() -> std::io::Result<PathBuf> {
+fn daemon_path() -> std::io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let dir = own
         .ancestors()
@@ -376,18 +402,19 @@
     Ok(dir.join("clementinestepd"))
 }
 
-async fn traffic(entries: Vec<SocketAddr>, rate: u64, served: Arc<Served>) {
+/// Sends requests to the entries in turn at an even rate until stopped.
+async fn send_traffic(entries: Vec<SocketAddr>, rate: u64, traffic: Arc<Traffic>) {
     let mut tick = tokio::time::interval(Duration::from_micros(1_000_000 / rate.max(1)));
     let mut n = 0;
-    while !served.stop.load(Ordering::Relaxed) {
+    while !traffic.stop.load(Ordering::Relaxed) {
         tick.tick().await;
         let at = entries[n % entries.len()];
         n += 1;
-        let served = Arc::clone(&served);
+        let traffic = Arc::clone(&traffic);
         tokio::spawn(async move {
-            served.sent.fetch_add(1, Ordering::Relaxed);
+            traffic.sent.fetch_add(1, Ordering::Relaxed);
             if call(at).await {
-                served.good.fetch_add(1, Ordering::Relaxed);
+                traffic.good.fetch_add(1, Ordering::Relaxed);
             }
         });
     }
@@ -420,6 +447,7 @@
     )
 }
 
-fn stage(name: &str, began: Instant, more: Value) {
-    println!("{name} {} ms {more}", began.elapsed().as_millis());
+/// Prints the line of a stage.
+fn print_stage(name: &str, stage_start: Instant, more: Value) {
+    println!("{name} {} ms {more}", stage_start.elapsed().as_millis());
 }
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -58,5 +58,5 @@
     Stopped,
     /// Neither entries were given nor a fleet to start.
     #[error("neither entries nor a fleet to send to")]
-    Nowhere,
+    NoEntries,
 }
