--- a/crates/daemon/tests/alive.rs
+++ b/crates/daemon/tests/alive.rs
@@ -30,7 +30,7 @@
 
 fn slow() -> Settings {
     Settings {
-        decode: Duration::from_millis(50),
+        decode_per_token: Duration::from_millis(50),
         ..quick()
     }
 }
--- a/crates/daemon/tests/cache.rs
+++ b/crates/daemon/tests/cache.rs
@@ -99,7 +99,7 @@
 #[test]
 fn switched_weights_cut_no_stream_and_claim_no_older_block() {
     let set = Settings {
-        loading: Duration::from_millis(600),
+        load_time: Duration::from_millis(600),
         ..quick()
     };
     let fleet = Fleet::start(1, 2, &set);
@@ -137,8 +137,8 @@
 fn late_and_missing_events_leave_no_claim_behind() {
     let set = Settings {
         blocks: 100,
-        lag: Duration::from_millis(150),
-        lose: 3,
+        event_lag: Duration::from_millis(150),
+        lose_every: 3,
         reorder: true,
         ..quick()
     };
--- a/crates/daemon/tests/caller.rs
+++ b/crates/daemon/tests/caller.rs
@@ -51,7 +51,7 @@
 #[test]
 fn late_answers_of_abandoned_attempts_reach_nobody() {
     let set = Settings {
-        decode: Duration::from_millis(5),
+        decode_per_token: Duration::from_millis(5),
         ..quick()
     };
     let fleet = Fleet::start(1, 1, &set);
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -148,9 +148,9 @@
 pub fn quick() -> Settings {
     Settings {
         weights: "1".to_owned(),
-        decode: Duration::from_millis(2),
-        prefill: Duration::from_micros(100),
-        lag: Duration::from_millis(10),
+        decode_per_token: Duration::from_millis(2),
+        prefill_per_block: Duration::from_micros(100),
+        event_lag: Duration::from_millis(10),
         ..Settings::default()
     }
 }
--- a/crates/daemon/tests/hosted/answers.rs
+++ b/crates/daemon/tests/hosted/answers.rs
@@ -26,7 +26,7 @@
         let engines = ["e1", "e2"].map(|id| Replica::new(id, events, PAUSE));
         let plain = ["p1", "p2"].map(|id| Replica::new(id, 0, PAUSE));
         for r in &engines {
-            r.load(MODEL, 1);
+            r.set_version(MODEL, 1);
             platform.replica(r, "engines").await;
         }
         for r in &plain {
@@ -168,12 +168,12 @@
     for c in cases {
         let mut platform = Platform::start().await;
         let slow = Replica::new("e1", 3, Duration::from_millis(900));
-        slow.load(MODEL, 1);
+        slow.set_version(MODEL, 1);
         platform.replica(&slow, "engines").await;
         let entry = platform.entry("front-1", 1).await;
         let answer = request(&entry, "/probe/1", "silent-1").send().await;
         let other = Replica::new("e2", 3, PAUSE);
-        other.load(MODEL, 1);
+        other.set_version(MODEL, 1);
         other.set_fault(c.other);
         platform.replica(&other, "engines").await;
         let ready = |e: &serde_json::Value| e["target"] == "e2";
--- a/crates/daemon/tests/hosted/callers.rs
+++ b/crates/daemon/tests/hosted/callers.rs
@@ -17,7 +17,7 @@
 async fn fleet(events: u64, pause: Duration) -> (Platform, std::sync::Arc<Replica>, Entry) {
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", events, pause);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     platform.replica(&engine, "engines").await;
     let plain = Replica::new("p1", 0, pause);
     platform.replica(&plain, "plain").await;
--- a/crates/daemon/tests/hosted/delegates.rs
+++ b/crates/daemon/tests/hosted/delegates.rs
@@ -77,7 +77,7 @@
         let engines = ["e1", "e2", "e3"].map(|id| Replica::new(id, 2, Duration::ZERO));
         let mut sidecars = Vec::new();
         for (i, e) in engines.iter().enumerate() {
-            e.load(MODEL, 1);
+            e.set_version(MODEL, 1);
             e.set_load_time(LOAD);
             let at = platform.replica(e, "engines").await;
             if i < c.sidecars {
--- a/crates/daemon/tests/hosted/fatal.rs
+++ b/crates/daemon/tests/hosted/fatal.rs
@@ -35,7 +35,7 @@
         let mut engines = Vec::new();
         for id in ["e1", "e2", "e3", "e4"] {
             let engine = Replica::new(id, 4, PAUSE);
-            engine.load(MODEL, 1);
+            engine.set_version(MODEL, 1);
             engine.set_crash_path(FATAL);
             let at = platform.replica(&engine, "engines").await;
             engines.push((engine, at, 1));
--- a/crates/daemon/tests/hosted/held.rs
+++ b/crates/daemon/tests/hosted/held.rs
@@ -33,7 +33,7 @@
     async fn start(fill: impl FnOnce(&mut PromptCache)) -> Self {
         let mut platform = Platform::start().await;
         let engine = Replica::new("e1", 2, Duration::ZERO);
-        engine.load(MODEL, 1);
+        engine.set_version(MODEL, 1);
         engine.with_cache(fill);
         let at = platform.replica(&engine, "engines").await;
         let process = platform.sidecar("side-1", at);
@@ -151,13 +151,13 @@
     // out of two versions.
     let mut platform = Platform::start().await;
     let newer = Replica::new("e1", 2, Duration::ZERO);
-    newer.load(MODEL, 2);
+    newer.set_version(MODEL, 2);
     newer.with_cache(|c| {
         c.store(SCOPE, "a1", LARGE);
         c.store("lekha.2", "d4", LARGE);
     });
     let older = Replica::new("e2", 2, Duration::ZERO);
-    older.load(MODEL, 1);
+    older.set_version(MODEL, 1);
     let at = platform.replica(&newer, "engines").await;
     platform.replica(&older, "engines").await;
     let sidecar = platform.sidecar("side-1", at);
--- a/crates/daemon/tests/hosted/pool.rs
+++ b/crates/daemon/tests/hosted/pool.rs
@@ -42,7 +42,7 @@
         let engines = ["e1", "e2", "e3"].map(|id| Replica::new(id, 2, Duration::ZERO));
         let (mut sidecars, mut addrs) = (Vec::new(), Vec::new());
         for e in &engines {
-            e.load(MODEL, 1);
+            e.set_version(MODEL, 1);
             e.set_load_time(LOAD);
             let at = platform.replica(e, "engines").await;
             sidecars.push(platform.sidecar(&format!("side-{}", e.id), at));
--- a/crates/daemon/tests/hosted/restore.rs
+++ b/crates/daemon/tests/hosted/restore.rs
@@ -176,7 +176,7 @@
     let copy = platform.store.snapshot();
     let first = platform.entry("front-1", 1).await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     let side = platform.sidecar("side-1", at);
     side.event("members", |e| e["entries"] == 1).await;
--- a/crates/daemon/tests/hosted/slots.rs
+++ b/crates/daemon/tests/hosted/slots.rs
@@ -67,7 +67,7 @@
     let mut platform = Platform::start().await;
     platform.store.set_switch(Arc::clone(&switch));
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     let _entry = platform.entry("front-1", 1).await;
     let sidecar = platform.sidecar("side-1", at);
--- a/crates/daemon/tests/hosted/soak/world.rs
+++ b/crates/daemon/tests/hosted/soak/world.rs
@@ -162,7 +162,7 @@
         for n in 0..REPLICAS {
             let service = if n < ENGINES { "engines" } else { "plain" };
             let replica = Replica::new(&format!("r{n}"), EVENTS, PAUSE);
-            replica.load(MODEL, 1);
+            replica.set_version(MODEL, 1);
             let at = platform.serve(&replica).await;
             let link = link(&mut links, at).await;
             platform.list(&replica, service, link.addr(), "ready");
--- a/crates/daemon/tests/hosted/weights.rs
+++ b/crates/daemon/tests/hosted/weights.rs
@@ -16,7 +16,7 @@
     // and requests then ask for the new version and for nothing cached under the old one.
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     let entry = platform.entry("front-1", 1).await;
     let sidecar = platform.sidecar("side-1", at);
@@ -60,7 +60,7 @@
     // token than its last, so that an engine that checks tokens takes it.
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     for version in [2, 3] {
         let sidecar = platform.sidecar("side-1", at);
@@ -146,7 +146,7 @@
     // without is told at once how long the load goes on.
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     engine.set_load_time(Duration::from_millis(900));
     let at = platform.replica(&engine, "engines").await;
     let entry = platform.entry("front-1", 1).await;
@@ -174,12 +174,12 @@
 async fn engine_with_newer_weights_than_known_serves_the_same_request() {
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     platform.replica(&engine, "engines").await;
     let named = json!({"model": MODEL, "version": 2});
     platform.store.write("op", "version/lekha", &named);
     let entry = platform.entry("front-1", 1).await;
-    engine.load(MODEL, 2);
+    engine.set_version(MODEL, 2);
     let answer = timeout(LIMIT, ask(&entry, "/probe/1", "newer")).await;
     let answer = answer.expect("in time").expect("an answer");
     assert_eq!(answer.status, 200, "{}", entry.process.about("newer"));
@@ -192,9 +192,9 @@
     // the same: it is the only one that may serve them, and nobody is refused.
     let mut platform = Platform::start().await;
     let newer = Replica::new("e1", 2, Duration::ZERO);
-    newer.load(MODEL, 2);
+    newer.set_version(MODEL, 2);
     let older = Replica::new("e2", 2, Duration::ZERO);
-    older.load(MODEL, 1);
+    older.set_version(MODEL, 1);
     platform.replica(&newer, "engines").await;
     platform.replica(&older, "engines").await;
     let named = json!({"model": MODEL, "version": 2});
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -81,7 +81,7 @@
 #[test]
 fn stopping_target_gets_nothing_new_while_the_host_list_lags() {
     let set = Settings {
-        decode: Duration::from_millis(20),
+        decode_per_token: Duration::from_millis(20),
         ..quick()
     };
     let mut fleet = hosted(&set);
--- a/crates/daemon/tests/not_run.rs
+++ b/crates/daemon/tests/not_run.rs
@@ -70,7 +70,7 @@
 
 fn engine() -> Settings {
     Settings {
-        decode: Duration::from_millis(5),
+        decode_per_token: Duration::from_millis(5),
         ..quick()
     }
 }
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -16,7 +16,7 @@
 
 fn engine(fencing: Fencing) -> Settings {
     Settings {
-        loading: LOADING,
+        load_time: LOADING,
         fencing,
         ..quick()
     }
@@ -34,7 +34,7 @@
 /// Weights of the orders that were carried out, with their fencing numbers.
 fn carried(orders: &[OrderRecord]) -> Vec<(String, u64)> {
     let done = |o: &&OrderRecord| matches!(o.status, Status::Running | Status::Done);
-    let name = |o: &OrderRecord| match &o.order.what {
+    let name = |o: &OrderRecord| match &o.order.kind {
         OrderKind::Load { weights, .. } => (weights.clone(), o.order.fence),
         other => panic!("{other:?}"),
     };
@@ -47,7 +47,7 @@
         let orders = engine.orders();
         let done = orders.iter().rfind(|o| o.status == Status::Done);
         done.is_some_and(
-            |o| matches!(&o.order.what, OrderKind::Load { weights, .. } if weights == name),
+            |o| matches!(&o.order.kind, OrderKind::Load { weights, .. } if weights == name),
         )
     });
 }
@@ -104,7 +104,7 @@
 #[test]
 fn two_sidecars_before_one_engine_load_once() {
     let set = Settings {
-        decode: Duration::from_millis(50),
+        decode_per_token: Duration::from_millis(50),
         ..engine(Fencing::Honour)
     };
     let fleet = Fleet::start(1, 1, &set);
@@ -146,7 +146,7 @@
 
 fn paused(fencing: Fencing) {
     let set = Settings {
-        decode: Duration::from_millis(50),
+        decode_per_token: Duration::from_millis(50),
         ..engine(fencing)
     };
     let fleet = Fleet::start(1, 1, &set);
@@ -187,7 +187,7 @@
 #[test]
 fn holder_that_was_paused_past_its_lease_takes_it_again() {
     let set = Settings {
-        decode: Duration::from_millis(50),
+        decode_per_token: Duration::from_millis(50),
         ..engine(Fencing::Honour)
     };
     let fleet = Fleet::start(1, 1, &set);
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -16,7 +16,7 @@
 /// Answers that take about a second, so that a stop finds them running.
 fn slow() -> Settings {
     Settings {
-        decode: Duration::from_millis(15),
+        decode_per_token: Duration::from_millis(15),
         ..quick()
     }
 }
--- a/crates/daemon/tests/stream.rs
+++ b/crates/daemon/tests/stream.rs
@@ -17,7 +17,7 @@
 
 fn slow() -> Settings {
     Settings {
-        decode: Duration::from_millis(10),
+        decode_per_token: Duration::from_millis(10),
         ..quick()
     }
 }
--- a/crates/standin/examples/engine.rs
+++ b/crates/standin/examples/engine.rs
@@ -21,19 +21,19 @@
     #[argh(option, default = "Settings::default().blocks")]
     blocks: usize,
     /// milliseconds after which an unused block is evicted (default 8000)
-    #[argh(option, default = "millis(Settings::default().age)")]
+    #[argh(option, default = "millis(Settings::default().max_idle)")]
     age_ms: u64,
     /// number of requests computed at a time (default 8)
     #[argh(option, default = "Settings::default().slots")]
     slots: usize,
     /// microseconds to compute one block of prompt (default 400)
-    #[argh(option, default = "micros(Settings::default().prefill)")]
+    #[argh(option, default = "micros(Settings::default().prefill_per_block)")]
     prefill_us: u64,
     /// number of prompt blocks computed without interruption (default 32)
-    #[argh(option, default = "Settings::default().chunk")]
+    #[argh(option, default = "Settings::default().prefill_chunk")]
     chunk: usize,
     /// microseconds to compute one token of answer (default 5000)
-    #[argh(option, default = "micros(Settings::default().decode)")]
+    #[argh(option, default = "micros(Settings::default().decode_per_token)")]
     decode_us: u64,
     /// per cent by which each other running request lengthens a token's time (default 3)
     #[argh(option, default = "Settings::default().batch_penalty")]
@@ -42,7 +42,7 @@
     #[argh(option, default = "Settings::default().prefill_penalty")]
     prefill_penalty: u32,
     /// milliseconds by which cache events are late (default 50)
-    #[argh(option, default = "millis(Settings::default().lag)")]
+    #[argh(option, default = "millis(Settings::default().event_lag)")]
     lag_ms: u64,
     /// milliseconds by which load is reported late (default 200)
     #[argh(option, default = "millis(Settings::default().load_lag)")]
@@ -54,10 +54,10 @@
     #[argh(switch)]
     reorder: bool,
     /// microseconds to import one KV block (default 20)
-    #[argh(option, default = "micros(Settings::default().import)")]
+    #[argh(option, default = "micros(Settings::default().import_per_block)")]
     import_us: u64,
     /// milliseconds to load weights (default 2000)
-    #[argh(option, default = "millis(Settings::default().loading)")]
+    #[argh(option, default = "millis(Settings::default().load_time)")]
     load_ms: u64,
     /// how orders with outdated fencing numbers are treated: honour or ignore (default honour)
     #[argh(option, default = "Fencing::Honour")]
@@ -82,19 +82,19 @@
         model: a.model,
         weights: a.weights,
         blocks: a.blocks,
-        age: Duration::from_millis(a.age_ms),
+        max_idle: Duration::from_millis(a.age_ms),
         slots: a.slots,
-        prefill: Duration::from_micros(a.prefill_us),
-        chunk: a.chunk,
-        decode: Duration::from_micros(a.decode_us),
+        prefill_per_block: Duration::from_micros(a.prefill_us),
+        prefill_chunk: a.chunk,
+        decode_per_token: Duration::from_micros(a.decode_us),
         batch_penalty: a.batch_penalty,
         prefill_penalty: a.prefill_penalty,
-        lag: Duration::from_millis(a.lag_ms),
+        event_lag: Duration::from_millis(a.lag_ms),
         load_lag: Duration::from_millis(a.load_lag_ms),
-        lose: a.lose,
+        lose_every: a.lose,
         reorder: a.reorder,
-        import: Duration::from_micros(a.import_us),
-        loading: Duration::from_millis(a.load_ms),
+        import_per_block: Duration::from_micros(a.import_us),
+        load_time: Duration::from_millis(a.load_ms),
         fencing: a.fencing,
         poison: a.poison,
     });
--- a/crates/standin/examples/hosted.rs
+++ b/crates/standin/examples/hosted.rs
@@ -29,7 +29,7 @@
         ("plain2", "plain"),
     ] {
         let replica = Replica::new(id, EVENTS, PAUSE);
-        replica.load(MODEL, 1);
+        replica.set_version(MODEL, 1);
         let (at, served) = replica.start().await?;
         store.write("servers", id, &entry(&replica, service, at, "ready", 1));
         lines.push(format!("{id} {at}"));
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -56,7 +56,7 @@
             let text = format!("blocks have {BLOCK_BYTES} bytes");
             return reply::json(StatusCode::BAD_REQUEST, &json!({ "error": text }));
         }
-        let time = self.settings.import * export.texts.len() as u32;
+        let time = self.settings.import_per_block * export.texts.len() as u32;
         tokio::time::sleep(self.faults.slowed(time)).await;
         self.add(&export)
     }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -109,7 +109,7 @@
     pub fn new(settings: Settings) -> Arc<Self> {
         Arc::new(Self {
             incarnation: micros() + STARTED.fetch_add(1, Ordering::Relaxed),
-            cache: Mutex::new(Cache::new(settings.blocks, settings.age)),
+            cache: Mutex::new(Cache::new(settings.blocks, settings.max_idle)),
             feed: Feed::default(),
             slots: Queue::new(settings.slots.max(1)),
             prefill: Queue::new(1),
@@ -187,8 +187,8 @@
 
     fn publishing(&self) -> Publishing {
         Publishing {
-            lag: self.settings.lag,
-            lose: self.settings.lose,
+            lag: self.settings.event_lag,
+            lose: self.settings.lose_every,
             reorder: self.settings.reorder,
         }
     }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -26,7 +26,7 @@
     pub fence: u64,
     /// What to do.
     #[serde(flatten)]
-    pub what: OrderKind,
+    pub kind: OrderKind,
 }
 
 /// The kinds of orders.
@@ -119,7 +119,7 @@
         };
         if status == Status::Running {
             let engine = Arc::clone(self);
-            tokio::spawn(async move { engine.carry_out(order.what, index).await });
+            tokio::spawn(async move { engine.carry_out(order.kind, index).await });
         }
         reply::json(code, &json!({"status": status, "fence": fence}))
     }
@@ -134,7 +134,7 @@
         };
         s.fence = s.fence.max(order.fence);
         s.loading |= status == Status::Running;
-        if status == Status::Running && matches!(order.what, OrderKind::Load { .. }) {
+        if status == Status::Running && matches!(order.kind, OrderKind::Load { .. }) {
             self.cut_running();
         }
         s.orders.push(OrderRecord {
@@ -145,8 +145,8 @@
         (status, s.orders.len() - 1, s.fence)
     }
 
-    async fn carry_out(&self, what: OrderKind, index: usize) {
-        match what {
+    async fn carry_out(&self, kind: OrderKind, index: usize) {
+        match kind {
             OrderKind::Load { weights, model } => {
                 tokio::time::sleep(self.load_time(1)).await;
                 self.finish_load(weights, model);
@@ -166,7 +166,7 @@
         let faults = self.faults.get();
         let slowdown = if faults.loads > FAST_LOADS { 2 } else { 1 };
         self.faults
-            .slowed(self.settings.loading * slowdown / divisor)
+            .slowed(self.settings.load_time * slowdown / divisor)
     }
 
     fn finish_load(&self, weights: String, model: Option<String>) {
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -151,8 +151,8 @@
         let mut permit = permit;
         while from < chain.len() {
             permit = self.prefill.yield_to(permit, rank).await;
-            let to = chain.len().min(from + self.settings.chunk.max(1));
-            let time = self.settings.prefill * (to - from) as u32;
+            let to = chain.len().min(from + self.settings.prefill_chunk.max(1));
+            let time = self.settings.prefill_per_block * (to - from) as u32;
             sleep_until_due(Instant::now() + self.faults.slowed(time)).await;
             let piece = BlockRange {
                 scope: &job.request.cache_salt,
@@ -201,7 +201,8 @@
             0
         };
         let percent = 100 + self.settings.batch_penalty * others + disturbed;
-        self.faults.slowed(self.settings.decode * percent / 100)
+        self.faults
+            .slowed(self.settings.decode_per_token * percent / 100)
     }
 }
 
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -12,31 +12,31 @@
     /// Number of blocks that the cache holds.
     pub blocks: usize,
     /// Unused blocks are evicted after this time.
-    pub age: Duration,
+    pub max_idle: Duration,
     /// Number of requests computed at a time.
     pub slots: usize,
     /// Time to compute one block of prompt.
-    pub prefill: Duration,
+    pub prefill_per_block: Duration,
     /// Number of prompt blocks computed without interruption.
-    pub chunk: usize,
+    pub prefill_chunk: usize,
     /// Time to compute one token of answer.
-    pub decode: Duration,
+    pub decode_per_token: Duration,
     /// Per cent by which each other running request lengthens a token's time.
     pub batch_penalty: u32,
     /// Per cent by which a prompt that is being computed lengthens a token's time.
     pub prefill_penalty: u32,
     /// Delay of published cache events.
-    pub lag: Duration,
+    pub event_lag: Duration,
     /// Delay of the reported load.
     pub load_lag: Duration,
     /// One in this many cache events is lost; 0 for none.
-    pub lose: u64,
+    pub lose_every: u64,
     /// Whether adjacent cache events are published in swapped order.
     pub reorder: bool,
     /// Time to import one KV block.
-    pub import: Duration,
+    pub import_per_block: Duration,
     /// Time to load weights.
-    pub loading: Duration,
+    pub load_time: Duration,
     /// Whether an order with a lower fencing number than an earlier one is refused.
     pub fencing: Fencing,
     /// A prompt that contains this text aborts the process.
@@ -75,19 +75,19 @@
             model: "lekha".to_owned(),
             weights: "w1".to_owned(),
             blocks: 4_096,
-            age: Duration::from_secs(8),
+            max_idle: Duration::from_secs(8),
             slots: 8,
-            prefill: Duration::from_micros(400),
-            chunk: 32,
-            decode: Duration::from_millis(5),
+            prefill_per_block: Duration::from_micros(400),
+            prefill_chunk: 32,
+            decode_per_token: Duration::from_millis(5),
             batch_penalty: 3,
             prefill_penalty: 50,
-            lag: Duration::from_millis(50),
+            event_lag: Duration::from_millis(50),
             load_lag: Duration::from_millis(200),
-            lose: 0,
+            lose_every: 0,
             reorder: false,
-            import: Duration::from_micros(20),
-            loading: Duration::from_secs(2),
+            import_per_block: Duration::from_micros(20),
+            load_time: Duration::from_secs(2),
             fencing: Fencing::Honour,
             poison: None,
         }
--- a/crates/standin/src/hosted/replica.rs
+++ b/crates/standin/src/hosted/replica.rs
@@ -211,7 +211,7 @@
     }
 
     /// Sets the version of the weights of a model without a load, as after a start.
-    pub fn load(&self, model: &str, version: u64) {
+    pub fn set_version(&self, model: &str, version: u64) {
         let mut state = lock(&self.state);
         state.versions.insert(model.to_owned(), version);
     }
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -17,12 +17,12 @@
 /// Settings with short computation times, no delays and no eviction by idle time.
 pub(crate) fn quick() -> Settings {
     Settings {
-        prefill: Duration::from_micros(10),
-        decode: Duration::from_micros(100),
-        lag: Duration::ZERO,
+        prefill_per_block: Duration::from_micros(10),
+        decode_per_token: Duration::from_micros(100),
+        event_lag: Duration::ZERO,
         load_lag: Duration::ZERO,
-        loading: Duration::ZERO,
-        age: Duration::from_secs(3_600),
+        load_time: Duration::ZERO,
+        max_idle: Duration::from_secs(3_600),
         ..Settings::default()
     }
 }
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -117,7 +117,7 @@
 async fn disconnected_caller_frees_its_slot() {
     let settings = Settings {
         slots: 1,
-        decode: Duration::from_millis(5),
+        decode_per_token: Duration::from_millis(5),
         ..quick()
     };
     for stream in [true, false] {
@@ -139,7 +139,7 @@
 #[tokio::test]
 async fn frozen_connection_stalls_while_new_ones_work() {
     let settings = Settings {
-        decode: Duration::from_millis(5),
+        decode_per_token: Duration::from_millis(5),
         ..quick()
     };
     let (engine, at) = start(settings).await;
@@ -230,7 +230,7 @@
     ];
     for c in cases {
         let settings = Settings {
-            lose: c.lose,
+            lose_every: c.lose,
             reorder: c.reorder,
             ..quick()
         };
@@ -336,7 +336,7 @@
     for c in cases {
         let settings = Settings {
             load_lag: c.lag,
-            decode: Duration::from_millis(5),
+            decode_per_token: Duration::from_millis(5),
             ..quick()
         };
         let (engine, at) = start(settings).await;
--- a/crates/standin/tests/orders.rs
+++ b/crates/standin/tests/orders.rs
@@ -57,8 +57,8 @@
 #[tokio::test]
 async fn loading_weights_cuts_running_requests_and_clears_the_cache() {
     let settings = Settings {
-        decode: Duration::from_millis(5),
-        loading: Duration::from_millis(50),
+        decode_per_token: Duration::from_millis(5),
+        load_time: Duration::from_millis(50),
         ..quick()
     };
     let (engine, at) = start(settings).await;
