--- a/crates/standin/examples/engine.rs
+++ b/crates/standin/examples/engine.rs
@@ -35,10 +35,10 @@
     /// microseconds to compute one token of answer (default 5000)
     #[argh(option, default = "micros(Settings::default().decode_per_token)")]
     decode_us: u64,
-    /// per cent by which each other running request lengthens a token's time (default 3)
+    /// percentage by which each other running request lengthens a token's time (default 3)
     #[argh(option, default = "Settings::default().batch_penalty")]
     batch_penalty: u32,
-    /// per cent by which a prompt being computed lengthens a token's time (default 50)
+    /// percentage by which a prompt being computed lengthens a token's time (default 50)
     #[argh(option, default = "Settings::default().prefill_penalty")]
     prefill_penalty: u32,
     /// milliseconds by which cache events are late (default 50)
--- a/crates/standin/examples/load.rs
+++ b/crates/standin/examples/load.rs
@@ -24,7 +24,7 @@
     /// trace to replay, JSON lines
     #[argh(option)]
     trace: Option<PathBuf>,
-    /// kind of traffic to generate without a trace: association, alpen or hops (default association)
+    /// traffic to generate without a trace: association, alpen or hops (default association)
     #[argh(option, default = "Workload::Association")]
     user: Workload,
     /// seed of generated traffic (default 1)
@@ -259,7 +259,7 @@
     elapsed_s: f64,
 ) -> Vec<Process> {
     let all = fleet.processes.iter().zip(before.iter().zip(after));
-    all.filter(|(p, _)| p.ours)
+    all.filter(|(p, _)| p.is_router)
         .map(|(p, (before, after))| {
             let usage = after.usage.since(before.usage);
             let bytes = after.bytes.iter().map(|(name, n)| {
--- a/crates/standin/examples/scale.rs
+++ b/crates/standin/examples/scale.rs
@@ -325,8 +325,8 @@
         Ok(())
     }
 
-    /// Kills all processes, starts them again together and waits until each entry has served a request.
-    /// If `outage` is set, the platform is unavailable meanwhile.
+    /// Kills all processes, starts them again together and waits until each entry has served a
+    /// request. If `outage` is set, the platform is unavailable meanwhile.
     async fn restart(
         &mut self,
         name: &str,
--- a/crates/standin/src/cache.rs
+++ b/crates/standin/src/cache.rs
@@ -1,5 +1,5 @@
-//! The prefix cache of an engine: prompt blocks, evicted in order of least recent use and after some
-//! seconds without use.
+//! The prefix cache of an engine: prompt blocks, evicted in order of least recent use and after
+//! some seconds without use.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The blocks that lead to this one, the first first.
+    /// The blocks of a prompt up to a given one, if all of them are cached.
     pub fn prefix(&self, hash: u64) -> Option<CachedPrefix> {
         let mut texts = Vec::new();
         let mut at = Some(hash);
@@ -216,7 +216,8 @@
     }
 }
 
-/// The hashes of the whole blocks of a prompt; each depends on all blocks before it and on the scope.
+/// The hashes of the whole blocks of a prompt; each depends on all blocks before it and on the
+/// scope.
 pub fn chain(scope: &str, prompt: &[u8]) -> Vec<u64> {
     let mut parent = None;
     prompt
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -62,7 +62,8 @@
     }
 
     fn add(&self, export: &KvExport) -> Result<Response> {
-        // Locked until the blocks are stored, so that no load order starts between check and import.
+        // Locked until the blocks are stored, so that no load order starts between check and
+        // import.
         let served = lock(&self.served);
         if served.loading || served.weights != export.weights || served.model != export.model {
             let text = format!("serves {} {}", served.model, served.weights);
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -14,9 +14,9 @@
 //! | `POST /faults`, `GET /faults` | set or show the injected faults |
 //!
 //! Besides the usual fields a request may have `cache_salt` (cache entries of one salt are never
-//! found under another), `priority` (lower runs first) and `resume` (number of events that the caller
-//! already has). The answer to a prompt always consists of the same tokens, so that a resumed answer
-//! can be checked.
+//! found under another), `priority` (lower runs first) and `resume` (number of events that the
+//! caller already has). The answer to a prompt always consists of the same tokens, so that a
+//! resumed answer can be checked.
 
 mod faults;
 mod feed;
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -129,8 +129,8 @@
         record.computed = micros();
         let whole = self.generate(job, tx, record).await;
         let cached = record.cached;
-        // Logged before the end is sent, so that a caller that has received the end finds the request
-        // in the log.
+        // Logged before the end is sent, so that a caller that has received the end finds the
+        // request in the log.
         entry.close(whole);
         let last = if whole {
             Output::End { cached }
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -21,9 +21,9 @@
     pub prefill_chunk: usize,
     /// Time to compute one token of answer.
     pub decode_per_token: Duration,
-    /// Per cent by which each other running request lengthens a token's time.
+    /// Percentage by which each other running request lengthens a token's time.
     pub batch_penalty: u32,
-    /// Per cent by which a prompt that is being computed lengthens a token's time.
+    /// Percentage by which a prompt that is being computed lengthens a token's time.
     pub prefill_penalty: u32,
     /// Delay of published cache events.
     pub event_lag: Duration,
--- a/crates/standin/src/hosted/mod.rs
+++ b/crates/standin/src/hosted/mod.rs
@@ -1,8 +1,8 @@
 //! A platform that hosts the router: a row store, replicas listed in it, and the rows that the
 //! operator writes.
 //!
-//! The published protocol is implemented here by hand from its documentation, so that the adapter is
-//! checked against the documentation and not against itself.
+//! The published protocol is implemented here by hand from its documentation, so that the adapter
+//! is checked against the documentation and not against itself.
 
 pub mod prompt_cache;
 pub mod replica;
--- a/crates/standin/src/hosted/replica.rs
+++ b/crates/standin/src/hosted/replica.rs
@@ -162,8 +162,9 @@
         }
     }
 
-    /// From now on a request to `path` breaks the connection as soon as it has started to run, as if
-    /// it had crashed the replica. The test writes the next incarnation of the replica to the list.
+    /// From now on a request to `path` breaks the connection as soon as it has started to run, as
+    /// if it had crashed the replica. The test writes the next incarnation of the replica to the
+    /// list.
     pub fn set_crash_path(&self, path: &str) {
         lock(&self.state).crash_path = Some(path.to_owned());
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
 //! Stand-ins for the systems around the router: model engines, plain services and the platform.
 //!
-//! They implement published interfaces (OpenAI-style completions with server-sent events, plain HTTP
-//! and JSON) and inject faults on request. They are for development only and are not shipped. Each is
-//! available as a library type that tests run in their own process, and as an example program for
-//! `scripts/try` and the load tool.
+//! They implement published interfaces (OpenAI-style completions with server-sent events, plain
+//! HTTP and JSON) and inject faults on request. They are for development only and are not shipped.
+//! Each is available as a library type that tests run in their own process, and as an example
+//! program for `scripts/try` and the load tool.
 
 pub mod cache;
 pub mod call;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,7 +1,7 @@
 //! A TCP proxy on this machine that injects the faults of real network links.
 //!
-//! Bytes are held back, not lost, just as TCP retransmits lost segments: once the fault is over, they
-//! are delivered. A reset ends all connections of the link at once.
+//! Bytes are held back, not lost, just as TCP retransmits lost segments: once the fault is over,
+//! they are delivered. A reset ends all connections of the link at once.
 
 use std::future::Future;
 use std::io;
--- a/crates/standin/src/load/fleet.rs
+++ b/crates/standin/src/load/fleet.rs
@@ -60,7 +60,7 @@
     /// Process id.
     pub pid: u32,
     /// Whether it is a process of the router and not a stand-in.
-    pub ours: bool,
+    pub is_router: bool,
     /// Address of its health checks and metrics.
     pub admin: Option<SocketAddr>,
     _child: Child,
@@ -209,7 +209,7 @@
         &mut self,
         name: &str,
         c: &mut Command,
-        ours: bool,
+        is_router: bool,
     ) -> Result<String, LoadError> {
         let stderr = match &self.plan.logs {
             None => Stdio::null(),
@@ -244,7 +244,7 @@
         self.fleet.processes.push(Process {
             name: name.to_owned(),
             pid,
-            ours,
+            is_router,
             admin: None,
             _child: child,
         });
@@ -335,8 +335,8 @@
     out
 }
 
-/// The metrics of a process whose name contains `bytes`, by name and labels; empty if they cannot be
-/// fetched.
+/// The metrics of a process whose name contains `bytes`, by name and labels; empty if they cannot
+/// be fetched.
 pub async fn byte_counters(admin: Option<SocketAddr>) -> BTreeMap<String, f64> {
     let Some(at) = admin else {
         return BTreeMap::new();
--- a/crates/standin/src/load/generate.rs
+++ b/crates/standin/src/load/generate.rs
@@ -1,9 +1,9 @@
 //! Generated traffic that resembles that of the router's two users, deterministic for a seed.
 //!
 //! Prompts have nested prefixes: a system text, a long document, a section of the document, then a
-//! tail that no other request shares. The popularity of documents follows Zipf's law, and the popular
-//! ones change every few seconds. Arrivals are a Poisson process with bursts. Two of the eight teams
-//! send most of the traffic.
+//! tail that no other request shares. The popularity of documents follows Zipf's law, and the
+//! popular ones change every few seconds. Arrivals are a Poisson process with bursts. Two of the
+//! eight teams send most of the traffic.
 
 use std::str::FromStr;
 
@@ -18,7 +18,8 @@
 pub enum Workload {
     /// Short answers for a waiting respondent; many codebooks of a few thousand tokens.
     Association,
-    /// Few but expensive requests about long regulation texts, and reports for which no caller waits.
+    /// Few but expensive requests about long regulation texts, and reports for which no caller
+    /// waits.
     Alpen,
     /// Tiny prompts at an even rate, to measure the latency between caller and engine.
     Hops,
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! [`trace`] reads arrivals and [`generate`] generates them; [`fleet`] starts the processes;
 //! [`drive`] sends each request at its scheduled time, whether or not earlier ones were answered;
-//! [`reuse`] computes from the engines' logs which prompt tokens were reused and which were computed
-//! although another engine had them cached; [`usage`] reads the resource usage of the processes;
-//! [`report`] combines all figures of a run.
+//! [`reuse`] computes from the engines' logs which prompt tokens were reused and which were
+//! computed although another engine had them cached; [`usage`] reads the resource usage of the
+//! processes; [`report`] combines all figures of a run.
 
 pub mod drive;
 pub mod fleet;
--- a/crates/standin/src/load/reuse.rs
+++ b/crates/standin/src/load/reuse.rs
@@ -1,9 +1,9 @@
 //! Reuse of cached prompt tokens, computed from the engines' logs.
 //!
-//! The cache changes of all engines are replayed in order of time. When a request searched the cache
-//! of its engine, the leading blocks that another single engine held at that moment, but its own did
-//! not, are counted as wasted: routing to that engine would have reused them. The oracle is a cache
-//! that holds the blocks of all live engines at that moment.
+//! The cache changes of all engines are replayed in order of time. When a request searched the
+//! cache of its engine, the leading blocks that another single engine held at that moment, but its
+//! own did not, are counted as wasted: routing to that engine would have reused them. The oracle is
+//! a cache that holds the blocks of all live engines at that moment.
 
 use std::collections::{HashMap, HashSet};
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -2,8 +2,8 @@
 //!
 //! The calls are those of the `store` package. A transaction with several writes takes effect as
 //! a whole or not at all and counts as one write. `POST /faults` sets the injected faults and
-//! `GET /counts` returns the call counters. Calls beyond the budget of reads or writes per second are
-//! answered with 503 and `Retry-After`, without effect.
+//! `GET /counts` returns the call counters. Calls beyond the budget of reads or writes per second
+//! are answered with 503 and `Retry-After`, without effect.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,7 +16,8 @@
 use crate::delayed_value::DelayedValue;
 use crate::{lock, reply};
 
-/// Injected faults of the platform. `POST /faults` resets the fields that it omits to their defaults.
+/// Injected faults of the platform. `POST /faults` resets the fields that it omits to their
+/// defaults.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,5 @@
-//! A plain service with repeatable calls (quota checks) and calls that must run only once (records).
+//! A plain service with repeatable calls (quota checks) and calls that must run only once
+//! (records).
 //!
 //! | call | answer |
 //! | --- | --- |
@@ -19,7 +20,8 @@
 
 use crate::{lock, micros, reply};
 
-/// Injected faults of the service. `POST /faults` resets the fields that it omits to their defaults.
+/// Injected faults of the service. `POST /faults` resets the fields that it omits to their
+/// defaults.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
--- a/crates/standin/src/switch.rs
+++ b/crates/standin/src/switch.rs
@@ -1,9 +1,9 @@
 //! A simulated network switch between processes of the router: it loses, delays and reorders
 //! datagrams.
 //!
-//! Each process has an address at the switch. A datagram to that address is forwarded to the process
-//! from the sender's address at the switch, so that answers pass through the switch as well.
-//! TCP connections to the address are forwarded without faults.
+//! Each process has an address at the switch. A datagram to that address is forwarded to the
+//! process from the sender's address at the switch, so that answers pass through the switch as
+//! well. TCP connections to the address are forwarded without faults.
 
 use std::collections::HashMap;
 use std::io;
@@ -28,7 +28,8 @@
 pub struct Conditions {
     /// Fraction of the datagrams that is lost.
     pub loss: f64,
-    /// Longest delay. Each datagram has a random delay up to this one, so that some overtake others.
+    /// Longest delay. Each datagram has a random delay up to this one, so that some overtake
+    /// others.
     pub delay: Duration,
 }
 
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -315,8 +315,8 @@
     }
 }
 
-/// An engine reports its load with a delay. A router that relies on the figure sends a whole burst to
-/// the engine that was idle a moment ago.
+/// An engine reports its load with a delay. A router that relies on the figure sends a whole burst
+/// to the engine that was idle a moment ago.
 #[tokio::test]
 async fn load_is_reported_late() {
     struct Case {
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -215,8 +215,8 @@
             wasted: 1,
             oracle: 2,
         },
-        // Not wasted: stored too late, removed before, cleared with all others, or the first block is
-        // missing.
+        // Not wasted: stored too late, removed before, cleared with all others, or the first block
+        // is missing.
         Case {
             other: &[(11, Some(0), true)],
             cached: 0,
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -125,8 +125,8 @@
     assert_matches!(platform.counts().seconds.as_slice(), [.., s] if s.writes == 1);
 }
 
-/// A host leaves, and the list of the platform shows it only later; in the meantime callers are sent
-/// to a host that has left.
+/// A host leaves, and the list of the platform shows it only later; in the meantime callers are
+/// sent to a host that has left.
 #[tokio::test]
 async fn changes_of_the_host_list_are_shown_late() {
     let platform = Platform::new();
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -9,8 +9,8 @@
 
 use common::{eventually, serve};
 
-/// A service hangs before or after it has run a call. The caller can't distinguish the two; only the
-/// log of the service shows whether the record was created.
+/// A service hangs before or after it has run a call. The caller can't distinguish the two; only
+/// the log of the service shows whether the record was created.
 #[tokio::test]
 async fn call_hangs_before_or_after_it_ran() {
     struct Case {
