--- a/crates/standin/src/engine/feed.rs
+++ b/crates/standin/src/engine/feed.rs
@@ -67,7 +67,7 @@
 }
 
 impl Feed {
-    /// Publishes events; one in `how.lose` is lost but still uses up a sequence number.
+    /// Publishes events; one in `how.lose` is lost, but still uses up a sequence number.
     pub(super) fn publish(&self, how: Publishing, events: Vec<Event>) {
         let due = Instant::now() + how.lag;
         let at = micros();
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -71,14 +71,14 @@
         }
         let prompt = export.texts.concat();
         let chain = chain(&export.scope, prompt.as_bytes());
-        let piece = BlockRange {
+        let range = BlockRange {
             scope: &export.scope,
             prompt: prompt.as_bytes(),
             chain: &chain,
             from: 0,
             to: chain.len(),
         };
-        self.with_cache(|c, out| c.store(Instant::now(), &piece, out));
+        self.with_cache(|c, out| c.store(Instant::now(), &range, out));
         reply::json(StatusCode::OK, &json!({"blocks": chain.len()}))
     }
 }
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -154,7 +154,7 @@
             let to = chain.len().min(from + self.settings.prefill_chunk.max(1));
             let time = self.settings.prefill_per_block * (to - from) as u32;
             sleep_until_due(Instant::now() + self.faults.slowed(time)).await;
-            let piece = BlockRange {
+            let range = BlockRange {
                 scope: &job.request.cache_salt,
                 prompt,
                 chain: &chain,
@@ -164,7 +164,7 @@
             self.with_cache(|c, out| {
                 // Once other weights are loaded, blocks of the old ones would lead to wrong tokens.
                 if *self.cuts.borrow() == job.cuts {
-                    c.store(std::time::Instant::now(), &piece, out);
+                    c.store(std::time::Instant::now(), &range, out);
                 }
             });
             from = to;
