--- a/crates/daemon/tests/alive.rs
+++ b/crates/daemon/tests/alive.rs
@@ -35,7 +35,7 @@
 /// An engine that takes 50 ms per token.
 fn slow() -> Settings {
     Settings {
-        decode: Duration::from_millis(50),
+        decode_per_token: Duration::from_millis(50),
         ..quick()
     }
 }
@@ -62,7 +62,7 @@
     let run = |case: Case| {
         let fleet = Fleet::start(1, 1, &slow());
         let engine = &fleet.replicas[0].engine;
-        engine.misbehave(late_health_checks());
+        engine.set_faults(late_health_checks());
         let body = completion(case.what, TOKENS, case.stream);
         let answer = fleet.caller(0).post("/v1/completions", &body);
         let text = answer.text();
@@ -71,7 +71,7 @@
             assert!(answer.is_complete_stream(), "{text}");
             assert_eq!(answer.words(), words(case.what, TOKENS));
         }
-        let ran = engine.ran();
+        let ran = engine.run_log();
         assert_eq!(ran.len(), 1, "{}: {ran:?}", case.what);
     };
     std::thread::scope(|s| {
@@ -88,7 +88,7 @@
     let fleet = Fleet::start(1, 3, &slow());
     let engines: Vec<_> = fleet.replicas.iter().map(|r| &r.engine).collect();
     for e in &engines {
-        e.misbehave(Faults {
+        e.set_faults(Faults {
             drop: 1,
             after: TOKENS_BEFORE_CLOSE,
             ..Faults::default()
@@ -103,7 +103,7 @@
         let next = || (0..3).find(|n| engines[*n].running() > 0 && !closed.contains(n));
         wait_for("an engine to run the request", || next().is_some());
         let n = next().expect("waited for");
-        engines[n].misbehave(late_health_checks());
+        engines[n].set_faults(late_health_checks());
         closed.push(n);
     }
     let answer = stream.end();
--- a/crates/daemon/tests/cache.rs
+++ b/crates/daemon/tests/cache.rs
@@ -54,7 +54,7 @@
     let answer = fleet.caller(0).post("/v1/completions", &body);
     assert!(answer.is_complete_stream(), "{}", answer.text());
     assert_eq!(answer.words(), words(&prompt, 4));
-    assert_eq!(fleet.replicas[0].engine.ran()[0].cached, 0);
+    assert_eq!(fleet.replicas[0].engine.run_log()[0].cached, 0);
 }
 
 /// Guards against a team that sends another team's prompt and sets the fields that select a cache:
@@ -81,7 +81,7 @@
     assert!(cached(&again.json()) > 0, "the team's own blocks are used");
     assert_eq!(cached(&other.json()), 0, "another team's blocks were used");
 
-    let ran = fleet.replicas[0].engine.ran();
+    let ran = fleet.replicas[0].engine.run_log();
     let forged = ran.last().expect("the forged request");
     assert_eq!((forged.priority, forged.resumed, forged.tokens), (1, 0, 4));
     // The forged request uses only the blocks of its own team's earlier request.
@@ -107,7 +107,7 @@
 #[test]
 fn switching_weights_ends_no_stream_and_leaves_no_older_blocks() {
     let set = Settings {
-        loading: Duration::from_millis(600),
+        load_time: Duration::from_millis(600),
         ..quick()
     };
     let fleet = Fleet::start(1, 2, &set);
@@ -150,8 +150,8 @@
 fn late_and_lost_events_leave_no_evicted_block_reported() {
     let set = Settings {
         blocks: 100,
-        lag: Duration::from_millis(150),
-        lose: 3,
+        event_lag: Duration::from_millis(150),
+        lose_every: 3,
         reorder: true,
         ..quick()
     };
--- a/crates/daemon/tests/caller.rs
+++ b/crates/daemon/tests/caller.rs
@@ -54,7 +54,7 @@
 #[test]
 fn late_answers_of_abandoned_attempts_reach_no_other_caller() {
     let set = Settings {
-        decode: Duration::from_millis(5),
+        decode_per_token: Duration::from_millis(5),
         ..quick()
     };
     let fleet = Fleet::start(1, 1, &set);
@@ -100,7 +100,7 @@
     wait_for("the engine to end the abandoned requests", || {
         fleet.replicas[0].engine.running() == 0
     });
-    let runs = fleet.replicas[0].engine.ran();
+    let runs = fleet.replicas[0].engine.run_log();
     assert!(runs.iter().any(|r| !r.whole), "nothing was abandoned");
 }
 
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -23,7 +23,7 @@
 
 use serde_json::Value;
 use standin::engine::{Engine, Settings};
-use standin::gate::Gate;
+use standin::freeze::FreezeSwitch;
 use standin::platform::Platform;
 use standin::service::Service;
 use tokio::net::TcpSocket;
@@ -61,7 +61,11 @@
     }
 
     /// Starts a stand-in whose open connections can be frozen.
-    pub fn start_freezable(at: SocketAddr, router: Router, freeze_switch: Arc<Gate>) -> Self {
+    pub fn start_freezable(
+        at: SocketAddr,
+        router: Router,
+        freeze_switch: Arc<FreezeSwitch>,
+    ) -> Self {
         let run = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
@@ -70,7 +74,7 @@
         let port = reserve_port(at);
         let at = port.local_addr().expect("address");
         let (at, server) = run
-            .block_on(standin::listen_gated(at, router, freeze_switch))
+            .block_on(standin::listen_freezable(at, router, freeze_switch))
             .expect("listen");
         run.spawn(server);
         Self {
@@ -129,7 +133,7 @@
     /// Ids of the requests that the engine ran, including those before its restarts.
     pub fn requests(&self) -> impl Iterator<Item = String> + '_ {
         let all = self.earlier_engines.iter().chain([&self.engine]);
-        all.flat_map(|e| e.ran()).map(|r| r.request)
+        all.flat_map(|e| e.run_log()).map(|r| r.request)
     }
 }
 
@@ -151,9 +155,9 @@
 pub fn quick() -> Settings {
     Settings {
         weights: "1".to_owned(),
-        decode: Duration::from_millis(2),
-        prefill: Duration::from_micros(100),
-        lag: Duration::from_millis(10),
+        decode_per_token: Duration::from_millis(2),
+        prefill_per_block: Duration::from_micros(100),
+        event_lag: Duration::from_millis(10),
         ..Settings::default()
     }
 }
@@ -209,7 +213,7 @@
     /// Adds an engine whose sidecar is reached through a proxy that can cut connections.
     pub fn add_replica_behind_proxy(&mut self, set: &Settings, plan: &Arc<CutPlan>) {
         let engine = Engine::new(set.clone());
-        let standin = StandIn::start_freezable(any_port(), engine.router(), engine.gate());
+        let standin = StandIn::start_freezable(any_port(), engine.router(), engine.freeze_switch());
         let proxy = CutProxy::start(plan);
         let target = format!("http://{}", standin.at);
         #[rustfmt::skip]
@@ -230,7 +234,7 @@
 
     /// Adds an engine with a router that may differ from the engine's own, and its sidecar.
     pub fn add_target(&mut self, engine: Arc<Engine>, router: Router) {
-        let standin = StandIn::start_freezable(any_port(), router, engine.gate());
+        let standin = StandIn::start_freezable(any_port(), router, engine.freeze_switch());
         let (url, seed) = (self.url(), self.seed());
         let sidecar = Child::sidecar(&url, &seed, standin.at, "lekha-llm", "model");
         self.replicas.push(Replica {
@@ -248,7 +252,8 @@
         r.standin.kill();
         let earlier = std::mem::replace(&mut r.engine, Engine::new(set.clone()));
         r.earlier_engines.push(earlier);
-        r.standin = StandIn::start_freezable(r.standin.at, r.engine.router(), r.engine.gate());
+        r.standin =
+            StandIn::start_freezable(r.standin.at, r.engine.router(), r.engine.freeze_switch());
     }
 
     /// The offer with which a replica's sidecar answers a probe for a prompt.
@@ -364,6 +369,6 @@
 /// The words that an engine answers to a prompt.
 pub fn words(prompt: &str, tokens: usize) -> Vec<String> {
     (0..tokens)
-        .map(|i| standin::engine::word(prompt, i))
+        .map(|i| standin::engine::answer_token(prompt, i))
         .collect()
 }
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -105,7 +105,7 @@
         lose: 1,
         ..Faults::default()
     };
-    fleet.platform.misbehave(lose);
+    fleet.platform.set_faults(lose);
     let first = change(&fleet, 0, Some(base), "once");
     assert_eq!(accepted_version(&first), base + 1);
     let again = change(&fleet, 1, Some(base), "once");
@@ -138,7 +138,7 @@
         outage: true,
         ..Faults::default()
     };
-    fleet.platform.misbehave(outage);
+    fleet.platform.set_faults(outage);
     fleet.entries[2].signal("CONT");
     fleet.fieldops.signal("CONT");
     let mut seen = base;
@@ -333,13 +333,13 @@
         ..Faults::default()
     };
     for unavailable in [faults(true, false), faults(false, true)] {
-        fleet.platform.misbehave(unavailable.clone());
+        fleet.platform.set_faults(unavailable.clone());
         let down = change(&fleet, 0, Some(base), "never");
         assert_eq!(down.status, 503, "{unavailable:?}: {}", down.text());
         assert_eq!(down.code(), "platform_down");
         assert_eq!(in_force(&fleet, 0), (base, base_text.clone()));
     }
-    fleet.platform.misbehave(Faults::default());
+    fleet.platform.set_faults(Faults::default());
     assert_eq!(config_row(&fleet)["version"], base);
     assert_eq!(
         accepted_version(&change(&fleet, 0, Some(base), "now")),
--- a/crates/daemon/tests/frames.rs
+++ b/crates/daemon/tests/frames.rs
@@ -405,7 +405,7 @@
     assert_eq!(counter(&fleet.entries[0], refused), 1.0);
     let refused = "clementinestep_requests_total{code=\"bad_request\"}";
     assert!(counter(&fleet.entries[0], refused) >= 2.0);
-    assert!(fleet.replicas[0].engine.ran().iter().all(|r| r.whole));
+    assert!(fleet.replicas[0].engine.run_log().iter().all(|r| r.whole));
 }
 
 /// Guards against a crash by invalid input at the admin ports, and against a call without the
--- a/crates/daemon/tests/hosted/answers.rs
+++ b/crates/daemon/tests/hosted/answers.rs
@@ -26,7 +26,7 @@
         let engines = ["e1", "e2"].map(|id| Replica::new(id, events, EVENT_INTERVAL));
         let plain = ["p1", "p2"].map(|id| Replica::new(id, 0, EVENT_INTERVAL));
         for r in &engines {
-            r.load(MODEL, 1);
+            r.set_version(MODEL, 1);
             platform.replica(r, "engines").await;
         }
         for r in &plain {
@@ -44,7 +44,7 @@
     /// Number of times that a request with an id ran on any replica.
     fn runs(&self, id: &str) -> usize {
         let all = self.engines.iter().chain(&self.plain);
-        let seen = all.flat_map(|r| r.seen());
+        let seen = all.flat_map(|r| r.requests());
         seen.filter(|s| s.id == id && s.ran).count()
     }
 }
@@ -94,7 +94,7 @@
         assert!(answer.headers.contains_key("response-signature"));
         assert_eq!(fleet.runs(case.path), 1);
     }
-    let seen = fleet.engines.iter().flat_map(|r| r.seen());
+    let seen = fleet.engines.iter().flat_map(|r| r.requests());
     for s in seen {
         let text = |n: &str| {
             s.headers
@@ -125,12 +125,12 @@
     // Only the first replica that gets the next request has a fault.
     fleet.engines.iter().for_each(|r| r.set_fault(Fault::None));
     Replica::set_first_fault(&fleet.engines, Fault::Cut);
-    let response = request(&fleet.entry, "/probe/1", "resumed").open().await;
+    let response = request(&fleet.entry, "/probe/1", "resumed").send().await;
     let body = response.expect("an answer").into_body();
     let whole = tokio::time::timeout(TIMEOUT, body.collect()).await;
     let whole = whole.expect("an end").expect("a whole answer").to_bytes();
     assert_eq!(whole, events(1..=6));
-    let seen: Vec<_> = fleet.engines.iter().flat_map(|r| r.seen()).collect();
+    let seen: Vec<_> = fleet.engines.iter().flat_map(|r| r.requests()).collect();
     let resumed = seen
         .iter()
         .find(|s| s.headers.contains_key("last-event-id"));
@@ -167,12 +167,12 @@
     for c in cases {
         let mut platform = Platform::start().await;
         let slow = Replica::new("e1", 3, Duration::from_millis(900));
-        slow.load(MODEL, 1);
+        slow.set_version(MODEL, 1);
         platform.replica(&slow, "engines").await;
         let entry = platform.entry("front-1", 1).await;
-        let answer = request(&entry, "/probe/1", "silent-1").open().await;
+        let answer = request(&entry, "/probe/1", "silent-1").send().await;
         let other = Replica::new("e2", 3, EVENT_INTERVAL);
-        other.load(MODEL, 1);
+        other.set_version(MODEL, 1);
         other.set_fault(c.other);
         platform.replica(&other, "engines").await;
         let is_second = |e: &serde_json::Value| e["target"] == "e2";
@@ -181,7 +181,7 @@
         let whole = tokio::time::timeout(TIMEOUT, body.collect()).await;
         let whole = whole.expect("an end").map(|b| b.to_bytes());
         assert_eq!(whole.ok(), Some(events(1..=3)), "{}", c.name);
-        let seen = slow.seen().into_iter().chain(other.seen());
+        let seen = slow.requests().into_iter().chain(other.requests());
         let runs = seen.filter(|s| s.ran).count();
         assert_eq!(runs, c.runs, "{}", c.name);
     }
@@ -193,7 +193,7 @@
     // event. The caller must get the rest from another replica.
     let fleet = Fleet::start(6).await;
     Replica::set_first_fault(&fleet.engines, Fault::Short);
-    let response = request(&fleet.entry, "/probe/1", "short").open().await;
+    let response = request(&fleet.entry, "/probe/1", "short").send().await;
     let body = response.expect("an answer").into_body();
     let whole = tokio::time::timeout(TIMEOUT, body.collect()).await;
     let whole = whole.expect("an end").expect("a whole answer").to_bytes();
@@ -305,13 +305,13 @@
     // A caller disconnects while its replica still works. Unless the replica's connection is closed
     // too, it goes on with an answer that no caller reads.
     let fleet = Fleet::start(1_000_000).await;
-    let call = request(&fleet.entry, "/code/1", "left").open().await;
+    let call = request(&fleet.entry, "/code/1", "left").send().await;
     let response = call.expect("the head of an answer");
     drop(response);
     let disconnected = async {
         tokio::select! {
-            () = fleet.engines[0].caller_left() => {}
-            () = fleet.engines[1].caller_left() => {}
+            () = fleet.engines[0].wait_abandoned() => {}
+            () = fleet.engines[1].wait_abandoned() => {}
         }
     };
     let result = tokio::time::timeout(Duration::from_millis(500), disconnected).await;
@@ -334,7 +334,7 @@
         assert_eq!(answer.status, 200, "{id}: {tried:?}");
         assert_eq!(fleet.runs(&id), 1, "{id}");
     }
-    assert!(stranger.seen().is_empty());
+    assert!(stranger.requests().is_empty());
 }
 
 #[tokio::test]
@@ -347,7 +347,7 @@
     let deadline = call.headers.iter_mut().find(|(n, _)| *n == "deadline-ms");
     deadline.expect("a deadline").1 = "600".to_owned();
     let started = std::time::Instant::now();
-    let (status, _) = tokio::time::timeout(TIMEOUT, call.whole())
+    let (status, _) = tokio::time::timeout(TIMEOUT, call.fetch())
         .await
         .expect("an end")
         .expect("an answer");
--- a/crates/daemon/tests/hosted/callers.rs
+++ b/crates/daemon/tests/hosted/callers.rs
@@ -21,7 +21,7 @@
 ) -> (Platform, std::sync::Arc<Replica>, Entry) {
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", events, event_interval);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     platform.replica(&engine, "engines").await;
     let plain = Replica::new("p1", 0, event_interval);
     platform.replica(&plain, "plain").await;
@@ -109,7 +109,7 @@
         let answer = send_raw(&entry, case.sent.as_bytes()).await;
         assert!(answer.starts_with(case.status), "{}: {answer:?}", case.name);
     }
-    let seen: Vec<_> = plain.seen().into_iter().map(|s| s.path).collect();
+    let seen: Vec<_> = plain.requests().into_iter().map(|s| s.path).collect();
     assert!(!seen.iter().any(|p| p == "/log/hidden"), "{seen:?}");
     assert!(!seen.iter().any(|p| p == "/log/1"), "{seen:?}");
 }
@@ -132,8 +132,8 @@
         call.headers.push((name, "forged".to_owned()));
     }
     call.headers.push(("x-own", "kept".to_owned()));
-    call.whole().await.expect("an answer");
-    let seen = plain.seen();
+    call.fetch().await.expect("an answer");
+    let seen = plain.requests();
     let headers = &seen[0].headers;
     assert!(!headers.values().any(|v| v == "forged"), "{headers:?}");
     assert_eq!(headers["tenant"], "north");
@@ -150,7 +150,7 @@
         .expect("a connection");
     let (mut keep_alive, conn) = handshake(TokioIo::new(tcp)).await.expect("HTTP");
     tokio::spawn(conn);
-    let stream = request(&entry, "/code/1", "long").open().await;
+    let stream = request(&entry, "/code/1", "long").send().await;
     let stream = stream.expect("the head of an answer");
     entry.process.signal("TERM");
     entry.process.wait_for_event("stopping", |_| true).await;
--- a/crates/daemon/tests/hosted/fatal.rs
+++ b/crates/daemon/tests/hosted/fatal.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use standin::hosted::replica::Replica;
-use standin::switch::{Path, Switch};
+use standin::switch::{Conditions, Switch};
 use tokio::time::sleep;
 
 use crate::fleet::{fetch, Entry, Platform, MODEL};
@@ -36,8 +36,8 @@
         let mut engines = Vec::new();
         for id in ["e1", "e2", "e3", "e4"] {
             let engine = Replica::new(id, 4, EVENT_INTERVAL);
-            engine.load(MODEL, 1);
-            engine.set_fatal(CRASHING_PATH);
+            engine.set_version(MODEL, 1);
+            engine.set_crash_path(CRASHING_PATH);
             let at = platform.replica(&engine, "engines").await;
             engines.push((engine, at, 1));
         }
@@ -59,7 +59,7 @@
 
     /// Number of times that a request to a path ran on any engine.
     fn runs(&self, path: &str) -> usize {
-        let all = self.engines.iter().flat_map(|(e, _, _)| e.seen());
+        let all = self.engines.iter().flat_map(|(e, _, _)| e.requests());
         all.filter(|s| s.path == path && s.ran).count()
     }
 
@@ -86,7 +86,7 @@
 
 /// Number of runs of the crashing request on an engine.
 fn crashing_runs(engine: &Replica) -> usize {
-    let seen = engine.seen();
+    let seen = engine.requests();
     seen.iter()
         .filter(|s| s.path == CRASHING_PATH && s.ran)
         .count()
@@ -152,7 +152,7 @@
         e.process.wait_for_event("suspected", is_suspect).await;
     }
     for (engine, _, _) in &fleet.engines {
-        engine.set_fatal("/none");
+        engine.set_crash_path("/none");
     }
     let served = fetch(&fleet.entries[1], CRASHING_PATH, "f2").await;
     assert_eq!(served.expect("an answer").status, 200);
@@ -170,7 +170,7 @@
     let switch = Switch::new(0);
     platform.store.set_switch(Arc::clone(&switch));
     let mut fleet = Fleet::start_on(platform).await;
-    switch.set(Path {
+    switch.set_conditions(Conditions {
         loss: 1.0,
         delay: Duration::ZERO,
     });
@@ -183,7 +183,7 @@
         .wait_for_event("suspected", is_own)
         .await;
     sleep(LOSS_DURATION).await;
-    switch.set(Path::GOOD);
+    switch.set_conditions(Conditions::IDEAL);
     let is_from_peer = |s: &serde_json::Value| s["source"] == "peer";
     fleet.entries[1]
         .process
--- a/crates/daemon/tests/hosted/fleet.rs
+++ b/crates/daemon/tests/hosted/fleet.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use standin::call::{Call, CallError};
 use standin::hosted::replica::Replica;
-use standin::hosted::rows::Store;
+use standin::hosted::row_store::Store;
 use standin::hosted::sample::{self, settings};
 pub use standin::hosted::sample::{config, HOST, KEY, MODEL};
 use tokio::task::JoinSet;
@@ -309,7 +309,7 @@
 /// Sends a request to an address and collects its answer; a truncated answer is an error.
 pub async fn fetch_from(at: SocketAddr, path: &str, id: &str) -> Result<Answer, CallError> {
     let exchange = async {
-        let response = request_to(at, path, id).open().await?;
+        let response = request_to(at, path, id).send().await?;
         let status = response.status().as_u16();
         let headers = response.headers().clone();
         let body = response.into_body().collect().await?.to_bytes();
@@ -329,7 +329,7 @@
 
 /// Status of the readiness check at an address, or 0 if the check fails.
 pub async fn ready_at(at: SocketAddr) -> u16 {
-    match Call::get(at, "/api/ready").whole().await {
+    match Call::get(at, "/api/ready").fetch().await {
         Ok((status, _)) => status.as_u16(),
         Err(_) => 0,
     }
--- a/crates/daemon/tests/hosted/held.rs
+++ b/crates/daemon/tests/hosted/held.rs
@@ -7,7 +7,7 @@
 
 use gate::update::{self, Update};
 use standin::call::Call;
-use standin::hosted::cache::Cache;
+use standin::hosted::prompt_cache::PromptCache;
 use standin::hosted::replica::Replica;
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
@@ -30,10 +30,10 @@
 }
 
 impl UpdateClient {
-    async fn start(fill: impl FnOnce(&mut Cache)) -> Self {
+    async fn start(fill: impl FnOnce(&mut PromptCache)) -> Self {
         let mut platform = Platform::start().await;
         let engine = Replica::new("e1", 2, Duration::ZERO);
-        engine.load(MODEL, 1);
+        engine.set_version(MODEL, 1);
         engine.with_cache(fill);
         let at = platform.replica(&engine, "engines").await;
         let process = platform.sidecar("side-1", at);
@@ -102,7 +102,7 @@
     client.engine.with_cache(|c| {
         c.store(SCOPE, "b2", 0);
         c.store(SCOPE, "c3", 10);
-        c.forget();
+        c.drop_changes();
         c.store(SCOPE, "d4", 40);
     });
     client
@@ -113,7 +113,7 @@
     client
         .expect_held(&[("a1", 20), ("c3", 10), ("d4", 40), ("e5", 50)])
         .await;
-    assert_eq!(client.engine.with_cache(|c| c.listed()), 1);
+    assert_eq!(client.engine.with_cache(|c| c.list_reads()), 1);
 }
 
 #[tokio::test]
@@ -123,7 +123,7 @@
     let client = UpdateClient::start(|c| {
         c.store(SCOPE, "a1", 20);
         c.store(SCOPE, "b2", 30);
-        c.forget();
+        c.drop_changes();
         c.store(SCOPE, "c3", 10);
     })
     .await;
@@ -152,13 +152,13 @@
     // If an engine with the older weights fetches these parts, the answer mixes two versions.
     let mut platform = Platform::start().await;
     let newer = Replica::new("e1", 2, Duration::ZERO);
-    newer.load(MODEL, 2);
+    newer.set_version(MODEL, 2);
     newer.with_cache(|c| {
         c.store(SCOPE, "a1", LARGE_TOKENS);
         c.store("lekha.2", "d4", LARGE_TOKENS);
     });
     let older = Replica::new("e2", 2, Duration::ZERO);
-    older.load(MODEL, 1);
+    older.set_version(MODEL, 1);
     let at = platform.replica(&newer, "engines").await;
     platform.replica(&older, "engines").await;
     let sidecar = platform.sidecar("side-1", at);
@@ -177,7 +177,7 @@
                 &format!("known-{n}"),
                 &format!("d4:{LARGE_TOKENS},{n:x}:10"),
             );
-            call.open().await.expect("an answer");
+            call.send().await.expect("an answer");
         }
     };
     timeout(TIMEOUT, report)
@@ -185,11 +185,11 @@
         .expect("the parts are reported");
     let served = async {
         let mut n = 0;
-        while !older.seen().iter().any(|s| s.ran) {
+        while !older.requests().iter().any(|s| s.ran) {
             n += 1;
             let parts = format!("a1:{LARGE_TOKENS},{n:x}:10");
             let call = prompt_request(&entry, &format!("other-{n}"), &parts);
-            let answer = call.open().await.expect("an answer");
+            let answer = call.send().await.expect("an answer");
             assert_eq!(answer.status(), 200);
         }
     };
@@ -197,7 +197,7 @@
         .await
         .expect("a request at the engine with older weights");
     let fetched: Vec<_> = older
-        .seen()
+        .requests()
         .iter()
         .filter_map(|s| s.headers.get("kv-fetch").cloned())
         .collect();
--- a/crates/daemon/tests/hosted/losses.rs
+++ b/crates/daemon/tests/hosted/losses.rs
@@ -5,7 +5,7 @@
 
 use futures::future::join_all;
 use standin::hosted::replica::Replica;
-use standin::switch::{Path, Switch};
+use standin::switch::{Conditions, Switch};
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::fleet::{fetch, Platform};
@@ -56,7 +56,7 @@
     }
     // Within a few reads the entries agree on which of them read the list.
     sleep(REROUTE_TIMEOUT).await;
-    switch.set(Path {
+    switch.set_conditions(Conditions {
         loss: 1.0,
         delay: Duration::ZERO,
     });
@@ -72,7 +72,7 @@
             let id = format!("left-{n}-{attempt}");
             let answer = fetch(e, "/log/1", &id).await;
             assert_eq!(answer.expect("an answer").status, 200);
-            let reached = replicas[1].seen().iter().any(|s| s.id == id);
+            let reached = replicas[1].requests().iter().any(|s| s.id == id);
             let (loss_before, draining) = (c.loss_before, c.draining);
             assert!(
                 !reached,
--- a/crates/daemon/tests/hosted/pool.rs
+++ b/crates/daemon/tests/hosted/pool.rs
@@ -43,8 +43,8 @@
         let engines = ["e1", "e2", "e3"].map(|id| Replica::new(id, 2, Duration::ZERO));
         let (mut sidecars, mut addrs) = (Vec::new(), Vec::new());
         for e in &engines {
-            e.load(MODEL, 1);
-            e.set_load(LOAD_TIME);
+            e.set_version(MODEL, 1);
+            e.set_load_time(LOAD_TIME);
             let at = platform.replica(e, "engines").await;
             sidecars.push(platform.sidecar(&format!("side-{}", e.id), at));
             addrs.push(at);
@@ -123,9 +123,9 @@
         let count_at = |at| {
             loads
                 .iter()
-                .filter(|l| l.begun <= at && at < l.ends)
+                .filter(|l| l.started <= at && at < l.ends)
                 .count()
         };
-        loads.iter().map(|l| count_at(l.begun)).max().unwrap_or(0)
+        loads.iter().map(|l| count_at(l.started)).max().unwrap_or(0)
     }
 }
--- a/crates/daemon/tests/hosted/restore.rs
+++ b/crates/daemon/tests/hosted/restore.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use serde_json::json;
 use standin::hosted::replica::Replica;
-use standin::hosted::rows::{Copy, Fault, Named, Store};
+use standin::hosted::row_store::{EraHeader, Fault, Snapshot, Store};
 use tokio::time::{sleep, timeout};
 
 use crate::fleet::{config, fetch, Entry, Platform, MODEL, TIMEOUT};
@@ -82,7 +82,7 @@
 async fn check_revoked_key(mode: RestoreMode) {
     let (platform, _plain, entry) = fleet().await;
     let store = &platform.store;
-    let snapshot = store.copy();
+    let snapshot = store.snapshot();
     for version in 2..=10 {
         store.write("op", "config", &config(version));
     }
@@ -102,12 +102,12 @@
     store.write("op", "config", &revoked_config(11));
     if matches!(mode, RestoreMode::MissingEra | RestoreMode::MalformedEra) {
         sleep(Duration::from_millis(300)).await;
-        store.set_named(Named::True);
+        store.set_era_header(EraHeader::Current);
     }
     check_key_is_refused(&entry, &format!("{mode:?}")).await;
 }
 
-async fn restore(store: &Store, snapshot: &Copy, mode: RestoreMode) {
+async fn restore(store: &Store, snapshot: &Snapshot, mode: RestoreMode) {
     match mode {
         RestoreMode::Immediate | RestoreMode::Overtaken => store.restore(snapshot),
         RestoreMode::Outage => {
@@ -122,11 +122,11 @@
             store.restore(snapshot);
         }
         RestoreMode::MissingEra => {
-            store.set_named(Named::Nothing);
+            store.set_era_header(EraHeader::Missing);
             store.restore(snapshot);
         }
         RestoreMode::MalformedEra => {
-            store.set_named(Named::Text("second"));
+            store.set_era_header(EraHeader::Value("second"));
             store.restore(snapshot);
         }
     }
@@ -166,7 +166,7 @@
         .wait_for_event("members", |e| e["entries"] == 1)
         .await;
     second.set_fault(Fault::Busy);
-    let snapshot = platform.store.copy();
+    let snapshot = platform.store.snapshot();
     platform.store.restore(&snapshot);
     platform.store.write("op", "config", &revoked_config(10));
     check_key_is_refused(&near, "near").await;
@@ -185,10 +185,10 @@
     let mut platform = Platform::start().await;
     let plain = Replica::new("p1", 0, Duration::ZERO);
     platform.replica(&plain, "plain").await;
-    let snapshot = platform.store.copy();
+    let snapshot = platform.store.snapshot();
     let first = platform.entry("front-1", 1).await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     let side = platform.sidecar("side-1", at);
     side.wait_for_event("members", |e| e["entries"] == 1).await;
@@ -219,7 +219,7 @@
 #[tokio::test]
 async fn restore_neither_brings_back_targets_that_left_nor_drops_those_that_joined() {
     let (mut platform, left, entry) = fleet().await;
-    let snapshot = platform.store.copy();
+    let snapshot = platform.store.snapshot();
     let joined = Replica::new("p2", 0, Duration::ZERO);
     platform.replica(&joined, "plain").await;
     let is_ready = |e: &serde_json::Value| e["target"] == "p2" && e["state"] == "ready";
@@ -227,7 +227,7 @@
     platform.store.remove("servers", "p1");
     let is_gone = |e: &serde_json::Value| e["target"] == "p1" && e["state"] == "gone";
     entry.process.wait_for_event("target", is_gone).await;
-    let requests_before = left.seen().len();
+    let requests_before = left.requests().len();
     platform.store.restore(&snapshot);
     entry.process.wait_for_event("restored", |_| true).await;
     let is_reread = |e: &serde_json::Value| e["source"] == "store" && e["missing"] == 1;
@@ -238,7 +238,7 @@
         sleep(POLL_INTERVAL).await;
     }
     assert_eq!(
-        left.seen().len(),
+        left.requests().len(),
         requests_before,
         "requests reached the target that left"
     );
@@ -254,7 +254,7 @@
 #[tokio::test]
 async fn store_without_era_headers_is_followed_without_errors() {
     let platform = Platform::start().await;
-    platform.store.set_named(Named::Nothing);
+    platform.store.set_era_header(EraHeader::Missing);
     let entries = [
         platform.entry("front-1", 0).await,
         platform.entry("front-2", 0).await,
--- a/crates/daemon/tests/hosted/slots.rs
+++ b/crates/daemon/tests/hosted/slots.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use serde_json::json;
 use standin::hosted::replica::Replica;
-use standin::switch::{Path, Switch};
+use standin::switch::{Conditions, Switch};
 use tokio::time::{sleep, timeout};
 
 use crate::fleet::{fetch, Platform, Process, MODEL, TIMEOUT};
@@ -32,7 +32,7 @@
 
 struct Case {
     name: &'static str,
-    path: Path,
+    path: Conditions,
     /// Delay after which a second version is announced, if there is one.
     second_after: Option<Duration>,
 }
@@ -44,11 +44,10 @@
     let ms = Duration::from_millis;
     #[rustfmt::skip]
     let cases = [
-        Case { name: "all datagrams arrive", path: Path::GOOD, second_after: None },
-        Case { name: "some datagrams are lost", path: Path { loss: 0.3, delay: ms(2) }, second_after: None },
-        Case { name: "datagrams are reordered", path: Path { loss: 0.0, delay: ms(60) }, second_after: None },
-        Case { name: "a second version follows", path: Path { loss: 0.1, delay: ms(10) }, second_after: Some(ms(100)) },
-    ];
+        Case { name: "all datagrams arrive", path: Conditions::IDEAL, second_after: None },
+        Case { name: "some datagrams are lost", path: Conditions { loss: 0.3, delay: ms(2) }, second_after: None },
+        Case { name: "datagrams are reordered", path: Conditions { loss: 0.0, delay: ms(60) }, second_after: None },
+        Case { name: "a second version follows", path: Conditions { loss: 0.1, delay: ms(10) }, second_after: Some(ms(100)) }, ];
     let faults = [
         SidecarFault::PausedBefore,
         SidecarFault::PausedDuring,
@@ -66,14 +65,14 @@
 #[tokio::test]
 async fn order_carries_the_incarnation_when_all_datagrams_are_lost() {
     let switch = Switch::new(1);
-    switch.set(Path {
+    switch.set_conditions(Conditions {
         loss: 1.0,
-        ..Path::GOOD
+        ..Conditions::IDEAL
     });
     let mut platform = Platform::start().await;
     platform.store.set_switch(Arc::clone(&switch));
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     let _entry = platform.entry("front-1", 1).await;
     let sidecar = platform.sidecar("side-1", at);
@@ -97,9 +96,9 @@
 async fn check_served(seed: u64) {
     let switch = Switch::new(seed);
     let pool = EnginePool::start_behind(&switch).await;
-    switch.set(Path {
+    switch.set_conditions(Conditions {
         loss: 0.3,
-        ..Path::GOOD
+        ..Conditions::IDEAL
     });
     pool.announce(2);
     let rollout = async {
@@ -125,7 +124,7 @@
 async fn check_case(c: &Case, fault: SidecarFault, index: usize, seed: u64) {
     let switch = Switch::new(seed);
     let mut pool = EnginePool::start_behind(&switch).await;
-    switch.set(c.path);
+    switch.set_conditions(c.path);
     let result = timeout(TIMEOUT, roll_out(&mut pool, c, fault, index)).await;
     let context = || format!("{}, {fault:?} {index}: {:?}", c.name, pool.orders());
     let logs = || {
@@ -147,8 +146,8 @@
 
 async fn roll_out(pool: &mut EnginePool, c: &Case, fault: SidecarFault, index: usize) {
     pool.engines.iter().for_each(|e| {
-        e.set_slow_orders(ORDER_DELAY);
-        e.set_load(LOAD_TIME);
+        e.set_order_delay(ORDER_DELAY);
+        e.set_load_time(LOAD_TIME);
     });
     if fault == SidecarFault::PausedBefore {
         pool.sidecars[index].signal("STOP");
--- a/crates/daemon/tests/hosted/soak/check.rs
+++ b/crates/daemon/tests/hosted/soak/check.rs
@@ -85,7 +85,7 @@
             let id = format!("left-{n}-{attempt}");
             // The request may fail, but it must not reach the target.
             let _ = fetch_from(callers, "/log/1", &id).await;
-            let reached = target.seen().iter().any(|s| s.id == id);
+            let reached = target.requests().iter().any(|s| s.id == id);
             let log = || cluster.entries[n].host.daemon().process.log_tail();
             assert!(
                 !reached,
@@ -124,7 +124,7 @@
 /// Number of times that each request ran.
 fn count_runs(cluster: &Cluster) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
-    let seen = cluster.replicas.iter().flat_map(|r| r.replica.seen());
+    let seen = cluster.replicas.iter().flat_map(|r| r.replica.requests());
     for s in seen.filter(|s| s.ran) {
         *runs.entry(s.id).or_default() += 1;
     }
--- a/crates/daemon/tests/hosted/soak/cluster.rs
+++ b/crates/daemon/tests/hosted/soak/cluster.rs
@@ -7,9 +7,9 @@
 
 use serde_json::json;
 use standin::hosted::replica::{Fault, Replica};
-use standin::hosted::rows;
-use standin::link::{Link, Trouble};
-use standin::switch::{Path, Switch};
+use standin::hosted::row_store;
+use standin::link::{Link, LinkFault};
+use standin::switch::{Conditions, Switch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
@@ -173,7 +173,7 @@
         for n in 0..REPLICAS {
             let service = if n < ENGINES { "engines" } else { "plain" };
             let replica = Replica::new(&format!("r{n}"), EVENTS, EVENT_INTERVAL);
-            replica.load(MODEL, 1);
+            replica.set_version(MODEL, 1);
             let at = platform.start_replica(&replica).await;
             let link = open_link(&mut links, at).await;
             platform.list(&replica, service, link.addr(), "ready");
@@ -218,7 +218,7 @@
         }
         let store = replaced.host.store.addr();
         let entry = self.platform.start_entry(&replaced.host.name, store).await;
-        replaced.link.lead(entry.callers);
+        replaced.link.redirect(entry.callers);
         replaced.host.replace(entry);
     }
 
@@ -256,7 +256,7 @@
 
     /// Restores the store from a snapshot and then, after a delay, writes the rows of the operator
     /// and of the replicas again.
-    pub async fn restore(&self, snapshot: &rows::Copy, delay: Duration) {
+    pub async fn restore(&self, snapshot: &row_store::Snapshot, delay: Duration) {
         self.platform.store.restore(snapshot);
         sleep(delay).await;
         let version = *self.version.lock().expect("a version");
@@ -272,7 +272,7 @@
     /// Writes the row of a replica's current incarnation to the list of targets.
     fn list(&self, replica: &LinkedReplica, state: &str) {
         let (inner, at) = (&replica.replica, replica.link.addr());
-        let incarnation = inner.life() + 1;
+        let incarnation = inner.restarts() + 1;
         self.platform
             .list_incarnation(inner, replica.service, at, state, incarnation);
     }
@@ -287,9 +287,11 @@
 
     /// Removes all faults and resumes paused processes.
     pub fn clear_faults(&self) {
-        self.platform.store.set_fault(rows::Fault::None);
-        self.links().iter().for_each(|l| l.set(Trouble::None));
-        self.switch.set(Path::GOOD);
+        self.platform.store.set_fault(row_store::Fault::None);
+        self.links()
+            .iter()
+            .for_each(|l| l.set_fault(LinkFault::None));
+        self.switch.set_conditions(Conditions::IDEAL);
         for linked in &self.replicas {
             linked.replica.set_fault(Fault::None);
             self.list(linked, "ready");
--- a/crates/daemon/tests/hosted/soak/faults.rs
+++ b/crates/daemon/tests/hosted/soak/faults.rs
@@ -7,9 +7,9 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use standin::hosted::replica::Fault;
-use standin::hosted::rows;
-use standin::link::Trouble;
-use standin::switch::Path;
+use standin::hosted::row_store;
+use standin::link::LinkFault;
+use standin::switch::Conditions;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
@@ -30,13 +30,13 @@
     Fault::None,
 ];
 /// Faults that links may get.
-const LINK_FAULTS: [Trouble; 6] = [
-    Trouble::Slow(Duration::from_millis(30)),
-    Trouble::Slow(Duration::from_millis(200)),
-    Trouble::CutUp,
-    Trouble::CutDown,
-    Trouble::Silent,
-    Trouble::Refuse,
+const LINK_FAULTS: [LinkFault; 6] = [
+    LinkFault::Slow(Duration::from_millis(30)),
+    LinkFault::Slow(Duration::from_millis(200)),
+    LinkFault::HoldUp,
+    LinkFault::HoldDown,
+    LinkFault::HoldBoth,
+    LinkFault::Refuse,
 ];
 
 /// Shares of the datagrams that may be lost.
@@ -64,11 +64,11 @@
         return;
     }
     let mut rng = StdRng::seed_from_u64(seed ^ RESTORE_MASK);
-    let mut snapshot = cluster.platform.store.copy();
+    let mut snapshot = cluster.platform.store.snapshot();
     while Instant::now() < end {
         sleep(Duration::from_millis(rng.random_range(200..1_500))).await;
         match rng.random_range(0..3) {
-            0 => snapshot = cluster.platform.store.copy(),
+            0 => snapshot = cluster.platform.store.snapshot(),
             1 => cluster.platform.store.restore(&snapshot),
             _ => {}
         }
@@ -82,13 +82,13 @@
 pub async fn disturb_datagrams(cluster: Arc<Cluster>, seed: u64, end: Instant) {
     let mut rng = StdRng::seed_from_u64(seed ^ DATAGRAM_MASK);
     while Instant::now() < end {
-        let conditions = Path {
+        let conditions = Conditions {
             loss: *LOSS_RATES.choose(&mut rng).expect("a loss"),
             delay: Duration::from_millis(rng.random_range(0..200)),
         };
-        cluster.switch.set(conditions);
+        cluster.switch.set_conditions(conditions);
         sleep(Duration::from_millis(rng.random_range(50..900))).await;
-        cluster.switch.set(Path::GOOD);
+        cluster.switch.set_conditions(Conditions::IDEAL);
         sleep(Duration::from_millis(rng.random_range(50..900))).await;
     }
 }
@@ -103,21 +103,25 @@
         }
         5..=8 => {
             let link = Arc::clone(cluster.links().choose(rng).expect("a link"));
-            link.set(*LINK_FAULTS.choose(rng).expect("a fault"));
+            link.set_fault(*LINK_FAULTS.choose(rng).expect("a fault"));
             tasks.spawn(async move {
                 sleep(duration).await;
-                link.set(Trouble::None);
+                link.set_fault(LinkFault::None);
             });
         }
         9..=10 => cluster.links().choose(rng).expect("a link").reset(),
         11 => {
-            let faults = [rows::Fault::Busy, rows::Fault::Silent, rows::Fault::None];
+            let faults = [
+                row_store::Fault::Busy,
+                row_store::Fault::Silent,
+                row_store::Fault::None,
+            ];
             cluster
                 .platform
                 .store
                 .set_fault(*faults.choose(rng).expect("a fault"));
         }
-        12 => cluster.platform.store.forget(),
+        12 => cluster.platform.store.drop_history(),
         13 => cluster.announce_version(),
         14 => cluster.restart_replica(rng.random_range(0..REPLICAS)),
         15..=16 => {
--- a/crates/daemon/tests/hosted/store.rs
+++ b/crates/daemon/tests/hosted/store.rs
@@ -5,8 +5,8 @@
 
 use serde_json::json;
 use standin::hosted::replica::Replica;
-use standin::hosted::rows::{Fault, Store};
-use standin::link::{Link, Trouble};
+use standin::hosted::row_store::{Fault, Store};
+use standin::link::{Link, LinkFault};
 use tokio::time::{sleep, timeout};
 
 use crate::fleet::{config, fetch, ready, Entry, Platform, TIMEOUT};
@@ -81,7 +81,7 @@
     let mut revoked_config = config(2);
     revoked_config["tenants"][0]["api_keys"] = json!(["another"]);
     platform.store.write("op", "config", &revoked_config);
-    platform.store.forget();
+    platform.store.drop_history();
     platform.store.set_fault(Fault::None);
     entry
         .process
@@ -194,11 +194,11 @@
         .process
         .wait_for_event("target", |e| e["state"] == "draining")
         .await;
-    let before = plain.seen().len();
+    let before = plain.requests().len();
     for n in 0..6 {
         assert_eq!(status(&entry, "/log/1", &format!("stays-{n}")).await, 200);
     }
-    assert_eq!(plain.seen().len(), before);
+    assert_eq!(plain.requests().len(), before);
 }
 
 #[tokio::test]
@@ -215,7 +215,7 @@
         .process
         .wait_for_event("members", |m| m["entries"] == 1)
         .await;
-    link.set(Trouble::Refuse);
+    link.set_fault(LinkFault::Refuse);
     link.reset();
     let second = Replica::new("p2", 0, Duration::ZERO);
     platform.replica(&second, "plain").await;
@@ -226,7 +226,7 @@
         .await
         .expect("an answer");
     assert_eq!(served.status, 200);
-    assert!(second.seen().iter().any(|s| s.id == "log-1" && s.ran));
+    assert!(second.requests().iter().any(|s| s.id == "log-1" && s.ran));
 }
 
 #[tokio::test]
@@ -245,7 +245,7 @@
         .process
         .wait_for_event("members", |m| m["entries"] == 1)
         .await;
-    link.set(Trouble::Refuse);
+    link.set_fault(LinkFault::Refuse);
     link.reset();
     rejected
         .process
@@ -262,7 +262,7 @@
             200
         );
     }
-    assert!(leaves.seen().is_empty());
+    assert!(leaves.requests().is_empty());
 }
 
 #[tokio::test]
@@ -285,7 +285,7 @@
         .process
         .wait_for_event("members", |m| m["entries"] == 1)
         .await;
-    link.set(Trouble::Silent);
+    link.set_fault(LinkFault::HoldBoth);
     rejected
         .process
         .wait_for_event("lost", |e| e["dependency"] == "list")
@@ -345,10 +345,10 @@
         .wait_for_event("members", |m| m["entries"] == 2)
         .await;
     let is_list = |e: &serde_json::Value| e["dependency"] == "list";
-    link.set(Trouble::Refuse);
+    link.set_fault(LinkFault::Refuse);
     link.reset();
     entry.process.wait_for_event("lost", is_list).await;
-    link.set(Trouble::None);
+    link.set_fault(LinkFault::None);
     entry.process.wait_for_event("regained", is_list).await;
     platform.store.remove("servers", "p1");
     let left = Instant::now();
@@ -358,7 +358,7 @@
         let id = format!("left-{n}");
         let before = left.elapsed();
         assert_eq!(status(entry, "/log/1", &id).await, 200);
-        let reached = leaves.seen().iter().any(|s| s.id == id);
+        let reached = leaves.requests().iter().any(|s| s.id == id);
         let lines = [
             entry.process.events("listed"),
             entry.process.events("target"),
--- a/crates/daemon/tests/hosted/weights.rs
+++ b/crates/daemon/tests/hosted/weights.rs
@@ -16,7 +16,7 @@
     // version or its cache after the operator has announced a new one.
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     let entry = platform.entry("front-1", 1).await;
     let sidecar = platform.sidecar("side-1", at);
@@ -41,7 +41,7 @@
         loop {
             n += 1;
             let answer = fetch(&entry, "/probe/1", &format!("new-{n}")).await;
-            let last_request = engine.seen().pop();
+            let last_request = engine.requests().pop();
             if let (Ok(a), Some(received)) = (answer, last_request) {
                 if a.status == 200 && received.headers["expect-version"] == "2" {
                     return received;
@@ -62,7 +62,7 @@
     // its last one, an engine that checks tokens rejects it.
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     let at = platform.replica(&engine, "engines").await;
     for version in [2, 3] {
         let sidecar = platform.sidecar("side-1", at);
@@ -123,8 +123,8 @@
     for paused in 0..3 {
         let pool = EnginePool::start().await;
         pool.engines.iter().for_each(|e| {
-            e.set_slow_orders(Duration::from_millis(200));
-            e.set_load(Duration::from_millis(600));
+            e.set_order_delay(Duration::from_millis(200));
+            e.set_load_time(Duration::from_millis(600));
         });
         pool.sidecars[paused].signal("STOP");
         pool.announce(2);
@@ -158,8 +158,8 @@
     // with enough time must wait at the router and be sent once, after the load.
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
-    engine.set_load(Duration::from_millis(900));
+    engine.set_version(MODEL, 1);
+    engine.set_load_time(Duration::from_millis(900));
     let at = platform.replica(&engine, "engines").await;
     let entry = platform.entry("front-1", 1).await;
     let sidecar = platform.sidecar("side-1", at);
@@ -182,7 +182,11 @@
         entry.process.log_of_request("patient")
     );
     assert_eq!(engine.version(MODEL), 2, "served after the load");
-    let attempts = engine.seen().iter().filter(|s| s.id == "patient").count();
+    let attempts = engine
+        .requests()
+        .iter()
+        .filter(|s| s.id == "patient")
+        .count();
     assert_eq!(attempts, 1, "sent once, when the engine accepts requests");
 }
 
@@ -191,12 +195,12 @@
 async fn request_is_served_by_an_engine_with_newer_weights_than_recorded() {
     let mut platform = Platform::start().await;
     let engine = Replica::new("e1", 2, Duration::ZERO);
-    engine.load(MODEL, 1);
+    engine.set_version(MODEL, 1);
     platform.replica(&engine, "engines").await;
     let announcement = json!({"model": MODEL, "version": 2});
     platform.store.write("op", "version/lekha", &announcement);
     let entry = platform.entry("front-1", 1).await;
-    engine.load(MODEL, 2);
+    engine.set_version(MODEL, 2);
     let answer = timeout(TIMEOUT, fetch(&entry, "/probe/1", "newer")).await;
     let answer = answer.expect("in time").expect("an answer");
     assert_eq!(
@@ -213,9 +217,9 @@
     // just been ejected after a failure. Callers are refused unless the ejected engine serves them.
     let mut platform = Platform::start().await;
     let newer = Replica::new("e1", 2, Duration::ZERO);
-    newer.load(MODEL, 2);
+    newer.set_version(MODEL, 2);
     let older = Replica::new("e2", 2, Duration::ZERO);
-    older.load(MODEL, 1);
+    older.set_version(MODEL, 1);
     platform.replica(&newer, "engines").await;
     platform.replica(&older, "engines").await;
     let announcement = json!({"model": MODEL, "version": 2});
@@ -252,5 +256,5 @@
         .expect("an answer");
     let refusals = entry.process.events("refused");
     assert_eq!(answer.status, 200, "{refusals:?}");
-    assert!(newer.seen().iter().any(|s| s.id == "served"));
+    assert!(newer.requests().iter().any(|s| s.id == "served"));
 }
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -88,7 +88,7 @@
 #[test]
 fn stopping_target_receives_no_new_requests_while_the_host_list_lags() {
     let set = Settings {
-        decode: Duration::from_millis(20),
+        decode_per_token: Duration::from_millis(20),
         ..quick()
     };
     let mut fleet = start_fleet(&set);
@@ -96,7 +96,7 @@
         hosts_lag_ms: 60_000,
         ..Faults::default()
     };
-    fleet.platform.misbehave(delayed_list);
+    fleet.platform.set_faults(delayed_list);
     let body = completion("a long answer", 600, true);
     let long = fleet.caller(0).begin("POST", "/v1/completions", &[], &body);
     long.wait_for("data:");
@@ -114,8 +114,8 @@
     }
     let engine = &fleet.replicas[leaving].engine;
     assert_eq!(engine.running(), 1, "the long answer still runs");
-    assert!(engine.ran().is_empty(), "{:?}", engine.ran());
-    assert_eq!(fleet.replicas[1 - leaving].engine.ran().len(), REQUESTS);
+    assert!(engine.run_log().is_empty(), "{:?}", engine.run_log());
+    assert_eq!(fleet.replicas[1 - leaving].engine.run_log().len(), REQUESTS);
     let answer = long.end();
     assert!(answer.is_complete_stream(), "{}", answer.text());
     assert_eq!(answer.words(), words("a long answer", 600));
@@ -135,10 +135,10 @@
     let mut sent = 0;
     let mut avoided = 0;
     wait_for("the entries to avoid the leaving host", || {
-        let before = engine.ran().len();
+        let before = engine.run_log().len();
         assert_served(&fleet, sent);
         sent += 1;
-        avoided = if engine.ran().len() > before {
+        avoided = if engine.run_log().len() > before {
             0
         } else {
             avoided + 1
@@ -152,7 +152,7 @@
         "alive",
         "the sidecar itself doesn't announce a leave"
     );
-    let before = engine.ran().len();
+    let before = engine.run_log().len();
     (sent..sent + REQUESTS).for_each(|n| assert_served(&fleet, n));
-    assert_eq!(engine.ran().len(), before);
+    assert_eq!(engine.run_log().len(), before);
 }
--- a/crates/daemon/tests/not_run.rs
+++ b/crates/daemon/tests/not_run.rs
@@ -56,7 +56,7 @@
         FaultCase { what: "service killed and back", inject: Fleet::restart_service, must_refuse: false },
         FaultCase { what: "service's sidecar killed", inject: |f| f.fieldops.kill(), must_refuse: false },
         FaultCase { what: "service's sidecar drains", inject: |f| f.fieldops.stop(), must_refuse: false },
-        FaultCase { what: "platform down", inject: |f| f.platform.misbehave(platform_faults(true, 0)), must_refuse: true },
+        FaultCase { what: "platform down", inject: |f| f.platform.set_faults(platform_faults(true, 0)), must_refuse: true },
     ];
     for group in cases.chunks(5) {
         std::thread::scope(|s| {
@@ -70,14 +70,14 @@
 /// Settings of an engine that takes 5 ms per token.
 fn engine() -> Settings {
     Settings {
-        decode: Duration::from_millis(5),
+        decode_per_token: Duration::from_millis(5),
         ..quick()
     }
 }
 
 fn run_case(case: &FaultCase) {
     let mut fleet = Fleet::start(1, 1, &engine());
-    fleet.platform.misbehave(platform_faults(false, 20));
+    fleet.platform.set_faults(platform_faults(false, 20));
     let to = fleet.caller(0);
     let requests: Vec<_> = (0..REQUESTS_PER_KIND)
         .flat_map(|n| [send_completion(&to, n), send_record(&to, n)])
@@ -159,7 +159,7 @@
     let cases = [
         RefusalCase { what: "pool without targets", inject: |_| {}, path: "/v1/completions", code: "no_target" },
         RefusalCase { what: "service down", inject: |f| f.service_at.kill(), path: "/records/vote", code: "no_target" },
-        RefusalCase { what: "platform down", inject: |f| f.platform.misbehave(platform_faults(true, 0)), path: "/records/vote", code: "platform_down" },
+        RefusalCase { what: "platform down", inject: |f| f.platform.set_faults(platform_faults(true, 0)), path: "/records/vote", code: "platform_down" },
         RefusalCase { what: "sidecar gone", inject: |f| f.fieldops.kill(), path: "/records/vote", code: "no_target" },
     ];
     for c in cases {
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -87,7 +87,7 @@
 fn sidecar_paused_around_its_claim_runs_no_record_twice() {
     let run = |step: u64| {
         let mut fleet = start_fleet(2);
-        fleet.platform.misbehave(platform::Faults {
+        fleet.platform.set_faults(platform::Faults {
             delay_ms: 200,
             ..platform::Faults::default()
         });
@@ -139,7 +139,7 @@
 #[test]
 fn claim_is_read_back_when_the_answer_to_its_write_is_lost() {
     let fleet = start_fleet(1);
-    fleet.platform.misbehave(platform::Faults {
+    fleet.platform.set_faults(platform::Faults {
         lose: 1,
         ..platform::Faults::default()
     });
@@ -156,7 +156,7 @@
 fn record_whose_claim_cannot_be_read_is_refused_as_not_run() {
     let fleet = start_fleet(1);
     let before = fleet.platform.counts().writes;
-    fleet.platform.misbehave(platform::Faults {
+    fleet.platform.set_faults(platform::Faults {
         lose: 1,
         ..platform::Faults::default()
     });
@@ -170,13 +170,13 @@
     wait_for("the claim's write", || {
         fleet.platform.counts().writes > before
     });
-    fleet.platform.misbehave(platform::Faults {
+    fleet.platform.set_faults(platform::Faults {
         outage: true,
         ..platform::Faults::default()
     });
     assert_platform_down(&pending.end());
     assert_eq!(fleet.run_count("vote"), 0);
-    fleet.platform.misbehave(platform::Faults::default());
+    fleet.platform.set_faults(platform::Faults::default());
     let again = write(&caller, "unsettled", "vote");
     assert_eq!(again.status, 409, "{}", again.text());
     assert_eq!(fleet.run_count("vote"), 0);
@@ -187,7 +187,7 @@
 #[test]
 fn record_is_not_retried_when_its_target_dies_after_dispatch() {
     let mut fleet = start_fleet(2);
-    fleet.service.misbehave(service::Faults {
+    fleet.service.set_faults(service::Faults {
         hang_after: 1,
         ..service::Faults::default()
     });
@@ -216,13 +216,13 @@
 #[test]
 fn record_is_refused_as_not_run_while_the_platform_is_down() {
     let fleet = start_fleet(1);
-    fleet.platform.misbehave(platform::Faults {
+    fleet.platform.set_faults(platform::Faults {
         outage: true,
         ..platform::Faults::default()
     });
     assert_platform_down(&write(&fleet.caller(0), "down", "vote"));
     assert_eq!(fleet.run_count("vote"), 0);
-    fleet.platform.misbehave(platform::Faults::default());
+    fleet.platform.set_faults(platform::Faults::default());
     let answer = write(&fleet.caller(0), "down", "vote");
     assert_eq!(
         (answer.status, fleet.run_count("vote")),
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -17,7 +17,7 @@
 
 fn engine(fencing: Fencing) -> Settings {
     Settings {
-        loading: LOAD_TIME,
+        load_time: LOAD_TIME,
         fencing,
         ..quick()
     }
@@ -35,7 +35,7 @@
 /// Weights and fencing tokens of the orders that the engine accepted.
 fn accepted_loads(orders: &[OrderRecord]) -> Vec<(String, u64)> {
     let accepted = |o: &&OrderRecord| matches!(o.status, Status::Running | Status::Done);
-    let load = |o: &OrderRecord| match &o.order.what {
+    let load = |o: &OrderRecord| match &o.order.kind {
         OrderKind::Load { weights, .. } => (weights.clone(), o.order.fence),
         other => panic!("{other:?}"),
     };
@@ -48,7 +48,7 @@
         let orders = engine.orders();
         let done = orders.iter().rfind(|o| o.status == Status::Done);
         done.is_some_and(
-            |o| matches!(&o.order.what, OrderKind::Load { weights, .. } if weights == name),
+            |o| matches!(&o.order.kind, OrderKind::Load { weights, .. } if weights == name),
         )
     });
 }
@@ -106,7 +106,7 @@
 #[test]
 fn two_sidecars_of_one_engine_load_weights_once() {
     let set = Settings {
-        decode: Duration::from_millis(50),
+        decode_per_token: Duration::from_millis(50),
         ..engine(Fencing::Honour)
     };
     let fleet = Fleet::start(1, 1, &set);
@@ -150,7 +150,7 @@
 
 fn pause_past_lease(fencing: Fencing) {
     let set = Settings {
-        decode: Duration::from_millis(50),
+        decode_per_token: Duration::from_millis(50),
         ..engine(fencing)
     };
     let fleet = Fleet::start(1, 1, &set);
@@ -194,7 +194,7 @@
 #[test]
 fn sidecar_paused_past_its_lease_acquires_the_lease_again() {
     let set = Settings {
-        decode: Duration::from_millis(50),
+        decode_per_token: Duration::from_millis(50),
         ..engine(Fencing::Honour)
     };
     let fleet = Fleet::start(1, 1, &set);
@@ -244,7 +244,7 @@
         lose: 1 + answers,
         ..Faults::default()
     };
-    fleet.platform.misbehave(faults);
+    fleet.platform.set_faults(faults);
     let one_permit = "fencing = true\npermits = 1";
     fleet.apply(&config_with_weights("2", Fencing::Honour).replace("fencing = true", one_permit));
     let engine = &fleet.replicas[0].engine;
@@ -274,7 +274,7 @@
         outage: true,
         ..Faults::default()
     };
-    fleet.platform.misbehave(outage);
+    fleet.platform.set_faults(outage);
     sidecar.signal("CONT");
     let arrived = fleet.platform.arrived();
     let mut sent = 0;
@@ -293,7 +293,7 @@
     );
     let engine = &fleet.replicas[0].engine;
     assert!(engine.orders().is_empty(), "{:?}", engine.orders());
-    fleet.platform.misbehave(Faults::default());
+    fleet.platform.set_faults(Faults::default());
     wait_loaded(engine, "2");
     let load = Caller::new(fleet.replicas[0].standin.at, "").get("/load");
     assert_eq!(load.json()["model"], "lekha");
--- a/crates/daemon/tests/outage.rs
+++ b/crates/daemon/tests/outage.rs
@@ -91,7 +91,7 @@
 
 fn run_case(what: &str, faults: Faults) {
     let fleet = Fleet::start(2, 1, &quick());
-    fleet.platform.misbehave(faults);
+    fleet.platform.set_faults(faults);
     let records: Vec<_> = (0..REQUESTS)
         .map(|n| send_record(&fleet, &format!("{what} {n}")))
         .collect();
@@ -122,7 +122,7 @@
         fleet.service.bodies()
     );
 
-    fleet.platform.misbehave(Faults::default());
+    fleet.platform.set_faults(Faults::default());
     let new_record = send_record(&fleet, "afterwards").end();
     assert_eq!(new_record.status, 201, "{what}: {}", new_record.text());
     assert_eq!(fleet.service.bodies(), ["afterwards"], "{what}");
@@ -140,7 +140,7 @@
         outage: true,
         ..Faults::default()
     };
-    fleet.platform.misbehave(outage);
+    fleet.platform.set_faults(outage);
     let before = fleet.platform.counts();
     for n in 0..REQUESTS {
         assert_platform_down("down", &send_record(&fleet, &format!("lost {n}")).end());
@@ -153,7 +153,7 @@
         },
     );
     let calls = fleet.platform.arrived() - before.arrived;
-    fleet.platform.misbehave(Faults::default());
+    fleet.platform.set_faults(Faults::default());
     let at_recovery = fleet.platform.counts();
     let since = at_recovery.seconds.last().map_or(0, |s| s.at);
     wait_for("the fleet to read the table for some seconds", || {
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -62,7 +62,7 @@
     };
     let mut took = Vec::new();
     for faults in [outage(), paused] {
-        fleet.platform.misbehave(faults);
+        fleet.platform.set_faults(faults);
         let start = Instant::now();
         fleet.entries[1].restart(&[]);
         took.push(time_to_first_answer(&fleet, 1, start));
@@ -81,7 +81,7 @@
     let mut fleet = Fleet::start(3, 2, &quick());
     let mut took = Vec::new();
     for faults in [Faults::default(), outage()] {
-        fleet.platform.misbehave(faults);
+        fleet.platform.set_faults(faults);
         fleet.entries.iter_mut().for_each(common::Child::kill);
         let start = Instant::now();
         fleet.entries.iter_mut().for_each(|e| e.restart(&[]));
@@ -96,7 +96,7 @@
 #[test]
 fn killed_sidecar_serves_again_while_the_platform_is_down() {
     let mut fleet = Fleet::start(1, 1, &quick());
-    fleet.platform.misbehave(outage());
+    fleet.platform.set_faults(outage());
     let start = Instant::now();
     fleet.replicas[0].sidecar.restart(&[]);
     let caller = fleet.caller(0);
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -18,7 +18,7 @@
 /// Settings of an engine that takes about a second for an answer, so that a stop finds it running.
 fn slow() -> Settings {
     Settings {
-        decode: Duration::from_millis(15),
+        decode_per_token: Duration::from_millis(15),
         ..quick()
     }
 }
@@ -251,7 +251,7 @@
         queued(stopping) >= 4.0
     });
     let engine = &fleet.replicas[stopping].engine;
-    let started = engine.ran().len() + engine.running();
+    let started = engine.run_log().len() + engine.running();
     fleet.replicas[stopping].sidecar.stop();
     for (prompt, pending) in requests {
         let answer = pending.end();
@@ -266,7 +266,7 @@
         fleet.replicas[stopping].sidecar.wait(),
         "the sidecar exits successfully"
     );
-    let log = [0, 1].map(|r| fleet.replicas[r].engine.ran());
+    let log = [0, 1].map(|r| fleet.replicas[r].engine.run_log());
     assert!(log.iter().flatten().all(|r| r.whole), "{log:?}");
     assert_eq!(log[0].len() + log[1].len(), 16, "each ran once");
     // Up to two more may have been dispatched before the sidecar handled the signal.
--- a/crates/daemon/tests/stream.rs
+++ b/crates/daemon/tests/stream.rs
@@ -17,7 +17,7 @@
 
 fn slow() -> Settings {
     Settings {
-        decode: Duration::from_millis(10),
+        decode_per_token: Duration::from_millis(10),
         ..quick()
     }
 }
@@ -60,7 +60,7 @@
         Failure { what: "engine dead", inject: |f, at| f.replicas[at].standin.kill() },
         Failure { what: "sidecar killed", inject: |f, at| f.replicas[at].sidecar.kill() },
         Failure { what: "engine's connections silent", inject: |f, at| {
-            f.replicas[at].engine.misbehave(Faults { freeze: true, ..Faults::default() });
+            f.replicas[at].engine.set_faults(Faults { freeze: true, ..Faults::default() });
         } },
     ];
     let run = |case: Failure| {
@@ -77,7 +77,7 @@
         );
         assert_eq!(answer.words(), words(&prompt, TOKENS), "{}", case.what);
         let others = fleet.replicas.iter().enumerate().filter(|(i, _)| *i != at);
-        let resumed = others.flat_map(|(_, r)| r.engine.ran());
+        let resumed = others.flat_map(|(_, r)| r.engine.run_log());
         assert!(resumed
             .max_by_key(|r| r.resumed)
             .is_some_and(|r| r.resumed >= 10));
@@ -120,7 +120,7 @@
         ..Faults::default()
     };
     for r in &fleet.replicas[..2] {
-        r.engine.misbehave(closing.clone());
+        r.engine.set_faults(closing.clone());
     }
     let mut n = 0;
     wait_for("both engines to have closed a stream", || {
@@ -129,7 +129,7 @@
         let body = completion(&prompt, 20, true);
         let answer = fleet.caller(0).post("/v1/completions", &body);
         assert_complete(&answer, &prompt, 20);
-        let has_closed = |r: &common::Replica| r.engine.ran().iter().any(|r| !r.whole);
+        let has_closed = |r: &common::Replica| r.engine.run_log().iter().any(|r| !r.whole);
         fleet.replicas[..2].iter().all(has_closed)
     });
 }
@@ -231,7 +231,7 @@
     let body = req.bytes().await.map_err(viz::Error::boxed)?;
     let request: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let prompt = request["prompt"].as_str().unwrap_or_default();
-    let first = standin::engine::word(prompt, 0);
+    let first = standin::engine::answer_token(prompt, 0);
     let part = Bytes::from(part.replace("FIRST", &first));
     let pieces = futures::stream::iter([Ok::<_, std::io::Error>(part)]);
     Response::builder()
@@ -333,7 +333,7 @@
             assert_complete(&answer, &prompt, 5);
             let resumed = fleet.replicas[0]
                 .engine
-                .ran()
+                .run_log()
                 .iter()
                 .any(|r| r.resumed == 1);
             assert!(resumed || hits.load(Ordering::Relaxed) == 0);
--- a/crates/standin/examples/engine.rs
+++ b/crates/standin/examples/engine.rs
@@ -11,38 +11,38 @@
     /// address to listen on (default 127.0.0.1:0)
     #[argh(option, default = "String::from(\"127.0.0.1:0\")")]
     listen: String,
-    /// model it serves
+    /// model served
     #[argh(option, default = "Settings::default().model")]
     model: String,
-    /// weights it serves
+    /// weights served at the start
     #[argh(option, default = "Settings::default().weights")]
     weights: String,
-    /// blocks its cache holds (default 4096)
+    /// number of blocks that the cache holds (default 4096)
     #[argh(option, default = "Settings::default().blocks")]
     blocks: usize,
     /// milliseconds after which an unused block is evicted (default 8000)
-    #[argh(option, default = "millis(Settings::default().age)")]
+    #[argh(option, default = "millis(Settings::default().max_idle)")]
     age_ms: u64,
-    /// requests it computes at a time (default 8)
+    /// number of requests computed at a time (default 8)
     #[argh(option, default = "Settings::default().slots")]
     slots: usize,
     /// microseconds to compute one block of prompt (default 400)
-    #[argh(option, default = "micros(Settings::default().prefill)")]
+    #[argh(option, default = "micros(Settings::default().prefill_per_block)")]
     prefill_us: u64,
-    /// blocks of prompt computed in one go (default 32)
-    #[argh(option, default = "Settings::default().chunk")]
+    /// number of prompt blocks computed without interruption (default 32)
+    #[argh(option, default = "Settings::default().prefill_chunk")]
     chunk: usize,
     /// microseconds to compute one token of answer (default 5000)
-    #[argh(option, default = "micros(Settings::default().decode)")]
+    #[argh(option, default = "micros(Settings::default().decode_per_token)")]
     decode_us: u64,
-    /// per cent by which each other running request lengthens a token's time (default 3)
+    /// percentage by which each other running request lengthens a token's time (default 3)
     #[argh(option, default = "Settings::default().batch_penalty")]
     batch_penalty: u32,
-    /// per cent by which a prompt being computed lengthens a token's time (default 50)
+    /// percentage by which a prompt being computed lengthens a token's time (default 50)
     #[argh(option, default = "Settings::default().prefill_penalty")]
     prefill_penalty: u32,
     /// milliseconds by which cache events are late (default 50)
-    #[argh(option, default = "millis(Settings::default().lag)")]
+    #[argh(option, default = "millis(Settings::default().event_lag)")]
     lag_ms: u64,
     /// milliseconds by which load is reported late (default 200)
     #[argh(option, default = "millis(Settings::default().load_lag)")]
@@ -50,19 +50,19 @@
     /// one in this many cache events is lost; 0 for none
     #[argh(option, default = "0")]
     lose: u64,
-    /// publish neighbouring cache events in the wrong order
+    /// publish adjacent cache events in swapped order
     #[argh(switch)]
     reorder: bool,
-    /// microseconds to import one block of kept KV (default 20)
-    #[argh(option, default = "micros(Settings::default().import)")]
+    /// microseconds to import one KV block (default 20)
+    #[argh(option, default = "micros(Settings::default().import_per_block)")]
     import_us: u64,
     /// milliseconds to load weights (default 2000)
-    #[argh(option, default = "millis(Settings::default().loading)")]
+    #[argh(option, default = "millis(Settings::default().load_time)")]
     load_ms: u64,
-    /// what it makes of old fencing numbers: honour or ignore (default honour)
+    /// how orders with outdated fencing numbers are treated: honour or ignore (default honour)
     #[argh(option, default = "Fencing::Honour")]
     fencing: Fencing,
-    /// a prompt with this text kills the process
+    /// a prompt that contains this text aborts the process
     #[argh(option)]
     poison: Option<String>,
 }
@@ -82,23 +82,24 @@
         model: a.model,
         weights: a.weights,
         blocks: a.blocks,
-        age: Duration::from_millis(a.age_ms),
+        max_idle: Duration::from_millis(a.age_ms),
         slots: a.slots,
-        prefill: Duration::from_micros(a.prefill_us),
-        chunk: a.chunk,
-        decode: Duration::from_micros(a.decode_us),
+        prefill_per_block: Duration::from_micros(a.prefill_us),
+        prefill_chunk: a.chunk,
+        decode_per_token: Duration::from_micros(a.decode_us),
         batch_penalty: a.batch_penalty,
         prefill_penalty: a.prefill_penalty,
-        lag: Duration::from_millis(a.lag_ms),
+        event_lag: Duration::from_millis(a.lag_ms),
         load_lag: Duration::from_millis(a.load_lag_ms),
-        lose: a.lose,
+        lose_every: a.lose,
         reorder: a.reorder,
-        import: Duration::from_micros(a.import_us),
-        loading: Duration::from_millis(a.load_ms),
+        import_per_block: Duration::from_micros(a.import_us),
+        load_time: Duration::from_millis(a.load_ms),
         fencing: a.fencing,
         poison: a.poison,
     });
-    let (addr, server) = standin::listen_gated(&a.listen, engine.router(), engine.gate()).await?;
+    let (addr, server) =
+        standin::listen_freezable(&a.listen, engine.router(), engine.freeze_switch()).await?;
     println!("listening {addr}");
     server.await
 }
--- a/crates/standin/examples/hosted.rs
+++ b/crates/standin/examples/hosted.rs
@@ -1,17 +1,18 @@
 //! A hosted platform with two engines and two plain replicas; for `scripts/try --platform`.
 //!
-//! Prints its addresses, a line each: the store as `listening`, then each replica by its id.
+//! Prints one address per line: the row store as `listening`, then each replica by its id.
 
 use std::error::Error;
 use std::sync::Arc;
 use std::time::Duration;
 
 use standin::hosted::replica::Replica;
-use standin::hosted::rows::Store;
+use standin::hosted::row_store::Store;
 use standin::hosted::sample::{config, entry, MODEL};
 
-/// Events of a stream, and the pause before each.
+/// Number of events in a stream.
 const EVENTS: u64 = 4;
+/// Pause before each event.
 const PAUSE: Duration = Duration::from_millis(5);
 
 #[tokio::main]
@@ -28,7 +29,7 @@
         ("plain2", "plain"),
     ] {
         let replica = Replica::new(id, EVENTS, PAUSE);
-        replica.load(MODEL, 1);
+        replica.set_version(MODEL, 1);
         let (at, served) = replica.start().await?;
         store.write("servers", id, &entry(&replica, service, at, "ready", 1));
         lines.push(format!("{id} {at}"));
--- a/crates/standin/src/hosted/rows.rs
+++ b/crates/standin/src/hosted/row_store.rs
@@ -1,4 +1,4 @@
-//! The store of rows: tables, a feed of changes, and its outages.
+//! The row store of the hosted platform: tables, a feed of changes, and injected outages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,54 +18,54 @@
 use crate::lock;
 use crate::switch::Switch;
 
-/// The table in which our processes enter themselves.
-const MEMBERS: &str = "members";
+/// The table in which processes of the router write their own addresses.
+const MEMBERS_TABLE: &str = "members";
 
-/// How the store misbehaves towards one caller or all.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It answers.
+    /// No fault.
     #[default]
     None,
-    /// It answers 503, and nothing was done.
+    /// Answers 503 without effect.
     Busy,
-    /// It says nothing.
+    /// Never answers.
     Silent,
-    /// It answers this much later.
+    /// Handles each call after this delay.
     Slow(Duration),
 }
 
-/// Rows by table and key, with their versions; none for rows that are gone.
+/// Version and value by table and key; no value for deleted rows.
 type Tables = BTreeMap<(String, String), (u64, Option<String>)>;
 
-/// A copy of the store.
+/// A backup of the store, from which it can be restored.
 #[derive(Clone, Debug)]
-pub struct Copy {
+pub struct Snapshot {
     rows: Tables,
     version: u64,
 }
 
-/// What the store's answers say of its era.
+/// The `store-era` header of the answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Named {
-    /// The era.
+pub enum EraHeader {
+    /// The current era.
     #[default]
-    True,
-    /// Nothing.
-    Nothing,
+    Current,
+    /// No header.
+    Missing,
     /// This text.
-    Text(&'static str),
+    Value(&'static str),
 }
 
 #[derive(Debug)]
 struct State {
     rows: Tables,
     version: u64,
-    /// Rises with each restore.
+    /// Incremented by each restore.
     era: u64,
-    named: Named,
-    /// Changes up to here can no longer be asked for.
-    forgotten: u64,
+    era_header: EraHeader,
+    /// The feed no longer has the changes up to this version.
+    history_start: u64,
     fault: Fault,
     calls: u64,
 }
@@ -76,21 +76,21 @@
             rows: Tables::new(),
             version: 0,
             era: 1,
-            named: Named::True,
-            forgotten: 0,
+            era_header: EraHeader::Current,
+            history_start: 0,
             fault: Fault::None,
             calls: 0,
         }
     }
 }
 
-/// A store of rows.
+/// A row store.
 #[derive(Debug)]
 pub struct Store {
     state: Mutex<State>,
     changed: Notify,
-    began: Instant,
-    /// The network between the processes that enter themselves here.
+    created: Instant,
+    /// The network between the processes in the members table, if simulated.
     switch: Mutex<Option<Arc<Switch>>>,
 }
 
@@ -99,7 +99,7 @@
         Self {
             state: Mutex::default(),
             changed: Notify::new(),
-            began: Instant::now(),
+            created: Instant::now(),
             switch: Mutex::default(),
         }
     }
@@ -116,17 +116,17 @@
         .await
     }
 
-    /// Writes a row as the operator or a replica does.
+    /// Writes a row with a JSON value, as the operator or a replica does.
     pub fn write(&self, table: &str, key: &str, value: &Value) {
         self.write_raw(table, key, value.to_string().as_bytes());
     }
 
-    /// Writes any bytes.
+    /// Writes a row with arbitrary bytes.
     pub fn write_raw(&self, table: &str, key: &str, value: &[u8]) {
         self.put(table, key, Some(base64(value)));
     }
 
-    /// Reads a row's value, if it can be read.
+    /// Reads the value of a row, if the row exists and its value is JSON.
     pub fn read(&self, table: &str, key: &str) -> Option<Value> {
         use base64::Engine as _;
         let state = lock(&self.state);
@@ -135,7 +135,7 @@
         serde_json::from_slice(&bytes.ok()?).ok()
     }
 
-    /// Version of a row; 0 if there is none.
+    /// Version of a row; 0 if it does not exist.
     fn version(&self, table: &str, key: &str) -> u64 {
         let state = lock(&self.state);
         let row = state.rows.get(&(table.to_owned(), key.to_owned()));
@@ -158,61 +158,61 @@
         self.changed.notify_waiters();
     }
 
-    /// Processes that enter themselves from now on reach one another through a switch.
+    /// Processes that register in the members table from now on reach one another through `switch`.
     pub fn set_switch(&self, switch: Arc<Switch>) {
         *lock(&self.switch) = Some(switch);
     }
 
-    /// Where others reach a process that enters itself, if there is a switch.
-    fn switched(&self, name: &str, text: &str) -> Option<String> {
+    /// The value of a members row with the address at the switch in place of that of the process.
+    fn with_switch_address(&self, name: &str, text: &str) -> Option<String> {
         use base64::Engine as _;
         let switch = lock(&self.switch).clone()?;
         let bytes = base64::engine::general_purpose::STANDARD.decode(text);
         let mut member: Value = serde_json::from_slice(&bytes.ok()?).ok()?;
         let process = member["addr"].as_str()?.parse().ok()?;
-        let addr = switch.enter(name, process).ok()?;
+        let addr = switch.register(name, process).ok()?;
         member["addr"] = addr.to_string().into();
         Some(base64(member.to_string().as_bytes()))
     }
 
-    /// Misbehaves from now on.
+    /// Sets the fault of all calls from now on.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.state).fault = fault;
         self.changed.notify_waiters();
     }
 
-    /// Drops the history of changes.
-    pub fn forget(&self) {
+    /// Drops the recorded changes; the feed answers 410 to readers that need them.
+    pub fn drop_history(&self) {
         let mut state = lock(&self.state);
-        state.forgotten = state.version;
+        state.history_start = state.version;
     }
 
-    /// A copy as of now.
-    pub fn copy(&self) -> Copy {
+    /// Takes a backup of the current state.
+    pub fn snapshot(&self) -> Snapshot {
         let state = lock(&self.state);
-        Copy {
+        Snapshot {
             rows: state.rows.clone(),
             version: state.version,
         }
     }
 
-    /// Comes back from a copy: what was written since is gone, and versions are given out again.
-    pub fn restore(&self, copy: &Copy) {
+    /// Restores a backup: later writes are lost, and their versions are assigned again.
+    pub fn restore(&self, snapshot: &Snapshot) {
         let mut state = lock(&self.state);
-        state.rows.clone_from(&copy.rows);
-        state.version = copy.version;
-        state.forgotten = state.forgotten.min(copy.version);
+        state.rows.clone_from(&snapshot.rows);
+        state.version = snapshot.version;
+        state.history_start = state.history_start.min(snapshot.version);
         state.era += 1;
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Names its era like this from now on.
-    pub fn set_named(&self, named: Named) {
-        lock(&self.state).named = named;
+    /// Sets the `store-era` header of all answers from now on.
+    pub fn set_era_header(&self, era_header: EraHeader) {
+        lock(&self.state).era_header = era_header;
     }
 
-    /// Calls that arrived.
+    /// Number of calls received.
     pub fn calls(&self) -> u64 {
         lock(&self.state).calls
     }
@@ -220,10 +220,10 @@
     async fn answer(&self, request: Request<Incoming>) -> Option<Response<Body>> {
         let mut answer = self.call(request).await?;
         let state = lock(&self.state);
-        let era = match state.named {
-            Named::True => state.era.to_string(),
-            Named::Nothing => return Some(answer),
-            Named::Text(text) => text.to_owned(),
+        let era = match state.era_header {
+            EraHeader::Current => state.era.to_string(),
+            EraHeader::Missing => return Some(answer),
+            EraHeader::Value(text) => text.to_owned(),
         };
         if let Ok(era) = HeaderValue::try_from(era) {
             answer.headers_mut().insert("store-era", era);
@@ -244,7 +244,7 @@
         let query = query(request.uri().query().unwrap_or_default());
         let text = |name: &str| query.get(name).cloned().unwrap_or_default();
         match (request.method(), request.uri().path()) {
-            (&Method::GET, "/api/rows-get") => Some(self.all(&text("table"))),
+            (&Method::GET, "/api/rows-get") => Some(self.read_table(&text("table"))),
             (&Method::GET, "/api/rows-feed") => {
                 let after = text("after").parse().ok()?;
                 let wait = text("wait_ms").parse().ok()?;
@@ -261,7 +261,7 @@
         }
     }
 
-    fn all(&self, table: &str) -> Response<Body> {
+    fn read_table(&self, table: &str) -> Response<Body> {
         let state = lock(&self.state);
         let rows = rows(&state, table, 0).filter(|r| r["deleted"].is_null());
         self.page(rows.collect(), state.version)
@@ -277,7 +277,7 @@
                     () if matches!(state.fault, Fault::Busy | Fault::Silent) => {
                         return reply(StatusCode::SERVICE_UNAVAILABLE, "")
                     }
-                    () if after < state.forgotten || after > state.version => {
+                    () if after < state.history_start || after > state.version => {
                         return reply(StatusCode::GONE, "")
                     }
                     () => {}
@@ -296,7 +296,7 @@
     }
 
     fn page(&self, rows: Vec<Value>, version: u64) -> Response<Body> {
-        let now = self.began.elapsed().as_millis() as u64 + 1;
+        let now = self.created.elapsed().as_millis() as u64 + 1;
         let page = json!({"rows": rows, "has_more": false, "ver": version, "now_ms": now});
         reply(StatusCode::OK, page.to_string())
     }
@@ -315,11 +315,11 @@
         for put in tx["put"].as_array().into_iter().flatten() {
             let text = |name: &str| put[name].as_str().unwrap_or_default().to_owned();
             let (table, key, value) = (text("table"), text("key"), text("value"));
-            let switched = (table == MEMBERS).then(|| self.switched(&key, &value));
+            let switched = (table == MEMBERS_TABLE).then(|| self.with_switch_address(&key, &value));
             self.put(&table, &key, Some(switched.flatten().unwrap_or(value)));
         }
         let version = lock(&self.state).version;
-        let now = self.began.elapsed().as_millis() as u64 + 1;
+        let now = self.created.elapsed().as_millis() as u64 + 1;
         reply(
             StatusCode::OK,
             json!({"ver": version, "now_ms": now}).to_string(),
@@ -342,7 +342,7 @@
     pairs.map(|(k, v)| (k.to_owned(), v.to_owned())).collect()
 }
 
-/// Base64 with padding, as the store's rows have it.
+/// Base64 with padding, as in the rows of the store.
 fn base64(bytes: &[u8]) -> String {
     use base64::Engine as _;
     base64::engine::general_purpose::STANDARD.encode(bytes)
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -1,32 +1,32 @@
-//! The load tool's judgement: traces, made-up traffic, streams, reuse, counts.
+//! Tests of the load tool: traces, generated traffic, streams, reuse, counts.
 
 use std::time::Duration;
 
 use assert_matches::assert_matches;
 use model::Class;
-use standin::cache::{chain, BLOCK};
-use standin::engine::{word, Change, Ran};
-use standin::load::drive::{Done, Ending, Reader};
-use standin::load::generate::{generate, Plan, User};
-use standin::load::report::{Evidence, Report, Run};
-use standin::load::reuse::{reuse, Logs};
-use standin::load::trace::{text, Arrival, Texts, TOKEN};
-use standin::service::Call;
+use standin::cache::{chain, BLOCK_BYTES};
+use standin::engine::{answer_token, Change, RunRecord};
+use standin::load::drive::{Ending, RequestResult, StreamChecker};
+use standin::load::generate::{generate, Plan, Workload};
+use standin::load::report::{Report, Run, RunData};
+use standin::load::reuse::{reuse, EngineLogs};
+use standin::load::trace::{text, Arrival, Texts, TOKEN_BYTES};
+use standin::service::RecordedCall;
 
 #[test]
-fn reads_the_line_of_the_format() {
+fn trace_line_is_read_and_written() {
     let line = r#"{"at_ms":0,"team":"t1","class":"call","path":"/v1/completions",
         "prefix":[["sys",4000],["book-7",12000]],"tail":200,"output":64,"idempotent":true}"#;
     let a: Arrival = serde_json::from_str(line).unwrap();
     assert_eq!((a.class, a.output, a.completes()), (Class::Call, 64, true));
     let prompt = Texts::default().prompt(0, &a);
-    assert_eq!(prompt.len(), (4_000 + 12_000 + 200) * TOKEN);
+    assert_eq!(prompt.len(), (4_000 + 12_000 + 200) * TOKEN_BYTES);
     let again: Arrival = serde_json::from_str(&serde_json::to_string(&a).unwrap()).unwrap();
     assert_eq!(again, a);
 }
 
 #[test]
-fn an_id_always_gives_the_same_text() {
+fn same_id_always_has_the_same_text() {
     struct Case {
         ids: [&'static str; 2],
         same: bool,
@@ -48,22 +48,22 @@
 }
 
 #[test]
-fn made_up_traffic_is_the_same_for_the_same_seed() {
+fn generated_traffic_is_the_same_for_the_same_seed() {
     struct Case {
-        user: User,
+        user: Workload,
         rate: f64,
     }
     let cases = [
         Case {
-            user: User::Association,
+            user: Workload::Association,
             rate: 50.0,
         },
         Case {
-            user: User::Alpen,
+            user: Workload::Alpen,
             rate: 20.0,
         },
         Case {
-            user: User::Hops,
+            user: Workload::Hops,
             rate: 50.0,
         },
     ];
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn a_few_teams_and_documents_take_most_of_the_traffic() {
+fn few_teams_and_documents_have_most_of_the_traffic() {
     let plan = Plan {
-        user: User::Alpen,
+        user: Workload::Alpen,
         seed: 3,
         rate: 100.0,
         seconds: 10,
@@ -96,20 +96,27 @@
         .filter(|a| a.team == "t1" || a.team == "t2")
         .count();
     assert!(large * 2 > all.len());
-    let words: Vec<_> = all.iter().filter(|a| a.completes()).collect();
-    let hot = words.iter().filter(|a| a.prefix[1].0 == "doc-0").count();
-    assert!(hot * 4 > words.len(), "{hot} of {}", words.len());
+    let completions: Vec<_> = all.iter().filter(|a| a.completes()).collect();
+    let popular = completions
+        .iter()
+        .filter(|a| a.prefix[1].0 == "doc-0")
+        .count();
+    assert!(
+        popular * 4 > completions.len(),
+        "{popular} of {}",
+        completions.len()
+    );
 }
 
 fn event(i: usize) -> String {
-    let w = word("p", i);
+    let w = answer_token("p", i);
     format!("data: {{\"choices\":[{{\"index\":0,\"text\":\"{w}\"}}]}}\n\n")
 }
 
-/// A stream reaches its caller in pieces of any size, and may be cut, mixed up or cut short as if
-/// it were whole. Only the last would go unnoticed by a caller who doesn't count.
+/// A stream arrives in chunks of any size and may be broken, mixed up with another, or truncated
+/// without an error, which a caller notices only if it counts the tokens.
 #[test]
-fn streams_are_told_apart_by_their_ends() {
+fn incomplete_streams_are_classified_by_how_they_end() {
     struct Case {
         stream: String,
         broken: bool,
@@ -156,27 +163,27 @@
     ];
     for c in cases {
         for size in [1, 7, 10_000] {
-            let mut reader = Reader::default();
-            for piece in c.stream.as_bytes().chunks(size) {
-                reader.feed(piece, "p");
+            let mut checker = StreamChecker::default();
+            for chunk in c.stream.as_bytes().chunks(size) {
+                checker.feed(chunk, "p");
             }
-            assert_eq!(reader.ending(c.broken, 2), c.ending, "{}", c.stream);
+            assert_eq!(checker.ending(c.broken, 2), c.ending, "{}", c.stream);
         }
     }
 }
 
-fn looked(at: u64, cached: usize) -> Ran {
-    Ran {
+fn searched(at: u64, cached: usize) -> RunRecord {
+    RunRecord {
         request: "r".to_owned(),
         looked: at,
         cached,
         blocks: 3,
-        ..Ran::default()
+        ..RunRecord::default()
     }
 }
 
 #[test]
-fn waste_is_what_another_live_replica_held_at_that_moment() {
+fn waste_is_what_another_replica_held_at_that_moment() {
     struct Case {
         other: &'static [(u64, Option<usize>, bool)],
         cached: usize,
@@ -208,7 +215,8 @@
             wasted: 1,
             oracle: 2,
         },
-        // It came too late, went before, went with all others, or has a gap at its front.
+        // Not wasted: stored too late, removed before, cleared with all others, or the first block
+        // is missing.
         Case {
             other: &[(11, Some(0), true)],
             cached: 0,
@@ -234,7 +242,7 @@
             oracle: 0,
         },
     ];
-    let prompt = "x".repeat(3 * BLOCK);
+    let prompt = "x".repeat(3 * BLOCK_BYTES);
     let blocks = chain("t1", prompt.as_bytes());
     for c in cases {
         let history = c.other.iter().map(|(at, block, stored)| Change {
@@ -242,16 +250,16 @@
             hash: block.map(|b| blocks[b]),
             stored: *stored,
         });
-        let own = Logs {
-            ran: vec![looked(10, c.cached)],
+        let own = EngineLogs {
+            runs: vec![searched(10, c.cached)],
             history: Vec::new(),
         };
-        let other = Logs {
-            ran: Vec::new(),
+        let other = EngineLogs {
+            runs: Vec::new(),
             history: history.collect(),
         };
         let got = reuse(&[own, other], |_| Some(blocks.clone()));
-        let tokens = (BLOCK / TOKEN) as u64;
+        let tokens = (BLOCK_BYTES / TOKEN_BYTES) as u64;
         assert_eq!(got.prompt_tokens, 3 * tokens);
         assert_eq!(
             (got.wasted_tokens, got.oracle_tokens),
@@ -260,10 +268,10 @@
     }
 }
 
-/// A request that may run only once runs twice, or runs although its caller was told that it
-/// hadn't. Callers can't see either; only the targets' logs show it.
+/// A request that may run only once runs twice, or runs although it was refused as not run. Callers
+/// can't see either; only the logs of the targets show it.
 #[test]
-fn logs_show_what_callers_cannot_see() {
+fn repeated_and_falsely_refused_runs_are_counted_from_logs() {
     struct Case {
         once: bool,
         ending: Ending,
@@ -327,7 +335,7 @@
         },
     ];
     for c in cases {
-        let done = [Done {
+        let results = [RequestResult {
             n: 0,
             id: "r".to_owned(),
             class: Class::Call,
@@ -337,22 +345,22 @@
             gaps: Vec::new(),
             ending: c.ending,
         }];
-        let ran = c.runs.iter().map(|whole| Ran {
+        let runs = c.runs.iter().map(|whole| RunRecord {
             whole: *whole,
             arrived: 1,
-            ..looked(2, 0)
+            ..searched(2, 0)
         });
-        let call = Call {
+        let call = RecordedCall {
             request: "r".to_owned(),
-            ..Call::default()
+            ..RecordedCall::default()
         };
         let report = Report::new(
             Run::default(),
-            &Evidence {
-                done: &done,
+            &RunData {
+                done: &results,
                 completes: &[true],
                 idempotent: &[!c.once],
-                ran: &ran.collect::<Vec<_>>(),
+                runs: &runs.collect::<Vec<_>>(),
                 calls: &vec![call; c.calls],
                 limit: Duration::ZERO,
             },
@@ -363,7 +371,7 @@
 }
 
 #[test]
-fn a_line_that_is_no_arrival_is_named() {
+fn malformed_trace_line_is_reported_by_number() {
     let path = std::env::temp_dir().join(format!("standin-trace-{}.jsonl", std::process::id()));
     std::fs::write(
         &path,
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: what it ran, and where it fails.
+//! Tests of the plain service stand-in: its log and its faults.
 
 mod common;
 
@@ -9,10 +9,10 @@
 
 use common::{eventually, serve};
 
-/// A service hangs before or after it has run a call. Its caller sees the same silence both
-/// times; only the service's log tells whether the record was made.
+/// A service hangs before or after it has run a call. The caller can't distinguish the two; only
+/// the log of the service shows whether the record was created.
 #[tokio::test]
-async fn a_call_hangs_before_or_after_it_ran() {
+async fn call_hangs_before_or_after_it_ran() {
     struct Case {
         faults: Faults,
         records: usize,
@@ -44,9 +44,9 @@
     for c in cases {
         let service = Service::new(Duration::ZERO);
         let at = serve(service.router()).await;
-        service.misbehave(c.faults.clone());
+        service.set_faults(c.faults.clone());
         let call = Call::post(at, "/records", "yes").header("idempotency-key", "k");
-        let call = tokio::spawn(call.header("x-request-id", "r").whole());
+        let call = tokio::spawn(call.header("x-request-id", "r").fetch());
         if c.answered {
             assert_eq!(call.await.unwrap().unwrap().0, 201);
         } else {
@@ -63,28 +63,29 @@
 }
 
 #[tokio::test]
-async fn only_records_stand_in_the_log() {
+async fn log_has_only_records() {
     let service = Service::new(Duration::ZERO);
     let at = serve(service.router()).await;
-    Call::get(at, "/quota/anand").whole().await.unwrap();
-    Call::post(at, "/records", "yes").whole().await.unwrap();
-    let (_, log) = Call::get(at, "/log").whole().await.unwrap();
+    Call::get(at, "/quota/anand").fetch().await.unwrap();
+    Call::post(at, "/records", "yes").fetch().await.unwrap();
+    let (_, log) = Call::get(at, "/log").fetch().await.unwrap();
     assert_eq!(log, r#"["yes"]"#);
     let paths: Vec<_> = service.runs().into_iter().map(|r| r.path).collect();
     assert_eq!(paths, ["/quota/anand", "/records"]);
 }
 
-/// A service dies before or after it has run a call. Both times its caller's connection breaks.
+/// A service process aborts before or after it has run a call. Either way the caller's connection
+/// breaks.
 #[tokio::test]
-async fn a_call_kills_the_process() {
+async fn call_aborts_the_process() {
     for fault in ["die_before", "die_after"] {
         let mut service = common::example("service", &[]);
         let body = format!("{{\"{fault}\":1}}");
         Call::post(service.at, "/faults", body)
-            .whole()
+            .fetch()
             .await
             .unwrap();
-        let got = Call::post(service.at, "/records", "yes").whole().await;
+        let got = Call::post(service.at, "/records", "yes").fetch().await;
         assert!(got.is_err());
         assert!(!service.child.wait().unwrap().success());
     }
