--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -42,7 +42,7 @@
         "/health/live" => (200, "live\n"),
         "/health/ready" if ready => (200, "ready\n"),
         "/health/ready" => (503, "not ready\n"),
-        _ => (404, "unknown health check\n"),
+        _ => (404, "no such question\n"),
     };
     answer(status, "text/plain", text)
 }
--- a/crates/daemon/src/entry/admin.rs
+++ b/crates/daemon/src/entry/admin.rs
@@ -112,7 +112,7 @@
         return no_platform();
     };
     if !wait_until_joined(cx).await {
-        let m = "this entry has not joined the fleet yet";
+        let m = "this entry has found no other member yet";
         return error(503, "not_joined", json!({"message": m}));
     }
     let text = change.text.clone();
@@ -244,7 +244,7 @@
 }
 
 fn no_platform() -> Response {
-    let m = "no platform is configured";
+    let m = "no platform is set";
     error(503, "platform_down", json!({"message": m}))
 }
 
--- a/crates/daemon/src/entry/completion.rs
+++ b/crates/daemon/src/entry/completion.rs
@@ -65,7 +65,7 @@
     /// Parses a body.
     pub fn parse(body: &[u8]) -> Result<Self, Problem> {
         let fields: BTreeMap<String, Box<RawValue>> = serde_json::from_slice(body)
-            .map_err(|e| bad_request(format!("body is not a JSON object: {e}")))?;
+            .map_err(|e| bad_request(format!("body is no JSON object: {e}")))?;
         let prompt = match (fields.get("prompt"), fields.get("messages")) {
             (Some(p), None) => field::<String>("prompt", p)?,
             (None, Some(m)) => {
--- a/crates/daemon/src/entry/drive.rs
+++ b/crates/daemon/src/entry/drive.rs
@@ -275,7 +275,7 @@
         let problem = Problem {
             code: f.code,
             outcome: f.outcome,
-            message: format!("request failed: {}", f.code),
+            message: format!("no answer: {}", f.code),
             retry: f.retry,
         };
         spdlog::warn!(
--- a/crates/daemon/src/entry/prepare.rs
+++ b/crates/daemon/src/entry/prepare.rs
@@ -140,7 +140,7 @@
     let path = head.uri.path();
     match path == COMPLETIONS || path == CHAT {
         true if head.method != viz::Method::POST => {
-            let m = format!("{path} accepts only POST");
+            let m = format!("{path} takes POST");
             Err(Problem::not_run(Code::BadMethod, m))
         }
         is_completion => Ok(is_completion),
@@ -190,10 +190,7 @@
     }
     match d.max_body {
         Some(max) if size as u64 > max.0 => {
-            let m = format!(
-                "body is larger than the {} bytes allowed for this request",
-                max.0
-            );
+            let m = format!("body has more than the {} bytes allowed here", max.0);
             Err(Problem::not_run(Code::TooLarge, m))
         }
         _ => Ok(d),
@@ -220,11 +217,11 @@
     match Limited::new(body, max).collect().await {
         Ok(b) => Ok(b.to_bytes()),
         Err(e) if e.is::<http_body_util::LengthLimitError>() => {
-            let m = format!("body is larger than {max} bytes");
+            let m = format!("body has more than {max} bytes");
             Err(Problem::not_run(Code::TooLarge, m))
         }
         Err(e) => {
-            let m = format!("failed to read the body: {e}");
+            let m = format!("body can't be read: {e}");
             Err(Problem::not_run(Code::BadRequest, m))
         }
     }
--- a/crates/daemon/src/meter.rs
+++ b/crates/daemon/src/meter.rs
@@ -71,27 +71,20 @@
         FEED_FAULTS,
         "calls for the target's state that failed, by path"
     );
-    describe_counter!(INQUIRIES, "queries about requests that may crash targets");
-    describe_counter!(PROBE_FAULTS, "invalid datagrams at the probe port");
-    describe_counter!(OFFER_FAULTS, "invalid datagrams in place of offers");
-    describe_counter!(OFFERS_UNASKED, "offers for which no probe is pending");
-    describe_counter!(
-        PEER_FAULTS,
-        "peer connections dropped for violating the protocol"
-    );
-    describe_counter!(
-        GOSSIP_BYTES,
-        Unit::Bytes,
-        "membership datagrams, by direction"
-    );
-    describe_counter!(GOSSIP_FAULTS, "invalid membership datagrams");
-    describe_counter!(MEMBERSHIP, "events of membership, by kind");
+    describe_counter!(INQUIRIES, "questions about requests that may crash targets");
+    describe_counter!(PROBE_FAULTS, "datagrams refused at the probe port");
+    describe_counter!(OFFER_FAULTS, "datagrams refused as offers");
+    describe_counter!(OFFERS_UNASKED, "offers that nobody waits for");
+    describe_counter!(PEER_FAULTS, "peer connections dropped for what they sent");
+    describe_counter!(GOSSIP_BYTES, Unit::Bytes, "membership datagrams, by way");
+    describe_counter!(GOSSIP_FAULTS, "membership datagrams refused");
+    describe_counter!(MEMBERSHIP, "what membership has done, by kind");
     describe_gauge!(VERSION, "version of the configuration in force");
     describe_gauge!(MEMBERS, "live members");
-    describe_gauge!(QUEUE, "requests queued here");
-    describe_gauge!(RUNNING, "requests running at the target");
-    describe_gauge!(BLOCKS, "blocks known to be in the engine's cache");
-    describe_counter!(REFUSED, "requests not dispatched to the target, by code");
+    describe_gauge!(QUEUE, "requests waiting here");
+    describe_gauge!(RUNNING, "requests at the target");
+    describe_gauge!(BLOCKS, "cached blocks known of the engine");
+    describe_counter!(REFUSED, "requests not handed over, by code");
 }
 
 /// Records the time from a request's arrival to the first event of its stream.
--- a/crates/gate/src/meter.rs
+++ b/crates/gate/src/meter.rs
@@ -83,56 +83,40 @@
 
 fn describe() {
     describe_counter!(ANSWERS, "requests answered, by status");
-    describe_counter!(
-        REFUSALS,
-        "requests refused or failed by the entry, by reason"
-    );
-    describe_counter!(FAILED_ATTEMPTS, "failed attempts, by reason");
+    describe_counter!(REFUSALS, "requests refused or failed here, by reason");
+    describe_counter!(FAILED_ATTEMPTS, "tries that came to nothing, by reason");
     describe_counter!(TARGET_CONNECTIONS, "new connections to targets");
-    describe_counter!(STREAMS, "ended streams, by how they ended");
-    describe_histogram!(
-        ANSWER_HEAD,
-        Unit::Seconds,
-        "from arrival to the answer's head"
-    );
-    describe_histogram!(
-        FIRST_EVENT,
-        Unit::Seconds,
-        "from arrival to the first event"
-    );
-    describe_histogram!(
-        ANSWER_END,
-        Unit::Seconds,
-        "from arrival to the answer's end"
-    );
-    describe_histogram!(WAITING, Unit::Seconds, "from arrival to the first attempt");
+    describe_counter!(STREAMS, "streams ended, by how");
+    describe_histogram!(ANSWER_HEAD, Unit::Seconds, "arrival to the answer's head");
+    describe_histogram!(FIRST_EVENT, Unit::Seconds, "arrival to the first event");
+    describe_histogram!(ANSWER_END, Unit::Seconds, "arrival to the answer's end");
+    describe_histogram!(WAITING, Unit::Seconds, "arrival to the first sending");
     describe_counter!(PROMPT_TOKENS, "prompt tokens, by held, fetched or read");
-    describe_histogram!(
-        LOAD_AGE,
-        Unit::Seconds,
-        "age of a target's load report when used"
-    );
+    describe_histogram!(LOAD_AGE, Unit::Seconds, "age of a used target's load");
     describe_histogram!(
         LIST_AGE,
         Unit::Seconds,
         "age of the list of targets when used"
     );
     describe_histogram!(STORE_CALL, Unit::Seconds, "calls to the store");
-    describe_gauge!(RUNNING, "requests in progress on targets");
+    describe_gauge!(RUNNING, "requests at targets");
     describe_gauge!(RETRIES_LEFT, "retries left, by pool");
     describe_counter!(ORDERS, "orders to engines, by outcome");
-    describe_counter!(ENGINE_REPORTS, "engine reports read, by kind of agent");
+    describe_counter!(
+        ENGINE_REPORTS,
+        "reports of engines that were read, by agent"
+    );
     describe_gauge!(DELEGATES, "engines that this entry is the delegate of");
     describe_counter!(
         STORE_ERAS,
         "restores of the store, and eras that can't be used"
     );
-    describe_counter!(BAD_UPDATES, "malformed datagrams");
+    describe_counter!(BAD_UPDATES, "datagrams that can't be read");
     describe_gauge!(
         CONFIGURATION_VERSION,
         "version of the configuration in force"
     );
-    describe_gauge!(MEMBERS, "other known processes");
+    describe_gauge!(MEMBERS, "other processes known");
 }
 
 /// Increments a counter by one.
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -20,10 +20,10 @@
     #[error("a request id can't be empty")]
     Empty,
     /// The string is longer than [`ID_MAX`] bytes.
-    #[error("a request id can't be longer than {ID_MAX} bytes")]
+    #[error("a request id has at most {ID_MAX} bytes")]
     Long,
     /// The string has a byte that is unsafe in logs or headers.
-    #[error("a request id can only contain visible ASCII characters")]
+    #[error("a request id holds only visible ASCII characters")]
     Char,
 }
 
