--- a/crates/policy/examples/decide.rs
+++ b/crates/policy/examples/decide.rs
@@ -1,4 +1,4 @@
-//! Time of one placement: `cargo run --release -p policy --example decide`.
+//! Measures the time of a placement decision: `cargo run --release -p policy --example decide`.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -13,15 +13,15 @@
 use rand::{Rng, SeedableRng};
 use slotmap::SlotMap;
 
-/// Blocks of one prompt; 16,000 tokens.
-const PROMPT: usize = 1_000;
+/// Blocks of a prompt: 16,000 tokens.
+const PROMPT_BLOCKS: usize = 1_000;
 const ROUNDS: usize = 20_000;
 
-fn offer(target: TargetKey, rng: &mut SmallRng) -> Offer {
+fn random_offer(target: TargetKey, rng: &mut SmallRng) -> Offer {
     Offer {
         target,
         incarnation: Incarnation(1),
-        matched: rng.random_range(0..PROMPT as u32),
+        matched: rng.random_range(0..PROMPT_BLOCKS as u32),
         wait: Micros(rng.random_range(0..1_000_000)),
         prefill: Micros(2_000),
         state: State::Serving,
@@ -30,8 +30,9 @@
     }
 }
 
-/// Chooses whom to ask, makes the probe, chooses by the answers and remembers, as an entry does.
-fn decide(replicas: u64) {
+/// Measures all steps of an entry: selects the replicas to probe, builds the marks of the probe,
+/// chooses among the offers and records the choice.
+fn measure(replicas: u64) {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut keys: SlotMap<TargetKey, ()> = SlotMap::with_key();
     let mut peer = |id| Peer {
@@ -41,20 +42,24 @@
     };
     let peers: Vec<Peer> = (0..replicas).map(&mut peer).collect();
     let chains: Vec<Vec<BlockHash>> = (0..200)
-        .map(|_| (0..PROMPT).map(|_| BlockHash(rng.random())).collect())
+        .map(|_| {
+            (0..PROMPT_BLOCKS)
+                .map(|_| BlockHash(rng.random()))
+                .collect()
+        })
         .collect();
     let config = Config::default();
     let mut recent = RecentReplicas::new(recent_replicas::Config::default());
     let start = Instant::now();
     for i in 0..ROUNDS {
         let chain = &chains[i % chains.len()];
-        let asked = replicas_to_probe(&config, chain, &peers, &recent, &mut rng);
+        let probed = replicas_to_probe(&config, chain, &peers, &recent, &mut rng);
         black_box(Marks::new(chain));
-        let offers: Vec<Offer> = asked.iter().map(|t| offer(*t, &mut rng)).collect();
+        let offers: Vec<Offer> = probed.iter().map(|t| random_offer(*t, &mut rng)).collect();
         let heat = recent.share(chain) * replicas as f64;
         let request = PlacementRequest {
             class: Class::Call,
-            blocks: PROMPT as u32,
+            blocks: PROMPT_BLOCKS as u32,
             heat,
             home: home(chain, &peers),
         };
@@ -68,6 +73,6 @@
 
 fn main() {
     for replicas in [9, 277, 830] {
-        decide(replicas);
+        measure(replicas);
     }
 }
--- a/crates/policy/examples/replay/main.rs
+++ b/crates/policy/examples/replay/main.rs
@@ -1,11 +1,15 @@
-//! Replays a trace through the decision code and prints its figures.
+//! Replays a trace through the decision code and prints the figures, as a JSON object for each load
+//! and policy.
 //!
 //! `replay WORKLOAD [TRACE] [--policy P] [--order O] [--load L] [--count N] [--seed S]`, where
 //! WORKLOAD is `association` or `alpen`, P one of `ours`, `round-robin`, `least-loaded`,
-//! `consistent-hash`, `oracle`, and a load of 1 what the oracle's engines can just do. Without a
-//! trace one is drawn; `--unit` sets that speed, to compare changes; `--write` prints it instead of replaying it. `--fault` is `slow`, `crash`
-//! (of one replica) or `entries` (all restart), at half of the trace. `--evict`, `--most`, `--away`,
-//! `--urgency` and `--probes` change the options of `place`, `--late` (ms) and `--loss` the events.
+//! `consistent-hash`, `oracle`, and O `ours` or `fifo`. A load of 1 is the speed of arrivals at
+//! which the engines under the policy `oracle` are just fully used; `--unit` sets that speed, so
+//! that replays of different code can be compared. Without TRACE, a trace is generated; `--write`
+//! prints the trace and does not replay it. `--fault` is `slow` or `crash` (of one replica) or
+//! `entries` (all restart), in the middle of the trace. `--evict`, `--most`, `--away`, `--urgency`
+//! and `--probes` set options of the placement, `--late` (ms) the delay of cache events and
+//! `--loss` the share of them that is lost.
 
 mod sim;
 
@@ -58,9 +62,9 @@
         }
         return Some(());
     }
-    let wanted = |name: &str| options.get("policy").is_none_or(|p| *p == name);
-    let given = options.get("unit").map(|u| u.parse().ok());
-    let unit = given.unwrap_or_else(|| Some(unit_speed(workload, &trace)))?;
+    let is_selected = |name: &str| options.get("policy").is_none_or(|p| *p == name);
+    let unit_option = options.get("unit").map(|u| u.parse().ok());
+    let unit = unit_option.unwrap_or_else(|| Some(unit_speed(workload, &trace)))?;
     eprintln!("replay: a load of 1 is a speed of {unit:.3}");
     let loads = options
         .get("load")
@@ -68,30 +72,30 @@
             l.split(',').map(|x| x.parse().ok()).collect()
         })?;
     for load in loads {
-        for (name, policy) in POLICIES.into_iter().filter(|(name, _)| wanted(name)) {
+        for (name, policy) in POLICIES.into_iter().filter(|(name, _)| is_selected(name)) {
             let mut setup = Setup::new(workload, policy);
             setup.speed = unit * load;
             if let Some(u) = options.get("urgency") {
                 let u: f64 = u.parse().ok()?;
-                setup.place.class_weights = [1.0, u, u * u];
+                setup.placement.class_weights = [1.0, u, u * u];
             }
             if let Some(probes) = options.get("probes") {
-                setup.place.probes = probes.parse().ok()?;
+                setup.placement.probes = probes.parse().ok()?;
             }
             if let Some(late) = options.get("late") {
-                setup.late = Micros::from_millis(late.parse().ok()?);
+                setup.event_delay = Micros::from_millis(late.parse().ok()?);
             }
             if let Some(loss) = options.get("loss") {
-                setup.loss = loss.parse().ok()?;
+                setup.event_loss = loss.parse().ok()?;
             }
             if let Some(away) = options.get("away") {
-                setup.place.off_home_share = away.parse().ok()?;
+                setup.placement.off_home_share = away.parse().ok()?;
             }
             if let Some(most) = options.get("most") {
-                setup.place.max_load_factor = most.parse().ok()?;
+                setup.placement.max_load_factor = most.parse().ok()?;
             }
             if let Some(evict) = options.get("evict") {
-                setup.place.eviction_weight = evict.parse().ok()?;
+                setup.placement.eviction_weight = evict.parse().ok()?;
             }
             match options.get("order").copied() {
                 Some("ours") => setup.order = Order::Ours,
@@ -99,17 +103,17 @@
                 _ => {}
             }
             let end = trace.last().map_or(0, |r| r.at_ms) as f64 / setup.speed;
-            let half = Micros::from_millis((end / 2.0) as u64);
+            let midpoint = Micros::from_millis((end / 2.0) as u64);
             setup.faults = match options.get("fault").copied() {
                 Some("slow") => vec![(
-                    half,
+                    midpoint,
                     Fault::Slow {
                         replica: 0,
                         factor: 10.0,
                     },
                 )],
-                Some("crash") => vec![(half, Fault::Crash { replica: 0 })],
-                Some("entries") => vec![(half, Fault::Entries)],
+                Some("crash") => vec![(midpoint, Fault::Crash { replica: 0 })],
+                Some("entries") => vec![(midpoint, Fault::Entries)],
                 _ => Vec::new(),
             };
             let report = run(&setup, &trace);
@@ -120,7 +124,7 @@
     Some(())
 }
 
-/// The speed at which the oracle's engines are just busy.
+/// The speed at which the engines under the policy `oracle` are just fully used.
 fn unit_speed(workload: Workload, trace: &[Request]) -> f64 {
     let mut setup = Setup::new(workload, Policy::Oracle);
     setup.speed = 0.3;
--- a/crates/policy/examples/replay/sim/entry.rs
+++ b/crates/policy/examples/replay/sim/entry.rs
@@ -1,4 +1,4 @@
-//! What an entry keeps between requests.
+//! State that an entry keeps between requests.
 
 use model::{Class, Micros, TargetKey};
 use policy::health::{self, Health};
@@ -6,13 +6,13 @@
 use policy::recent_replicas::{self, RecentReplicas};
 use policy::retry::{self, Budget};
 
-/// One entry.
+/// A simulated entry.
 pub(crate) struct Entry {
     pub(crate) recent: RecentReplicas,
     pub(crate) peers: Vec<Peer>,
     pub(crate) health: Health,
     pub(crate) budget: Budget,
-    pub(crate) turn: usize,
+    pub(crate) next_replica: usize,
 }
 
 impl Entry {
@@ -27,12 +27,12 @@
             peers: targets.iter().enumerate().map(peer).collect(),
             health: Health::new(health::Config::default()),
             budget: Budget::new(retry::Config::default()),
-            turn: 0,
+            next_replica: 0,
         }
     }
 }
 
-/// How long a caller of a class waits for the first token.
+/// Time limit of a class for the first token.
 pub(crate) fn deadline(class: Class) -> Micros {
     match class {
         Class::Call => Micros::from_secs(10),
--- a/crates/policy/examples/replay/sim/mod.rs
+++ b/crates/policy/examples/replay/sim/mod.rs
@@ -1,8 +1,8 @@
 //! Replay of a trace through the decision code, in virtual time.
 //!
-//! The engines are small fakes: a bounded cache with least-recently-used eviction, one prefill at a
-//! time, a number of decode slots, and events that come late and with losses. Everything is drawn
-//! from one seed, so that a run gives the same figures each time.
+//! The engines are simulated: a bounded cache with least-recently-used eviction, one prefill at a
+//! time, a number of decode slots, and events that are delayed and partly lost. All random choices
+//! come from one seed, so that each run gives the same figures.
 
 pub(crate) mod engine;
 pub(crate) mod entry;
--- a/crates/policy/examples/replay/sim/run.rs
+++ b/crates/policy/examples/replay/sim/run.rs
@@ -1,4 +1,4 @@
-//! The replay itself: a queue of events in virtual time.
+//! The simulation loop: a queue of steps, run in the order of virtual time.
 
 mod faults;
 
@@ -18,39 +18,56 @@
 use super::entry::{deadline, Entry};
 use super::report::{End, Record, Report};
 use super::setup::{Fault, Order, Policy, Setup};
-use super::sidecar::{Ask, Sidecar};
+use super::sidecar::{RequestSpec, Sidecar};
 use super::trace::{Prompt, Request};
 
-/// One way between failure domains, and within one.
-const WAY: [Micros; 2] = [Micros(1_000), Micros(100)];
-/// The part of a trace that only warms the caches.
-const WARM: f64 = 0.25;
+/// One-way network delay between failure domains, and within one.
+const NETWORK_DELAY: [Micros; 2] = [Micros(1_000), Micros(100)];
+/// The share of a trace that only warms the caches and is not counted.
+const WARMUP_SHARE: f64 = 0.25;
 
+/// A scheduled step. Numbers are indexes of requests and replicas, and incarnations of engines: a
+/// step of an earlier incarnation is skipped.
 enum Step {
+    /// A request arrives at its entry.
     Arrive(usize),
+    /// The probes of a request arrive at the sidecars.
     Probe(usize),
-    Open(usize, usize),
-    Pump(usize),
+    /// A request arrives at a replica.
+    Enqueue(usize, usize),
+    /// A replica removes expired requests and dispatches waiting ones.
+    Dispatch(usize),
+    /// The prefill that runs on a replica, under this incarnation, ends.
     Prefilled(usize, u64),
+    /// A replica, under this incarnation, ends the decoding of a request.
     Decoded(usize, u64, usize),
-    Tell(usize, Vec<Event>),
+    /// Cache events of a replica arrive at the sidecar.
+    ApplyEvents(usize, Vec<Event>),
+    /// The sidecar of a replica reads the whole cache list.
     Snapshot(usize),
+    /// A fault of the setup occurs.
     Fault(Fault),
 }
 
-struct Live {
-    at: Micros,
+/// State of a request, from its arrival through all attempts.
+struct RequestState {
+    arrived: Micros,
     prompt: Rc<Prompt>,
-    ask: Ask,
+    spec: RequestSpec,
     entry: usize,
-    asked: Vec<usize>,
+    probed: Vec<usize>,
+    /// Replicas that have not been attempted, in the order of preference.
     choices: Vec<usize>,
+    /// Wait that the chosen replica offered.
     wait: Micros,
+    /// Expected time to the first token without the wait.
     expected: Micros,
     attempt: u32,
+    /// Estimated work, set when the request is dispatched.
     work: Micros,
 }
 
+/// State of the simulation.
 struct Replay<'a> {
     setup: &'a Setup,
     trace: &'a [Request],
@@ -60,12 +77,12 @@
     entries: Vec<Entry>,
     engines: Vec<Engine>,
     sidecars: Vec<Sidecar>,
-    live: Vec<Live>,
+    requests: Vec<RequestState>,
     rng: SmallRng,
     report: Report,
 }
 
-/// Replays a trace.
+/// Replays a trace and returns the figures.
 pub(crate) fn run(setup: &Setup, trace: &[Request]) -> Report {
     let mut replay = Replay::new(setup, trace);
     while let Some(Reverse((now, step))) = replay.heap.pop() {
@@ -73,12 +90,12 @@
             replay.step(now, step);
         }
     }
-    let from = (trace.len() as f64 * WARM) as usize;
-    let at = |i: usize| replay.live.get(i).map_or(Micros::ZERO, |l| l.at);
-    let span = at(trace.len() - 1).since(at(from));
+    let from = (trace.len() as f64 * WARMUP_SHARE) as usize;
+    let arrived = |i: usize| replay.requests.get(i).map_or(Micros::ZERO, |r| r.arrived);
+    let span = arrived(trace.len() - 1).since(arrived(from));
     let classes: Vec<Class> = trace.iter().map(|r| r.class).collect();
-    replay.report.close(from, span, setup.replicas);
-    replay.report.judge(&classes, from, span);
+    replay.report.summarize_engines(from, span, setup.replicas);
+    replay.report.summarize_outcomes(&classes, from, span);
     replay.report
 }
 
@@ -86,8 +103,10 @@
     fn new(setup: &'a Setup, trace: &'a [Request]) -> Self {
         let mut keys: SlotMap<TargetKey, ()> = SlotMap::with_key();
         let targets: Vec<_> = (0..setup.replicas).map(|_| keys.insert(())).collect();
-        let token = Micros(setup.engine.gap.0 / u64::from(setup.engine.slots));
-        let sidecar = |t: &TargetKey| Sidecar::new(*t, setup.engine.prefill, token);
+        let decode_per_token =
+            Micros(setup.engine.token_interval.0 / u64::from(setup.engine.slots));
+        let sidecar =
+            |t: &TargetKey| Sidecar::new(*t, setup.engine.prefill_per_block, decode_per_token);
         let mut replay = Self {
             setup,
             trace,
@@ -97,18 +116,19 @@
             engines: targets.iter().map(|_| Engine::new(setup.engine)).collect(),
             sidecars: targets.iter().map(sidecar).collect(),
             targets,
-            live: Vec::new(),
+            requests: Vec::new(),
             rng: SmallRng::seed_from_u64(setup.seed),
             report: Report::new(trace.len()),
         };
-        replay.load();
+        replay.schedule_arrivals();
         for (at, fault) in &setup.faults {
             replay.push(*at, Step::Fault(*fault));
         }
         replay
     }
 
-    fn load(&mut self) {
+    /// Creates the state of all requests and schedules their arrival.
+    fn schedule_arrivals(&mut self) {
         let mut teams: SlotMap<TeamKey, ()> = SlotMap::with_key();
         let mut names = std::collections::HashMap::new();
         for (i, request) in self.trace.iter().enumerate() {
@@ -116,7 +136,7 @@
             let team = *names.entry(name).or_insert_with(|| teams.insert(()));
             let at = Micros((request.at_ms as f64 * 1_000.0 / self.setup.speed) as u64);
             let prompt = request.prompt(i);
-            let ask = Ask {
+            let spec = RequestSpec {
                 request: i,
                 team,
                 class: request.class,
@@ -124,12 +144,12 @@
                 output: request.output,
                 deadline: at + deadline(request.class),
             };
-            self.live.push(Live {
-                at,
+            self.requests.push(RequestState {
+                arrived: at,
                 prompt,
-                ask,
+                spec,
                 entry: self.rng.random_range(0..self.setup.entries),
-                asked: Vec::new(),
+                probed: Vec::new(),
                 choices: Vec::new(),
                 wait: Micros::ZERO,
                 expected: Micros::ZERO,
@@ -149,70 +169,72 @@
         match step {
             Step::Arrive(i) => self.arrive(now, i),
             Step::Probe(i) => self.probe(now, i),
-            Step::Open(i, r) => self.open(now, i, r),
-            Step::Pump(r) => self.pump(now, r),
-            Step::Prefilled(r, life) if self.engines[r].life.0 == life => self.prefilled(now, r),
-            Step::Decoded(r, life, i) if self.engines[r].life.0 == life => {
-                self.engines[r].decoded(i);
-                let work = self.live[i].work;
-                self.sidecars[r].finished(now, work);
-                self.pump(now, r);
+            Step::Enqueue(i, r) => self.enqueue(now, i, r),
+            Step::Dispatch(r) => self.dispatch_waiting(now, r),
+            Step::Prefilled(r, incarnation) if self.engines[r].incarnation.0 == incarnation => {
+                self.prefilled(now, r)
+            }
+            Step::Decoded(r, incarnation, i) if self.engines[r].incarnation.0 == incarnation => {
+                self.engines[r].finish_decode(i);
+                let work = self.requests[i].work;
+                self.sidecars[r].record_finished(now, work);
+                self.dispatch_waiting(now, r);
             }
             Step::Prefilled(..) | Step::Decoded(..) => {}
-            Step::Tell(r, events) => self.tell(now, r, events),
+            Step::ApplyEvents(r, events) => self.apply_events(now, r, events),
             Step::Snapshot(r) => {
-                let (life, seq, blocks) = self.engines[r].snapshot();
-                let _ = self.sidecars[r].index.reset(now, life, seq, blocks);
+                let (incarnation, seq, blocks) = self.engines[r].snapshot();
+                let _ = self.sidecars[r].index.reset(now, incarnation, seq, blocks);
             }
             Step::Fault(fault) => self.fault(now, fault),
         }
     }
 
-    fn way(&self, entry: usize, replica: usize) -> Micros {
+    fn network_delay(&self, entry: usize, replica: usize) -> Micros {
         let domains = self.setup.domains;
-        WAY[usize::from(entry % domains == replica % domains)]
+        NETWORK_DELAY[usize::from(entry % domains == replica % domains)]
     }
 
     fn arrive(&mut self, now: Micros, i: usize) {
-        let entry = self.live[i].entry;
-        if self.live[i].attempt == 0 {
+        let entry = self.requests[i].entry;
+        if self.requests[i].attempt == 0 {
             self.entries[entry].budget.record_first_attempt();
         }
         match self.setup.policy {
             Policy::Ours => {
-                self.live[i].asked = self.candidates(now, i);
-                self.push(now + WAY[0], Step::Probe(i));
+                self.requests[i].probed = self.replicas_to_probe(now, i);
+                self.push(now + NETWORK_DELAY[0], Step::Probe(i));
             }
-            Policy::Oracle => self.push(now + WAY[0], Step::Probe(i)),
+            Policy::Oracle => self.push(now + NETWORK_DELAY[0], Step::Probe(i)),
             Policy::RoundRobin => {
-                let turn = &mut self.entries[entry].turn;
-                *turn += 1;
-                let replica = *turn % self.setup.replicas;
-                self.send(now, i, vec![replica]);
+                let next_replica = &mut self.entries[entry].next_replica;
+                *next_replica += 1;
+                let replica = *next_replica % self.setup.replicas;
+                self.send_in_order(now, i, vec![replica]);
             }
             Policy::LeastLoaded => {
                 let load = |r: &usize| self.engines[*r].load() + self.sidecars[*r].queue.len();
                 let first = self.rng.random_range(0..self.setup.replicas);
-                let turned = (0..self.setup.replicas).map(|r| (r + first) % self.setup.replicas);
-                let least = turned.min_by_key(load).unwrap_or(0);
-                self.send(now, i, vec![least]);
+                let rotated = (0..self.setup.replicas).map(|r| (r + first) % self.setup.replicas);
+                let least = rotated.min_by_key(load).unwrap_or(0);
+                self.send_in_order(now, i, vec![least]);
             }
             Policy::ConsistentHash => {
-                let chain = &self.live[i].prompt.chain;
+                let chain = &self.requests[i].prompt.chain;
                 let key = levels(chain).next().map_or(BlockHash(0), |m| m.hash);
                 let best = (0..self.setup.replicas).max_by_key(|r| rank(key, *r as u64));
-                self.send(now, i, vec![best.unwrap_or(0)]);
+                self.send_in_order(now, i, vec![best.unwrap_or(0)]);
             }
         }
     }
 
-    fn candidates(&mut self, now: Micros, i: usize) -> Vec<usize> {
-        let entry = &self.entries[self.live[i].entry];
+    fn replicas_to_probe(&mut self, now: Micros, i: usize) -> Vec<usize> {
+        let entry = &self.entries[self.requests[i].entry];
         let usable = |p: &&Peer| entry.health.usable(now, p.target) != Use::Out;
         let peers: Vec<Peer> = entry.peers.iter().filter(usable).copied().collect();
-        let chain = &self.live[i].prompt.chain;
+        let chain = &self.requests[i].prompt.chain;
         let chosen = replicas_to_probe(
-            &self.setup.place,
+            &self.setup.placement,
             chain,
             &peers,
             &entry.recent,
@@ -226,26 +248,26 @@
     }
 
     fn probe(&mut self, now: Micros, i: usize) {
-        let (prompt, ask) = (self.live[i].prompt.clone(), self.live[i].ask);
-        let known = self.entries[self.live[i].entry]
+        let (prompt, spec) = (self.requests[i].prompt.clone(), self.requests[i].spec);
+        let known = self.entries[self.requests[i].entry]
             .recent
             .longest(&prompt.chain);
         let marks = Marks::with(&prompt.chain, known.map(|(m, _)| m.blocks));
         let oracle = self.setup.policy == Policy::Oracle;
-        let asked = match oracle {
+        let probed = match oracle {
             true => (0..self.setup.replicas).collect(),
-            false => self.live[i].asked.clone(),
+            false => self.requests[i].probed.clone(),
         };
         let mut offers: Vec<Offer> = Vec::new();
-        for r in asked {
-            let mut offer = self.sidecars[r].offer(now, &ask, &marks);
+        for r in probed {
+            let mut offer = self.sidecars[r].answer_probe(now, &spec, &marks);
             if oracle {
-                let told = self.sidecars[r].index.matched_chain(&prompt.chain);
-                offer.matched = self.engines[r].cached(&prompt.chain).max(told);
+                let indexed = self.sidecars[r].index.matched_chain(&prompt.chain);
+                offer.matched = self.engines[r].cached_blocks(&prompt.chain).max(indexed);
             }
             offers.push(offer);
         }
-        let entry = self.live[i].entry;
+        let entry = self.requests[i].entry;
         for offer in &offers {
             let peers = self.entries[entry].peers.iter_mut();
             for peer in peers.filter(|p| p.target == offer.target) {
@@ -254,75 +276,78 @@
         }
         let share = self.entries[entry].recent.share(&prompt.chain);
         let request = probe_placement::PlacementRequest {
-            class: ask.class,
-            blocks: ask.blocks,
+            class: spec.class,
+            blocks: spec.blocks,
             heat: share * self.setup.replicas as f64,
             home: probe_placement::home(&prompt.chain, &self.entries[entry].peers),
         };
         self.entries[entry].recent.record_request(&prompt.chain);
-        let way = |t| self.way(entry, self.replica(t));
-        let choices = choose(&self.setup.place, &request, &offers, way);
+        let network_delay = |t| self.network_delay(entry, self.replica(t));
+        let choices = choose(&self.setup.placement, &request, &offers, network_delay);
         let least = offers.iter().map(|o| o.prefill).min().unwrap_or_default();
         if let Some(best) = choices.first() {
-            let told = offers.iter().find(|o| o.target == best.target);
-            let missing = u64::from((ask.blocks - best.matched).max(1));
-            self.live[i].wait = told.map_or(Micros::ZERO, |o| o.wait);
-            self.live[i].expected = Micros(least.0 * missing) + WAY[0];
+            let offer = offers.iter().find(|o| o.target == best.target);
+            let missing = u64::from((spec.blocks - best.matched).max(1));
+            self.requests[i].wait = offer.map_or(Micros::ZERO, |o| o.wait);
+            self.requests[i].expected = Micros(least.0 * missing) + NETWORK_DELAY[0];
             self.entries[entry]
                 .recent
                 .record_use(&prompt.chain, best.target);
             self.entries[entry].health.start_trial(now, best.target);
         }
         let order: Vec<usize> = choices.iter().map(|c| self.replica(c.target)).collect();
-        self.send(now + WAY[0], i, order);
+        self.send_in_order(now + NETWORK_DELAY[0], i, order);
     }
 
-    fn send(&mut self, now: Micros, i: usize, order: Vec<usize>) {
-        self.live[i].choices = order;
-        self.send_next(now, i);
+    /// Sends a request to the first of the given replicas that accepts it.
+    fn send_in_order(&mut self, now: Micros, i: usize, order: Vec<usize>) {
+        self.requests[i].choices = order;
+        self.try_next_choice(now, i);
     }
 
-    fn send_next(&mut self, now: Micros, i: usize) {
-        match self.live[i].choices.is_empty() {
+    fn try_next_choice(&mut self, now: Micros, i: usize) {
+        match self.requests[i].choices.is_empty() {
             true => self.report.end(i, End::Refused),
             false => {
-                let r = self.live[i].choices.remove(0);
-                let way = self.way(self.live[i].entry, r);
-                self.push(now + way, Step::Open(i, r));
+                let r = self.requests[i].choices.remove(0);
+                let network_delay = self.network_delay(self.requests[i].entry, r);
+                self.push(now + network_delay, Step::Enqueue(i, r));
             }
         }
     }
 
-    fn open(&mut self, now: Micros, i: usize, r: usize) {
-        let (prompt, ask) = (self.live[i].prompt.clone(), self.live[i].ask);
+    fn enqueue(&mut self, now: Micros, i: usize, r: usize) {
+        let (prompt, spec) = (self.requests[i].prompt.clone(), self.requests[i].spec);
         match self.setup.order {
-            Order::Fifo => self.hand(now, i, r),
-            Order::Ours => match self.sidecars[r].open(now, ask, &prompt.chain) {
+            Order::Fifo => self.start_on_engine(now, i, r),
+            Order::Ours => match self.sidecars[r].enqueue(now, spec, &prompt.chain) {
                 Ok(()) => {
                     if let Some(at) = self.sidecars[r].queue.next_expiry() {
-                        self.push(at, Step::Pump(r));
+                        self.push(at, Step::Dispatch(r));
                     }
                 }
-                Err(_) => self.send_next(now + self.way(self.live[i].entry, r), i),
+                Err(_) => {
+                    self.try_next_choice(now + self.network_delay(self.requests[i].entry, r), i)
+                }
             },
         }
-        self.pump(now, r);
+        self.dispatch_waiting(now, r);
     }
 
-    fn hand(&mut self, now: Micros, i: usize, r: usize) {
+    fn start_on_engine(&mut self, now: Micros, i: usize, r: usize) {
         let job = Job {
             request: i,
-            prompt: self.live[i].prompt.clone(),
+            prompt: self.requests[i].prompt.clone(),
             scope: self.trace[i].team.as_str().into(),
             output: self.trace[i].output,
-            handed: now,
+            dispatched_at: now,
         };
-        self.engines[r].hand(job);
+        self.engines[r].enqueue(job);
     }
 
-    fn pump(&mut self, now: Micros, r: usize) {
+    fn dispatch_waiting(&mut self, now: Micros, r: usize) {
         for (i, late) in self.sidecars[r].expire(now) {
-            let after = now.since(self.live[i].at);
+            let after = now.since(self.requests[i].arrived);
             let end = match late {
                 true => End::Expired { after },
                 false => End::Returned { after },
@@ -330,19 +355,21 @@
             self.report.end(i, end);
         }
         let slots = self.setup.engine.slots;
-        while let Some(handed) = self.sidecars[r].next(now, self.engines[r].load(), slots) {
-            self.live[handed.request].work = handed.work;
-            self.hand(now, handed.request, r);
+        while let Some(dispatched) =
+            self.sidecars[r].dispatch_next(now, self.engines[r].load(), slots)
+        {
+            self.requests[dispatched.request].work = dispatched.work;
+            self.start_on_engine(now, dispatched.request, r);
         }
-        if let Some(took) = self.engines[r].start() {
-            self.note_start(r);
-            let life = self.engines[r].life.0;
-            self.push(now + took, Step::Prefilled(r, life));
+        if let Some(duration) = self.engines[r].start_prefill() {
+            self.record_prefill(r);
+            let incarnation = self.engines[r].incarnation.0;
+            self.push(now + duration, Step::Prefilled(r, incarnation));
         }
     }
 
-    /// Records what the prefill that begins recomputes.
-    fn note_start(&mut self, r: usize) {
+    /// Records the blocks that the prefill which has just started recomputes.
+    fn record_prefill(&mut self, r: usize) {
         let Some(prefill) = &self.engines[r].prefill else {
             return;
         };
@@ -350,18 +377,18 @@
         let best = self
             .engines
             .iter()
-            .map(|e| e.cached(chain))
+            .map(|e| e.cached_blocks(chain))
             .max()
             .unwrap_or(0);
-        self.report.ran(
+        self.report.record_run(
             prefill.job.request,
             Record {
                 blocks: chain.len() as u32,
-                cached: prefill.cached,
-                wasted: best.saturating_sub(prefill.cached),
-                prefill: prefill.took,
+                cached: prefill.cached_blocks,
+                wasted: best.saturating_sub(prefill.cached_blocks),
+                prefill: prefill.duration,
                 decode: Micros(
-                    self.setup.engine.gap.0 * u64::from(prefill.job.output)
+                    self.setup.engine.token_interval.0 * u64::from(prefill.job.output)
                         / u64::from(self.setup.engine.slots),
                 ),
             },
@@ -369,48 +396,49 @@
     }
 
     fn prefilled(&mut self, now: Micros, r: usize) {
-        let Some((done, decode)) = self.engines[r].prefilled() else {
+        let Some((done, decode)) = self.engines[r].finish_prefill() else {
             return;
         };
         let i = done.job.request;
-        let blocks = (done.job.prompt.chain.len() as u32 - done.cached).max(1);
+        let blocks = (done.job.prompt.chain.len() as u32 - done.cached_blocks).max(1);
         if self.setup.order == Order::Ours {
-            self.sidecars[r].prefilled(now, blocks, done.took, done.job.handed);
+            self.sidecars[r].record_first_token(now, blocks, done.duration, done.job.dispatched_at);
         }
-        let entry = self.live[i].entry;
-        let first = now + self.way(entry, r);
-        let ttft = first.since(self.live[i].at);
-        let in_time = first <= self.live[i].ask.deadline;
+        let entry = self.requests[i].entry;
+        let first = now + self.network_delay(entry, r);
+        let ttft = first.since(self.requests[i].arrived);
+        let in_time = first <= self.requests[i].spec.deadline;
         self.report.end(i, End::Served { ttft, in_time });
         let sample = health::Sample::Answered {
-            wait: self.live[i].wait,
-            expected: self.live[i].expected,
+            wait: self.requests[i].wait,
+            expected: self.requests[i].expected,
             took: ttft,
         };
         self.entries[entry]
             .health
             .record(now, self.targets[r], sample);
-        let life = self.engines[r].life.0;
-        self.push(now + decode, Step::Decoded(r, life, i));
+        let incarnation = self.engines[r].incarnation.0;
+        self.push(now + decode, Step::Decoded(r, incarnation, i));
         self.publish(now, r);
-        self.pump(now, r);
+        self.dispatch_waiting(now, r);
     }
 
+    /// Sends the cache events of a replica to its sidecar, except for those that are lost.
     fn publish(&mut self, now: Micros, r: usize) {
-        let loss = self.setup.loss;
+        let loss = self.setup.event_loss;
         let mut events = std::mem::take(&mut self.engines[r].events);
         events.retain(|_| !self.rng.random_bool(loss));
         if self.setup.order == Order::Ours {
-            self.push(now + self.setup.late, Step::Tell(r, events));
+            self.push(now + self.setup.event_delay, Step::ApplyEvents(r, events));
         }
     }
 
-    fn tell(&mut self, now: Micros, r: usize, events: Vec<Event>) {
+    fn apply_events(&mut self, now: Micros, r: usize, events: Vec<Event>) {
         for event in events {
             let _ = self.sidecars[r].index.apply(now, event);
         }
         if self.sidecars[r].index.tick(now) == Need::Snapshot {
-            self.push(now + self.setup.late, Step::Snapshot(r));
+            self.push(now + self.setup.event_delay, Step::Snapshot(r));
         }
     }
 }
--- a/crates/policy/examples/replay/sim/run/faults.rs
+++ b/crates/policy/examples/replay/sim/run/faults.rs
@@ -1,9 +1,9 @@
-//! What goes wrong in a replay, and what is tried again.
+//! Faults in a replay, and retries of the requests that were lost.
 
 use model::{Attempt, Micros, Outcome};
 use policy::retry::Failure;
 
-use super::{Replay, Step, WAY};
+use super::{Replay, Step, NETWORK_DELAY};
 use crate::sim::entry::Entry;
 use crate::sim::report::End;
 use crate::sim::setup::Fault;
@@ -11,7 +11,7 @@
 impl Replay<'_> {
     pub(super) fn fault(&mut self, now: Micros, fault: Fault) {
         match fault {
-            Fault::Slow { replica, factor } => self.engines[replica].slow = factor,
+            Fault::Slow { replica, factor } => self.engines[replica].slowdown = factor,
             Fault::Entries => {
                 self.entries = (0..self.setup.entries)
                     .map(|_| Entry::new(&self.targets))
@@ -20,33 +20,34 @@
             Fault::Crash { replica } => {
                 let lost = self.engines[replica].crash();
                 self.publish(now, replica);
-                let queued = self.sidecars[replica].crashed();
+                let queued = self.sidecars[replica].reset_after_crash();
                 for i in lost {
-                    // What was answered in part is resumed; that isn't replayed here.
+                    // A partial answer is resumed by the daemon; the replay does not simulate that.
                     if !self.report.is_ended(i) {
-                        self.again(now, i, Outcome::Unknown);
+                        self.retry(now, i, Outcome::Unknown);
                     }
                 }
-                for ask in queued {
-                    self.again(now, ask.request, Outcome::NotRun);
+                for spec in queued {
+                    self.retry(now, spec.request, Outcome::NotRun);
                 }
             }
         }
     }
 
-    fn again(&mut self, now: Micros, i: usize, outcome: Outcome) {
+    /// Retries a failed request if the retry policy allows it, else ends it as lost.
+    fn retry(&mut self, now: Micros, i: usize, outcome: Outcome) {
         let failure = Failure {
-            attempt: Attempt(self.live[i].attempt),
+            attempt: Attempt(self.requests[i].attempt),
             outcome,
             idempotent: self.trace[i].idempotent,
-            deadline: self.live[i].ask.deadline,
+            deadline: self.requests[i].spec.deadline,
             least: Micros::ZERO,
         };
-        let entry = self.live[i].entry;
+        let entry = self.requests[i].entry;
         match self.entries[entry].budget.allow_retry(now, &failure) {
             Ok(()) => {
-                self.live[i].attempt += 1;
-                self.push(now + WAY[0], Step::Arrive(i));
+                self.requests[i].attempt += 1;
+                self.push(now + NETWORK_DELAY[0], Step::Arrive(i));
             }
             Err(_) => self.report.end(i, End::Lost),
         }
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -1,4 +1,4 @@
-//! A sidecar as the replay drives it: the decision modules wired together as in the daemon.
+//! A simulated sidecar: the decision modules combined as in the daemon.
 
 use model::{BlockHash, Class, Micros, TargetKey, TeamKey};
 use policy::admit::{self, admit, Arrival, DrainRate, Refusal};
@@ -10,9 +10,9 @@
 use policy::utilization::Utilization;
 use prefix::{Index, Marks};
 
-/// What a sidecar knows of a request.
+/// The properties of a request that a sidecar decides by.
 #[derive(Clone, Copy)]
-pub(crate) struct Ask {
+pub(crate) struct RequestSpec {
     pub(crate) request: usize,
     pub(crate) team: TeamKey,
     pub(crate) class: Class,
@@ -23,39 +23,43 @@
 
 /// A request in the queue.
 pub(crate) struct Waiting {
-    pub(crate) ask: Ask,
+    pub(crate) spec: RequestSpec,
     marks: Marks,
     chain: Vec<BlockHash>,
 }
 
-/// A request handed to the engine.
+/// A request that is dispatched to the engine, with its estimated work.
 #[derive(Clone, Copy)]
-pub(crate) struct Handed {
+pub(crate) struct Dispatched {
     pub(crate) request: usize,
     pub(crate) work: Micros,
 }
 
-/// The decisions beside one engine.
+/// The sidecar of one engine.
 pub(crate) struct Sidecar {
     pub(crate) target: TargetKey,
     pub(crate) index: Index,
     pub(crate) queue: Queue<Waiting>,
     pub(crate) cost: Cost,
-    admit: admit::Config,
-    reserve: Reservations<usize>,
-    drain: DrainRate,
-    prefills: Limit,
-    busy: Utilization,
+    admission: admit::Config,
+    reservations: Reservations<usize>,
+    drain_rate: DrainRate,
+    prefill_limit: Limit,
+    utilization: Utilization,
     prefilling: u32,
-    /// When the prefills handed over should be done.
-    until: Micros,
+    /// Time at which the dispatched prefills are expected to be done.
+    prefills_done_at: Micros,
 }
 
 impl Sidecar {
-    pub(crate) fn new(target: TargetKey, block: Micros, token: Micros) -> Self {
+    pub(crate) fn new(
+        target: TargetKey,
+        prefill_per_block: Micros,
+        decode_per_token: Micros,
+    ) -> Self {
         let cost = cost::Config {
-            initial: block,
-            decode_per_token: token,
+            initial: prefill_per_block,
+            decode_per_token,
             ..cost::Config::default()
         };
         Self {
@@ -63,28 +67,28 @@
             index: Index::new(prefix::Config::default(), "m", "1"),
             queue: Queue::new(queue::Config::default()),
             cost: Cost::new(cost),
-            admit: admit::Config::default(),
-            reserve: Reservations::new(reserve::Config::default()),
-            drain: DrainRate::default(),
-            prefills: Limit::new(concurrency::Config::prefill()),
+            admission: admit::Config::default(),
+            reservations: Reservations::new(reserve::Config::default()),
+            drain_rate: DrainRate::default(),
+            prefill_limit: Limit::new(concurrency::Config::prefill()),
             prefilling: 0,
-            until: Micros::ZERO,
-            busy: Utilization::default(),
+            prefills_done_at: Micros::ZERO,
+            utilization: Utilization::default(),
         }
     }
 
-    /// Answers a probe.
-    pub(crate) fn offer(&mut self, now: Micros, ask: &Ask, marks: &Marks) -> Offer {
+    /// Answers a probe with an offer; if it would admit the request, reserves capacity for it.
+    pub(crate) fn answer_probe(&mut self, now: Micros, spec: &RequestSpec, marks: &Marks) -> Offer {
         let matched = self.index.matched(marks);
-        let work = self.work(ask, matched);
-        let wait = self.wait(now, ask, work);
-        let verdict = self.admission(now, ask, wait, matched);
-        let state = match verdict {
+        let work = self.work(spec, matched);
+        let wait = self.expected_wait(now, spec, work);
+        let decision = self.check_admission(now, spec, wait, matched);
+        let state = match decision {
             Ok(()) => State::Serving,
             Err(_) => State::Full,
         };
         if state == State::Serving {
-            self.reserve.hold(now, ask.request, work);
+            self.reservations.hold(now, spec.request, work);
         }
         Offer {
             target: self.target,
@@ -93,34 +97,34 @@
             wait,
             prefill: self.cost.prefill_per_block(),
             state,
-            busy: self.busy.get(now, ask.class),
+            busy: self.utilization.get(now, spec.class),
             load: self.queue.len() as u32 + self.prefilling,
         }
     }
 
-    /// Takes a request in, or refuses it at once.
-    pub(crate) fn open(
+    /// Queues a request, or refuses it at once.
+    pub(crate) fn enqueue(
         &mut self,
         now: Micros,
-        ask: Ask,
+        spec: RequestSpec,
         chain: &[BlockHash],
     ) -> Result<(), Refusal> {
-        self.reserve.release(ask.request);
+        self.reservations.release(spec.request);
         let _ = self.index.tick(now);
         let matched = self.index.matched_chain(chain);
-        let work = self.work(&ask, matched);
-        let wait = self.wait(now, &ask, work);
-        self.admission(now, &ask, wait, matched)?;
+        let work = self.work(&spec, matched);
+        let wait = self.expected_wait(now, &spec, work);
+        self.check_admission(now, &spec, wait, matched)?;
         self.index.expect(now + wait, chain);
         self.queue.push(Job {
-            team: ask.team,
+            team: spec.team,
             weight: 1,
-            class: ask.class,
+            class: spec.class,
             work,
             arrived: now,
-            deadline: ask.deadline,
+            deadline: spec.deadline,
             payload: Waiting {
-                ask,
+                spec,
                 marks: Marks::new(chain),
                 chain: chain.to_vec(),
             },
@@ -128,97 +132,121 @@
         Ok(())
     }
 
-    /// Takes out what can't be answered in time any more, `true`, or won't be.
+    /// Removes the requests whose deadline can no longer be met (`true`) and those that are
+    /// not expected to be served in time (`false`).
     pub(crate) fn expire(&mut self, now: Micros) -> Vec<(usize, bool)> {
-        let (drain, until) = (self.drain, self.until.since(now));
+        let (drain_rate, prefill_left) = (self.drain_rate, self.prefills_done_at.since(now));
         let late = self.queue.expire(now);
         let (index, cost) = (&self.index, &self.cost);
-        let wait = |work| drain.wait(work) + until;
-        let hopeless = self.queue.review(now, wait, |job| {
-            let Waiting { ask, marks, .. } = &job.payload;
-            cost.work(ask.blocks - index.held(marks), ask.output)
+        let wait = |work| drain_rate.wait(work) + prefill_left;
+        let refused = self.queue.review(now, wait, |job| {
+            let Waiting { spec, marks, .. } = &job.payload;
+            cost.work(spec.blocks - index.held(marks), spec.output)
         });
         let late = late.into_iter().map(|job| (job, true));
-        let jobs = late.chain(hopeless.into_iter().map(|(job, _)| (job, false)));
-        jobs.map(|(job, late)| (job.payload.ask.request, late))
+        let jobs = late.chain(refused.into_iter().map(|(job, _)| (job, false)));
+        jobs.map(|(job, late)| (job.payload.spec.request, late))
             .collect()
     }
 
-    /// The next request for the engine, if it may have one.
-    pub(crate) fn next(&mut self, now: Micros, running: usize, slots: u32) -> Option<Handed> {
-        if !self.prefills.allows(self.prefilling) || running >= slots as usize {
+    /// Takes the next request for the engine from the queue if the prefill limit and the decode
+    /// slots allow one.
+    pub(crate) fn dispatch_next(
+        &mut self,
+        now: Micros,
+        running: usize,
+        slots: u32,
+    ) -> Option<Dispatched> {
+        if !self.prefill_limit.allows(self.prefilling) || running >= slots as usize {
             return None;
         }
         let (index, cost) = (&self.index, &self.cost);
         let job = self.queue.pop_by(|job| {
-            let Waiting { ask, marks, .. } = &job.payload;
-            cost.work(ask.blocks - index.held(marks), ask.output)
+            let Waiting { spec, marks, .. } = &job.payload;
+            cost.work(spec.blocks - index.held(marks), spec.output)
         })?;
-        // The wait may have been longer than was expected when the request came.
+        // The wait in the queue may have been longer than was expected on arrival.
         self.index.expect(now, &job.payload.chain);
         self.prefilling += 1;
-        self.until = self.until.max(now) + job.work;
-        self.busy.set(now, Some(job.class));
-        Some(Handed {
-            request: job.payload.ask.request,
+        self.prefills_done_at = self.prefills_done_at.max(now) + job.work;
+        self.utilization.set(now, Some(job.class));
+        Some(Dispatched {
+            request: job.payload.spec.request,
             work: job.work,
         })
     }
 
-    /// Notes that the engine has sent a first token.
-    pub(crate) fn prefilled(&mut self, now: Micros, blocks: u32, took: Micros, handed: Micros) {
+    /// Records the first token of a request, which ends its prefill.
+    pub(crate) fn record_first_token(
+        &mut self,
+        now: Micros,
+        blocks: u32,
+        took: Micros,
+        dispatched_at: Micros,
+    ) {
         self.prefilling = self.prefilling.saturating_sub(1);
         self.cost.record(blocks, took);
         let sample = Sample {
             expected: self.cost.prefill(blocks),
-            took: now.since(handed),
+            took: now.since(dispatched_at),
             running: self.prefilling + 1,
         };
-        self.prefills.record(now, sample);
+        self.prefill_limit.record(now, sample);
         if self.prefilling == 0 {
-            self.until = now;
-            self.busy.set(now, None);
+            self.prefills_done_at = now;
+            self.utilization.set(now, None);
         }
     }
 
-    /// Notes that a request's work is done.
-    pub(crate) fn finished(&mut self, now: Micros, work: Micros) {
+    /// Records that a request has finished.
+    pub(crate) fn record_finished(&mut self, now: Micros, work: Micros) {
         let waiting = !self.queue.is_empty();
-        self.drain.finished(now, work, waiting);
+        self.drain_rate.finished(now, work, waiting);
     }
 
-    /// Notes that the engine was lost; returns what had not been handed over.
-    pub(crate) fn crashed(&mut self) -> Vec<Ask> {
+    /// Resets the state after a crash of the engine; returns the requests that were still queued.
+    pub(crate) fn reset_after_crash(&mut self) -> Vec<RequestSpec> {
         self.prefilling = 0;
-        self.until = Micros::ZERO;
-        self.prefills.reset();
+        self.prefills_done_at = Micros::ZERO;
+        self.prefill_limit.reset();
         self.queue
             .drain()
             .into_iter()
-            .map(|j| j.payload.ask)
+            .map(|j| j.payload.spec)
             .collect()
     }
 
-    /// The wait that the least urgent request would have.
-    pub(crate) fn wait(&mut self, now: Micros, ask: &Ask, work: Micros) -> Micros {
-        let queued = self.queue.work_ahead(ask.class, ask.team, 1, work);
-        let ahead = queued + self.reserve.total(now);
-        self.drain.wait(ahead) + self.until.since(now)
+    /// The expected wait of a request behind the queue, the reservations and the running prefills.
+    pub(crate) fn expected_wait(
+        &mut self,
+        now: Micros,
+        spec: &RequestSpec,
+        work: Micros,
+    ) -> Micros {
+        let queued = self.queue.work_ahead(spec.class, spec.team, 1, work);
+        let ahead = queued + self.reservations.total(now);
+        self.drain_rate.wait(ahead) + self.prefills_done_at.since(now)
     }
 
-    fn work(&self, ask: &Ask, matched: u32) -> Micros {
+    fn work(&self, spec: &RequestSpec, matched: u32) -> Micros {
         self.cost
-            .work(ask.blocks.saturating_sub(matched), ask.output)
+            .work(spec.blocks.saturating_sub(matched), spec.output)
     }
 
-    fn admission(&self, now: Micros, ask: &Ask, wait: Micros, matched: u32) -> Result<(), Refusal> {
+    fn check_admission(
+        &self,
+        now: Micros,
+        spec: &RequestSpec,
+        wait: Micros,
+        matched: u32,
+    ) -> Result<(), Refusal> {
         let arrival = Arrival {
-            class: ask.class,
+            class: spec.class,
             wait,
-            work: self.cost.prefill(ask.blocks.saturating_sub(matched)),
-            deadline: ask.deadline,
+            work: self.cost.prefill(spec.blocks.saturating_sub(matched)),
+            deadline: spec.deadline,
             waiting: self.queue.len(),
         };
-        admit(&self.admit, now, &arrival, 0.5)
+        admit(&self.admission, now, &arrival, 0.5)
     }
 }
--- a/crates/policy/examples/replay/sim/trace.rs
+++ b/crates/policy/examples/replay/sim/trace.rs
@@ -9,10 +9,10 @@
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Tokens in a block of the replay: four of an engine's usual ones, so that tests take seconds.
-pub(crate) const GRAIN: u32 = 64;
+/// Tokens in a block of the replay: four times an engine's usual size, so that tests take seconds.
+pub(crate) const REPLAY_BLOCK_TOKENS: u32 = 64;
 
-/// One line of a trace.
+/// A request, as one line of a trace.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Request {
     pub(crate) at_ms: u64,
@@ -25,31 +25,31 @@
     pub(crate) idempotent: bool,
 }
 
-/// A request's prompt in blocks, with what an engine says of each.
+/// A request's prompt in blocks, with the text of each that an engine reports in its events.
 pub(crate) struct Prompt {
     pub(crate) chain: Vec<BlockHash>,
     pub(crate) texts: Vec<Bytes>,
 }
 
-/// Reads a trace.
+/// Parses a trace of one JSON object per line.
 pub(crate) fn parse(text: impl AsRef<str>) -> serde_json::Result<Vec<Request>> {
     text.as_ref().lines().map(serde_json::from_str).collect()
 }
 
 impl Request {
-    /// The blocks of the prompt; `number` makes its last part unlike all others.
+    /// The blocks of the prompt; `number` makes its last part different from all others.
     pub(crate) fn prompt(&self, number: usize) -> Rc<Prompt> {
         let tail = (format!("tail {number}"), self.tail);
         let mut text = Vec::new();
-        let mut fill = 0;
+        let mut position = 0;
         for (id, tokens) in self.prefix.iter().chain([&tail]) {
-            let part = blake(id);
+            let seed = part_hash(id);
             for token in 0..*tokens {
-                // One sample of each eighth of a block stands for its bytes.
-                if fill % (GRAIN / 8) == 0 {
-                    text.extend((part ^ u64::from(token)).to_le_bytes());
+                // One sample for each eighth of a block represents its bytes.
+                if position % (REPLAY_BLOCK_TOKENS / 8) == 0 {
+                    text.extend((seed ^ u64::from(token)).to_le_bytes());
                 }
-                fill += 1;
+                position += 1;
             }
         }
         let text = Bytes::from(text);
@@ -68,37 +68,40 @@
     }
 }
 
-fn blake(id: &str) -> u64 {
+/// Hash of the name of a prompt part.
+fn part_hash(id: &str) -> u64 {
     next(root(Seed::new(id, "", "")), b"part").0
 }
 
-/// Whose traffic to draw.
+/// Kind of traffic to generate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Workload {
-    /// Coding of open answers during calls: guides, codebooks, questions; short outputs.
+    /// Coding of open survey answers during calls: prompts of guide, codebook and question; short
+    /// outputs.
     Association,
-    /// Reading of driver cards: long regulations, a driver's week, several questions on it.
+    /// Analysis of driver cards: prompts of long regulations and a driver's week, with several
+    /// questions on each week.
     Alpen,
 }
 
 impl Workload {
-    /// Parts of call, normal and batch requests.
-    fn classes(self) -> [f64; 3] {
+    /// Shares of call, normal and batch requests.
+    fn class_shares(self) -> [f64; 3] {
         match self {
             Self::Association => [0.6, 0.25, 0.15],
             Self::Alpen => [0.25, 0.5, 0.25],
         }
     }
 
-    /// Tokens that one engine caches.
-    pub(crate) fn cache(self) -> u32 {
+    /// Number of tokens that an engine can cache.
+    pub(crate) fn cache_tokens(self) -> u32 {
         match self {
             Self::Association => 80_000,
             Self::Alpen => 120_000,
         }
     }
 
-    /// Failure domains of its replicas.
+    /// Number of failure domains of the replicas.
     pub(crate) fn domains(self) -> usize {
         match self {
             Self::Association => 4,
@@ -106,7 +109,7 @@
         }
     }
 
-    fn prefix(self, team: usize, shift: usize, rng: &mut SmallRng) -> Vec<(String, u32)> {
+    fn draw_prefix(self, team: usize, shift: usize, rng: &mut SmallRng) -> Vec<(String, u32)> {
         match self {
             Self::Association => {
                 let book = (zipf(20, 0.9, rng) + shift) % 20;
@@ -120,7 +123,7 @@
             }
             Self::Alpen => {
                 let text = (zipf(5, 0.8, rng) + shift) % 5;
-                // A week is asked about several times in a short while.
+                // Several requests in a short time refer to the same week.
                 let week = shift * 40 + zipf(60, 0.6, rng);
                 vec![
                     (format!("h{team}"), 1_000),
@@ -131,7 +134,7 @@
         }
     }
 
-    fn output(self, rng: &mut SmallRng) -> u32 {
+    fn draw_output(self, rng: &mut SmallRng) -> u32 {
         match self {
             Self::Association => rng.random_range(12..48),
             Self::Alpen => rng.random_range(60..200),
@@ -139,14 +142,16 @@
     }
 }
 
-/// Draws a trace of `count` requests at some 50 a second, whose hot prefixes shift four times.
+/// Generates a trace of `count` requests at some 50 per second, in four phases with different
+/// popular prefixes.
 pub(crate) fn generate(workload: Workload, count: usize, seed: u64) -> Vec<Request> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut at = 0.0;
     (0..count)
         .map(|i| {
             let phase = i * 4 / count;
-            // A burst of three times the rate for a tenth of each tenth of the trace.
+            // A burst, 120 requests per second instead of 45, at the start of each tenth of the
+            // trace, for a tenth of its requests.
             let rate = if (i * 100 / count).is_multiple_of(10) {
                 120.0
             } else {
@@ -154,38 +159,39 @@
             };
             at += -(1.0 - rng.random::<f64>()).ln() / rate * 1_000.0;
             let team = zipf(8, 0.8, &mut rng);
-            let class = pick(workload.classes(), &mut rng);
+            let class = draw_index(workload.class_shares(), &mut rng);
             Request {
                 at_ms: at as u64,
                 team: format!("t{team}"),
                 class: Class::from_index(class),
                 path: "/v1/completions".to_owned(),
-                prefix: workload.prefix(team, phase, &mut rng),
+                prefix: workload.draw_prefix(team, phase, &mut rng),
                 tail: rng.random_range(40..200),
-                output: workload.output(&mut rng),
+                output: workload.draw_output(&mut rng),
                 idempotent: rng.random_bool(0.9),
             }
         })
         .collect()
 }
 
-fn pick(parts: [f64; 3], rng: &mut SmallRng) -> usize {
+/// An index drawn with the given shares.
+fn draw_index(shares: [f64; 3], rng: &mut SmallRng) -> usize {
     let mut x = rng.random::<f64>();
-    let over = parts.iter().position(|p| {
+    let drawn = shares.iter().position(|p| {
         x -= p;
         x < 0.0
     });
-    over.unwrap_or(0)
+    drawn.unwrap_or(0)
 }
 
-/// A number below `n` whose chance falls with the power `s` of its place.
+/// A number below `n`, Zipf-distributed: number `i` has a weight of `(i + 1)^-s`.
 fn zipf(n: usize, s: f64, rng: &mut SmallRng) -> usize {
     let weight = |i: usize| ((i + 1) as f64).powf(-s);
     let sum: f64 = (0..n).map(weight).sum();
     let mut x = rng.random::<f64>() * sum;
-    let over = (0..n).find(|i| {
+    let drawn = (0..n).find(|i| {
         x -= weight(*i);
         x < 0.0
     });
-    over.unwrap_or(n - 1)
+    drawn.unwrap_or(n - 1)
 }
