--- a/crates/policy/examples/replay/main.rs
+++ b/crates/policy/examples/replay/main.rs
@@ -32,7 +32,9 @@
     match replay(&args) {
         Some(()) => ExitCode::SUCCESS,
         None => {
-            eprintln!("replay: see the head of examples/replay/main.rs for its arguments");
+            eprintln!(
+                "replay: invalid arguments or trace; see the head of examples/replay/main.rs"
+            );
             ExitCode::FAILURE
         }
     }
--- a/crates/policy/examples/replay/sim/run.rs
+++ b/crates/policy/examples/replay/sim/run.rs
@@ -87,7 +87,7 @@
     let mut replay = Replay::new(setup, trace);
     while let Some(Reverse((now, step))) = replay.heap.pop() {
         if let Some(step) = replay.steps[step as usize].take() {
-            replay.step(now, step);
+            replay.run_step(now, step);
         }
     }
     let from = (trace.len() as f64 * WARMUP_SHARE) as usize;
@@ -141,7 +141,7 @@
                 team,
                 class: request.class,
                 blocks: prompt.chain.len() as u32,
-                output: request.output,
+                max_output_tokens: request.output,
                 deadline: at + deadline(request.class),
             };
             self.requests.push(RequestState {
@@ -165,7 +165,7 @@
         self.steps.push(Some(step));
     }
 
-    fn step(&mut self, now: Micros, step: Step) {
+    fn run_step(&mut self, now: Micros, step: Step) {
         match step {
             Step::Arrive(i) => self.arrive(now, i),
             Step::Probe(i) => self.probe(now, i),
@@ -186,7 +186,7 @@
                 let (incarnation, seq, blocks) = self.engines[r].snapshot();
                 let _ = self.sidecars[r].index.reset(now, incarnation, seq, blocks);
             }
-            Step::Fault(fault) => self.fault(now, fault),
+            Step::Fault(fault) => self.apply_fault(now, fault),
         }
     }
 
@@ -319,7 +319,7 @@
     fn enqueue(&mut self, now: Micros, i: usize, r: usize) {
         let (prompt, spec) = (self.requests[i].prompt.clone(), self.requests[i].spec);
         match self.setup.order {
-            Order::Fifo => self.start_on_engine(now, i, r),
+            Order::Fifo => self.send_to_engine(now, i, r),
             Order::Ours => match self.sidecars[r].enqueue(now, spec, &prompt.chain) {
                 Ok(()) => {
                     if let Some(at) = self.sidecars[r].queue.next_expiry() {
@@ -334,7 +334,7 @@
         self.dispatch_waiting(now, r);
     }
 
-    fn start_on_engine(&mut self, now: Micros, i: usize, r: usize) {
+    fn send_to_engine(&mut self, now: Micros, i: usize, r: usize) {
         let job = Job {
             request: i,
             prompt: self.requests[i].prompt.clone(),
@@ -359,7 +359,7 @@
             self.sidecars[r].dispatch_next(now, self.engines[r].load(), slots)
         {
             self.requests[dispatched.request].work = dispatched.work;
-            self.start_on_engine(now, dispatched.request, r);
+            self.send_to_engine(now, dispatched.request, r);
         }
         if let Some(duration) = self.engines[r].start_prefill() {
             self.record_prefill(r);
@@ -405,9 +405,9 @@
             self.sidecars[r].record_first_token(now, blocks, done.duration, done.job.dispatched_at);
         }
         let entry = self.requests[i].entry;
-        let first = now + self.network_delay(entry, r);
-        let ttft = first.since(self.requests[i].arrived);
-        let in_time = first <= self.requests[i].spec.deadline;
+        let first_token_at = now + self.network_delay(entry, r);
+        let ttft = first_token_at.since(self.requests[i].arrived);
+        let in_time = first_token_at <= self.requests[i].spec.deadline;
         self.report.end(i, End::Served { ttft, in_time });
         let sample = health::Sample::Answered {
             wait: self.requests[i].wait,
--- a/crates/policy/examples/replay/sim/run/faults.rs
+++ b/crates/policy/examples/replay/sim/run/faults.rs
@@ -9,7 +9,7 @@
 use crate::sim::setup::Fault;
 
 impl Replay<'_> {
-    pub(super) fn fault(&mut self, now: Micros, fault: Fault) {
+    pub(super) fn apply_fault(&mut self, now: Micros, fault: Fault) {
         match fault {
             Fault::Slow { replica, factor } => self.engines[replica].slowdown = factor,
             Fault::Entries => {
--- a/crates/policy/examples/replay/sim/sidecar.rs
+++ b/crates/policy/examples/replay/sim/sidecar.rs
@@ -17,7 +17,7 @@
     pub(crate) team: TeamKey,
     pub(crate) class: Class,
     pub(crate) blocks: u32,
-    pub(crate) output: u32,
+    pub(crate) max_output_tokens: u32,
     pub(crate) deadline: Micros,
 }
 
@@ -141,7 +141,7 @@
         let wait = |work| drain_rate.wait(work) + prefill_left;
         let refused = self.queue.review(now, wait, |job| {
             let Waiting { spec, marks, .. } = &job.payload;
-            cost.work(spec.blocks - index.held(marks), spec.output)
+            cost.work(spec.blocks - index.held(marks), spec.max_output_tokens)
         });
         let late = late.into_iter().map(|job| (job, true));
         let jobs = late.chain(refused.into_iter().map(|(job, _)| (job, false)));
@@ -163,7 +163,7 @@
         let (index, cost) = (&self.index, &self.cost);
         let job = self.queue.pop_by(|job| {
             let Waiting { spec, marks, .. } = &job.payload;
-            cost.work(spec.blocks - index.held(marks), spec.output)
+            cost.work(spec.blocks - index.held(marks), spec.max_output_tokens)
         })?;
         // The wait in the queue may have been longer than was expected on arrival.
         self.index.expect(now, &job.payload.chain);
@@ -230,7 +230,7 @@
 
     fn work(&self, spec: &RequestSpec, matched: u32) -> Micros {
         self.cost
-            .work(spec.blocks.saturating_sub(matched), spec.output)
+            .work(spec.blocks.saturating_sub(matched), spec.max_output_tokens)
     }
 
     fn check_admission(
