--- a/crates/daemon/src/sidecar/control/fleet.rs
+++ b/crates/daemon/src/sidecar/control/fleet.rs
@@ -1,5 +1,5 @@
-//! The control thread's messages with the rest of the fleet: probes from entries, marks of requests
-//! that crash targets, and the configuration in force.
+//! The control thread's messages with the rest of the fleet: probes from entries, reports of
+//! requests that crash targets, and the configuration in force.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -74,10 +74,10 @@
         let now = clock::now();
         let mut findings = Vec::with_capacity(i.suspects.len());
         for s in &i.suspects {
-            let mark = self
+            let report = self
                 .scheduler
                 .record_crashes(now, s.fingerprint, &s.crashes);
-            self.report_conviction(now, mark);
+            self.report_conviction(now, report);
             let claim = Claim {
                 fingerprint: crash_report::fingerprint(s.fingerprint),
                 rank: s.rank,
@@ -112,19 +112,19 @@
                 busy: finding.busy,
                 good: finding.good,
             };
-            let mark = self.scheduler.receive_finding(now, f.from, query, &finding);
-            self.report_conviction(now, mark);
+            let report = self.scheduler.receive_finding(now, f.from, query, &finding);
+            self.report_conviction(now, report);
         }
     }
 
     /// Reports a request to the fleet if crashes here and elsewhere convict it.
-    fn report_conviction(&mut self, now: Micros, mark: Option<CrashReport>) {
-        let Some(mark) = mark else { return };
+    fn report_conviction(&mut self, now: Micros, report: Option<CrashReport>) {
+        let Some(report) = report else { return };
         spdlog::warn!(
             logger: log::sidecar(),
-            "request {:016x} is convicted by crashes of several targets", mark.fingerprint
+            "request {:016x} is convicted by crashes of several targets", report.fingerprint
         );
-        self.mark_updates.add(now, mark);
+        self.crash_report_updates.add(now, report);
     }
 
     /// Updates the sidecars of the pool if the view of the fleet has changed.
@@ -143,27 +143,32 @@
     }
 
     pub(super) fn record_crash(&mut self, now: Micros, run: RunKey) {
-        let Some(mark) = self.scheduler.record_crash(now, run) else {
+        let Some(report) = self.scheduler.record_crash(now, run) else {
             return;
         };
         spdlog::warn!(
             logger: log::sidecar(),
-            "target died under request {:016x}, convicted: {}", mark.fingerprint, mark.convicted
+            "target died under request {:016x}, convicted: {}", report.fingerprint, report.convicted
         );
-        self.mark_updates.add(now, mark);
+        self.crash_report_updates.add(now, report);
     }
 
-    /// Records the marks that other processes have spread.
-    pub(super) fn receive_marks(&mut self) {
+    /// Records the crash reports that other processes have spread.
+    pub(super) fn receive_crash_reports(&mut self) {
         let now = clock::now();
         while let Some(c) = self.membership.take_conviction() {
-            let mark = CrashReport::decode(c.fingerprint);
-            if self.scheduler.receive_mark(now, mark, c.until) {
+            let report = CrashReport::decode(c.fingerprint);
+            if self.scheduler.receive_crash_report(now, report, c.until) {
                 // Two copies sent at the same time crashed one target each, and perhaps no other
-                // process has received both marks.
+                // process has received both reports.
                 let convicted = true;
-                self.mark_updates
-                    .add(now, CrashReport { convicted, ..mark });
+                self.crash_report_updates.add(
+                    now,
+                    CrashReport {
+                        convicted,
+                        ..report
+                    },
+                );
             }
         }
     }
--- a/crates/daemon/src/sidecar/control/mod.rs
+++ b/crates/daemon/src/sidecar/control/mod.rs
@@ -32,7 +32,7 @@
 use crate::sidecar::control_channel::{
     ControlEndpoint, ControlMessage, Grant, Health, TargetReport,
 };
-use crate::sidecar::mark_updates::MarkUpdates;
+use crate::sidecar::crash_report_updates::CrashReportUpdates;
 use crate::sidecar::scheduler::{EngineState, Refusal, Scheduler};
 use crate::view::{self, SharedView, View};
 
@@ -90,7 +90,7 @@
         drain: Drain::new(drain::Config { notice }, drain::Role::Sidecar),
         membership,
         endpoint: s.endpoint,
-        mark_updates: MarkUpdates::new(s.member_sender.clone()),
+        crash_report_updates: CrashReportUpdates::new(s.member_sender.clone()),
         member_sender: s.member_sender,
         rng: SmallRng::from_os_rng(),
         pool: s.role.pool,
@@ -114,8 +114,8 @@
     membership: Membership,
     member_sender: membership::CommandSender,
     endpoint: ControlEndpoint,
-    /// Marks of requests that crashed the target, to be sent to the fleet.
-    mark_updates: MarkUpdates,
+    /// Reports of requests that crashed the target, to be sent to the fleet.
+    crash_report_updates: CrashReportUpdates,
     rng: SmallRng,
     pool: String,
     /// Notified once nothing runs at the target.
@@ -154,10 +154,10 @@
                 },
                 () = tokio::time::sleep(wait.unwrap_or(MAX_SLEEP).min(MAX_SLEEP)) => {}
             }
-            self.receive_marks();
+            self.receive_crash_reports();
             self.apply_configuration();
             self.update_peers();
-            self.mark_updates.send_due(clock::now());
+            self.crash_report_updates.send_due(clock::now());
             self.dispatch();
             if let Some((inquiry, to)) = self.next_inquiry() {
                 for peer in to {
--- a/crates/daemon/src/sidecar/scheduler/suspects.rs
+++ b/crates/daemon/src/sidecar/scheduler/suspects.rs
@@ -1,5 +1,5 @@
-//! Suspects, requests that may crash targets: recording crashes and exchanging marks with the
-//! fleet.
+//! Suspects, requests that may crash targets: recording crashes and exchanging crash reports with
+//! the fleet.
 
 use model::Micros;
 use policy::quarantine::Verdict;
@@ -8,13 +8,13 @@
 use crate::crash_report::{self, CrashReport};
 
 impl<G> Scheduler<G> {
-    /// Records that the target crashed under a request; returns the mark to report to the fleet.
+    /// Records that the target crashed under a request; returns the crash report for the fleet.
     pub fn record_crash(&mut self, now: Micros, key: RunKey) -> Option<CrashReport> {
         let run = self.running.get(key.0)?;
         let (fingerprint, had_strikes) = (run.fingerprint, run.had_strikes);
         if had_strikes {
-            // The entry knows of a crash elsewhere whose mark hasn't arrived here yet. If it didn't
-            // count, this crash would count as the first, and a third target would crash.
+            // The entry knows of a crash elsewhere whose report hasn't arrived here yet. If it
+            // didn't count, this crash would count as the first, and a third target would crash.
             crash_report::record_crash(&mut self.quarantine, now, fingerprint, 0);
         }
         let crash = crash_report::crash_id(self.member_id, self.incarnation);
@@ -26,12 +26,17 @@
         })
     }
 
-    /// Records another process's mark; returns whether it convicts the request here although the
-    /// mark itself is no conviction.
-    pub fn receive_mark(&mut self, now: Micros, mark: CrashReport, until: Micros) -> bool {
-        let before = self.verdict(now, mark.fingerprint);
-        let verdict = crash_report::apply(&mut self.quarantine, now, mark, until);
-        !mark.convicted && verdict == Verdict::Convicted && before != verdict
+    /// Records another process's crash report; returns whether it convicts the request here
+    /// although the report itself is no conviction.
+    pub fn receive_crash_report(
+        &mut self,
+        now: Micros,
+        report: CrashReport,
+        until: Micros,
+    ) -> bool {
+        let before = self.verdict(now, report.fingerprint);
+        let verdict = crash_report::apply(&mut self.quarantine, now, report, until);
+        !report.convicted && verdict == Verdict::Convicted && before != verdict
     }
 
     pub(super) fn verdict(&self, now: Micros, fingerprint: u64) -> Verdict {
--- a/crates/daemon/src/sidecar/scheduler/trials.rs
+++ b/crates/daemon/src/sidecar/scheduler/trials.rs
@@ -52,7 +52,7 @@
         )
     }
 
-    /// Records crashes by their IDs; returns the mark to report to the fleet if they convict the
+    /// Records crashes by their IDs; returns the crash report for the fleet if they convict the
     /// request.
     pub fn record_crashes(
         &mut self,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Records another sidecar's answer; returns the mark to report to the fleet, if any.
+    /// Records another sidecar's answer; returns the crash report for the fleet, if any.
     pub fn receive_finding(
         &mut self,
         now: Micros,
--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -189,7 +189,7 @@
                 convicted: false,
                 crash: *crash,
             };
-            before |= s.receive_mark(NOW, report, FAR);
+            before |= s.receive_crash_report(NOW, report, FAR);
         }
         assert_eq!(before, c.convicted_before, "{}", c.case);
         assert_eq!(
@@ -204,8 +204,8 @@
         };
         let report = s.record_crash(NOW, run).expect("the request runs");
         assert_eq!(report.convicted, c.convicted, "{}", c.case);
-        // The sidecar's own mark, sent back by others, changes nothing.
-        assert!(!s.receive_mark(NOW, report, FAR), "{}", c.case);
+        // The sidecar's own report, sent back by others, changes nothing.
+        assert!(!s.receive_crash_report(NOW, report, FAR), "{}", c.case);
         assert_eq!(
             enqueue(&mut s, request(5, 0), 2),
             !c.convicted,
