--- a/crates/daemon/tests/decide.rs
+++ b/crates/daemon/tests/decide.rs
@@ -315,7 +315,7 @@
 
 /// Guards against losing a part of a crash report in the number that the fleet spreads.
 #[test]
-fn encoded_mark_decodes_to_the_same_mark() {
+fn encoded_crash_report_decodes_to_the_same_report() {
     for convicted in [false, true] {
         for crash in [0, 1, u64::MAX >> 1] {
             let report = CrashReport {
--- a/crates/policy/src/prefill_priority.rs
+++ b/crates/policy/src/prefill_priority.rs
@@ -10,8 +10,9 @@
 //!
 //! The tiers separate a follow-up question, an ordinary prompt whose opening is cached, and a prompt
 //! that is computed from its beginning. On 52 engines, a quarter of them unreachable, with 13,590 short
-//! streams in 34 s, 8,912 streams were in time. When the caller's rank alone decided and the choice of
-//! an engine with a cached opening ignored the prompt's own part, 4,467 were.
+//! streams in 34 s, 8,912 streams were in time. Several changes earlier, when the caller's rank
+//! alone decided and the choice of the prompts whose KV cache is saved to a store ignored their own
+//! part, 4,467 were.
 
 /// Number of ranks that engines distinguish.
 const RANKS: u8 = 10;
